--- a/source/programs/control_status.hpp
+++ b/source/programs/control_status.hpp
@@ -1,6 +1,6 @@
-// What operators look at when the control plane is in trouble: who votes, how many
-// losses the set of voters can still bear, and how old this registry's knowledge is.
-// It is asked of the voters themselves at each call, so it also tells of a minority.
+// The status page for operators when the control plane has faults: which voters
+// vote, how many more losses the voter set tolerates, and how old this registry's
+// data is. Each request queries the voters directly, so it also works in a minority.
 #pragma once
 
 #include "coordination/voter_watch.hpp"
@@ -19,7 +19,7 @@
  public:
   ControlStatus(W& w, Registry<W>& registry) : w_(w), registry_(registry) {}
 
-  /// Answers `GET /control/status` with a JSON object.
+  /// Handles `GET /control/status`; the answer is a JSON object.
   Task<HttpReply> call(HttpRequest const question) {
     HttpReply reply;
     if (question.method != "GET") {
--- a/source/programs/departure.hpp
+++ b/source/programs/departure.hpp
@@ -1,6 +1,6 @@
-// What a process that was told to go still takes and still owes: it takes no request that
-// might last longer than it may stay, and it ends once everything that it took is answered
-// and written, or when its grace is over.
+// Graceful shutdown of a process: it accepts no request that may outlast its grace period,
+// and it exits once every accepted request is answered and written, or when the grace period
+// is over.
 #pragma once
 
 #include "transport/result.hpp"
@@ -9,17 +9,17 @@
 
 namespace banktide {
 
-/** What a process owes others at one moment. */
+/** The work of a process that is not finished yet. */
 struct OwedWork {
-  std::size_t requests = 0;     ///< taken from clients or from other processes, and not answered yet
-  std::size_t connections = 0;  ///< of clients, with a request that isn't whole or an answer that isn't written
-  std::size_t bytes = 0;        ///< of requests and responses that wait for other processes
+  std::size_t requests = 0;     ///< accepted from clients or other processes, not answered yet
+  std::size_t connections = 0;  ///< of clients, with an incomplete request or an unwritten response
+  std::size_t bytes = 0;        ///< of requests and responses queued to other processes
   bool nothing() const { return requests == 0 && connections == 0 && bytes == 0; }
 };
 
 class Departure {
  public:
-  /** `notice`: until when clients still come; `patience`: how long the process may stay, both from `begin`. */
+  /** `notice`: how long new requests still arrive; `patience`: the grace period; both counted from `begin`. */
   Departure(Duration const notice, Duration const patience) : notice_(notice), patience_(patience) {}
 
   void begin(Instant const now) {
@@ -27,17 +27,17 @@
   }
   bool leaving() const { return began_.has_value(); }
 
-  /** Whether new work is taken at all. */
+  /** Whether new requests are accepted at all. */
   bool takes_work(Instant const now) const { return !began_ || now - *began_ <= notice_; }
 
-  /** Whether a request is taken that may last until `deadline`. */
+  /** Whether a request that may last until `deadline` is accepted. */
   bool takes(Instant const now, Instant const deadline) const {
     if (!began_) return true;
     return takes_work(now) && deadline <= *began_ + patience_;
   }
 
-  /** Whether the process may end, to be asked again and again: it has owed nothing for a moment, or its grace is over.
-   */
+  /** Whether the process may exit: no work has been pending for `settle_time`, or the grace period is over. Has to be
+   * polled, as each call records the time at which no work was pending. */
   bool may_end(Instant const now, OwedWork const& owed) {
     if (!began_) return false;
     if (now - *began_ >= patience_) return true;
@@ -49,7 +49,7 @@
     return now - *clear_since_ >= settle_time;
   }
 
-  /** What was written last may be on its way still: an end with bytes unread would reset its connection. */
+  /** Time for the last written bytes to reach the client: an exit with unread bytes would reset the connection. */
   static constexpr Duration settle_time = 60ms;
 
  private:
--- a/source/programs/mesh_node.hpp
+++ b/source/programs/mesh_node.hpp
@@ -1,6 +1,6 @@
-// The node on the new data path, put together: it follows its zone, takes the
-// configuration and the table of keys in force, stands beside one backend, and
-// carries requests from clients here to backends anywhere.
+// The mesh node: joins the parts of the data path. It follows its zone's feed,
+// applies the newest configuration and key table, serves as the sidecar of one
+// backend, and routes requests of local clients to backends in any zone.
 #pragma once
 
 #include "coordination/maintenance_view.hpp"
@@ -16,13 +16,13 @@
 
 struct MeshNodeSettings {
   FollowerSettings follower;
-  /** The service of this machine's backend, in whose name its requests go out. */
+  /** The service of this machine's backend; its outgoing requests carry this name. */
   std::string service;
-  /** The stores listen at this port, on the machines of the registries. */
+  /** The port of the stores, which run on the registries' machines. */
   std::uint16_t store_port = 0;
   TimingBounds bounds;
   KeySettings keys;
-  /** How long the process may stay once it was told to go. */
+  /** The longest time between the signal to shut down and the exit of the process. */
   Duration leave_patience = 5400ms;
 };
 
@@ -42,7 +42,7 @@
         grant_alarm_(w),
         report_alarm_(w),
         configuration_alarm_(w) {
-    // Only a real network pings its peers.
+    // The simulated network has no pings.
     if constexpr (requires { w.silence_of(Address{}); })
       path_.selector().set_silent([&w](Address const& peer) { return w.silence_of(peer) > silent_after; });
   }
@@ -59,26 +59,27 @@
     spawn(w_, keep_ticking());
   }
 
-  /** Called with the limits of each configuration that comes into force. */
+  /** Called with the client limits of each configuration that is applied. */
   std::function<void(ClientLimits const&)> on_limits;
 
-  /** Whether clients of this machine should send new work here. */
+  /** Readiness: whether clients of this machine should send new requests here. */
   bool ready() const {
     bool const informed = follower_.fresh() && follower_.viewed() && path_.router() && in_contact();
     return !departure_.leaving() && informed && path_.lets_tenants_in();
   }
   bool idle() const { return owed().requests == 0; }
-  /** What is under way here; of clients' connections only their server knows. */
+  /** Requests in flight and bytes queued here. Client connections are counted by the HTTP server, not here. */
   OwedWork owed() const {
     OwedWork owed;
     owed.requests = path_.in_flight() + local_.in_flight() + forwarded_;
-    // Only a real network has queues to peers.
+    // The simulated network has no send queues.
     if constexpr (requires { w_.queued(); }) owed.bytes = w_.queued().of_requests();
     return owed;
   }
-  /** Clients and other nodes had time to notice that it leaves: new requests are refused, so that it empties. */
+  /** Whether new requests are refused: it is shutting down, and clients and other nodes had time to notice. */
   bool refusing() const { return !departure_.takes_work(w_.now()); }
-  /** Whether the process may end now that it was told to go; `connections` of clients are busy. */
+  /** Whether the process may exit after the signal to shut down; `connections` is the number of busy client
+   * connections. */
   bool may_end(std::size_t const connections) {
     OwedWork all = owed();
     all.connections = connections;
@@ -93,13 +94,13 @@
     report_alarm_.wake();
   }
 
-  /** A request of a client, or of this machine's backend. */
+  /** Handles a request of a client or of this machine's backend. */
   Task<HttpReply> request(HttpRequest q, std::shared_ptr<HttpExchange> exchange) {
     if (refusing()) return refused_leaving();
     return path_.handle(std::move(q), std::move(exchange));
   }
 
-  /** A call of the interface: readiness, or the backend's heartbeats. */
+  /** Handles a request to the local interface: readiness, heartbeats and sign-off of the backend. */
   Task<HttpReply> interface_call(HttpRequest q) {
     tl::expected<InterfaceOperation, InterfaceReply> operation = adapter_.interpret(q);
     if (!operation) co_return http_reply(std::move(operation.error()));
@@ -121,7 +122,7 @@
 
   Task<HttpReply> refused_leaving() { co_return path_.refusal("node is leaving", tick_period); }
   static constexpr Duration isolated_after = 1500ms;
-  static constexpr Duration silent_after = 100ms;  // a ping's answer takes a few milliseconds
+  static constexpr Duration silent_after = 100ms;  // a ping is answered within a few milliseconds
   static constexpr double busy_weight = 0.15;
   static constexpr Duration confirm_patience = 1s;
   static constexpr Duration first_confirm_patience = 150ms;
@@ -188,7 +189,7 @@
     return e;
   }
 
-  // ---- values of the registers
+  // ---- register values
 
   void take_value(Register const which, Held const& held) {
     if (which == Register::routing) configuration_alarm_.wake();
@@ -200,14 +201,14 @@
     if (maintenance_.take(held, w_.now())) follow_maintenance();
   }
 
-  // Requests go by the zones' shares of now, which change while nothing is heard.
+  // Zone shares change with time during a maintenance window, also when no new plan arrives.
   void follow_maintenance() {
     maintenance_.log_phases(w_.now());
     path_.selector().set_zone_shares(maintenance_.at(w_.now()).zone_shares());
   }
 
-  // Of configurations that come in quick succession only the newest is read, and reading takes at most half of
-  // the time.
+  // When configurations arrive in quick succession, only the newest is parsed. The pause after each parse is as long
+  // as the parse (up to a limit), so that parsing takes at most half of the time.
   Task<void> keep_configured() {
     while (true) {
       Held const& newest = follower_.held(Register::routing);
@@ -320,7 +321,7 @@
     Instant const arrived = w_.now();
     Instant const until = arrived + s_.keys.answer_wait;
     std::uint64_t const number = ++beats_taken_;
-    // A node that has just started doesn't know yet whether keys are to be granted.
+    // A node that has just started has no configuration yet and can't tell whether the service is keyed.
     while (number == beats_taken_ && !path_.router() && !beat.leaving && w_.now() < until)
       co_await grant_alarm_.wait(until);
     if (number != beats_taken_ || !keyed(beat.service)) co_return answer;
@@ -370,14 +371,14 @@
     return k;
   }
 
-  // Right after its start a node gets no news yet: it looks for a table more often
-  // until its backend has rows.
+  // Right after its start a node gets no feed updates yet, so it reads the key table more often until its backend
+  // holds rows.
   bool awaits_first_rows() const { return keys_->grants_nothing() && w_.now() - started_ < news_come_after; }
 
   Duration confirm_period() const { return awaits_first_rows() ? first_confirm_every : s_.keys.confirm_every; }
 
-  // The lease of the keys here rests on readings that a majority confirms. A table
-  // that comes by news needs none: the lease that is running goes on with it.
+  // The key lease of this node is renewed only by reads that a majority of the stores confirms. A table that
+  // arrives over the feed needs no such read: the current lease covers it.
   Task<void> keep_confirming() {
     while (true) {
       co_await sleep_for(w_, tick_period);
@@ -387,14 +388,14 @@
       if ((!wanted && !due) || w_.now() < next_confirm_) continue;
       confirm_soon_ = false;
       registers_.learn(stores_beside(registry_addresses(), s_.store_port));
-      // Until the voters are known all stores are waited for, even those that aren't up.
+      // Until the voters are known, a read waits for all stores, including those that are down.
       Duration const patience = registers_.knows_voters() ? confirm_patience : first_confirm_patience;
       bool const confirmed = co_await confirm_table(w_.now() + patience);
       pause_confirming(confirmed);
     }
   }
 
-  // Nodes that fail together don't ask again together.
+  // Jitter: nodes that fail at the same time must not retry at the same time.
   void pause_confirming(bool const confirmed) {
     if (confirmed) {
       confirm_pause_ = tick_period;
@@ -404,8 +405,8 @@
     confirm_pause_ = std::min(2 * confirm_pause_, longest_confirm_pause);
   }
 
-  // Only the version travels. If it is newer than the table here, this reading counts
-  // once that has come: by news, from a registry, or at last from a store.
+  // The answer carries only the revision. If that is newer than the local table, the confirmation takes effect
+  // once the table has arrived: over the feed, from a registry, or as a last resort from a store.
   Task<bool> confirm_table(Instant const deadline) {
     Revision const have = table_ ? table_->revision : 0;
     Result<ConfirmedRevision> const newest = co_await registers_.confirm_revision(Register::keys, have, deadline);
@@ -437,7 +438,7 @@
     return all;
   }
 
-  // A reading lets tenants in for a while, also after contact is lost (`AccessLease`).
+  // Each confirmed reading extends the `AccessLease`, which admits tenants for a while after contact is lost.
   Task<void> keep_access_keys_confirmed() {
     co_await sleep_for(w_, Duration(w_.chance()() % confirm_access_every.count()));
     while (true) {
@@ -460,7 +461,7 @@
     }
   }
 
-  // What the backend's slots would finish a second, by the run times of late.
+  // Requests per second that the backend's slots can complete, estimated from recent run times.
   float backend_capacity() const {
     EndpointLoad const load = local_.load();
     return load.run_us == 0 ? 0 : static_cast<float>(load.slots) * 1e6F / static_cast<float>(load.run_us);
@@ -493,7 +494,7 @@
                               {"reset", std::to_string(d.reset)},
                               {"outlived", std::to_string(d.outlived)},
                               {"outlived_ms", std::to_string(d.outlived_ms)}});
-    // Only a real network has queues to peers.
+    // The simulated network has no send queues.
     if constexpr (requires { w_.queued(); }) log_sent(w_.queued().sent);
   }
 
@@ -526,21 +527,21 @@
   RequestPath<W, LocalBackend<W>> path_;
   ZoneFollower<W> follower_;
   Departure departure_;
-  std::size_t forwarded_ = 0;  // requests of other nodes that are under way here
+  std::size_t forwarded_ = 0;  // requests of other nodes in flight here
   Instant const started_;
   std::unique_ptr<KeyHolder> keys_;
   std::string keys_service_;
   std::shared_ptr<KeyTable const> table_;
   MaintenanceView maintenance_;
-  Revision read_revision_ = 0;  // of the newest configuration that was read
-  Revision in_force_ = 0;       // of the configuration that requests go by
+  Revision read_revision_ = 0;  // of the newest configuration that was parsed
+  Revision in_force_ = 0;       // of the configuration that requests are routed by
   ConfirmedRevision confirmed_routing_{};
   Instant confirmed_at_{};
   Instant next_confirm_{};
   Duration confirm_pause_ = tick_period;
   bool confirm_soon_ = true;
-  std::uint64_t beats_taken_ = 0;  // only the answer to the last beat may wait
-  typename W::Alarm grant_alarm_;  // has one waiter: that beat
+  std::uint64_t beats_taken_ = 0;  // only the reply to the latest heartbeat may wait
+  typename W::Alarm grant_alarm_;  // has one waiter: the handler of the latest heartbeat
   typename W::Alarm report_alarm_;
   typename W::Alarm configuration_alarm_;
   double busy_ = 0;
--- a/source/programs/mesh_programs.hpp
+++ b/source/programs/mesh_programs.hpp
@@ -1,5 +1,5 @@
-// The programs on the new data path: the same executables as the product's own,
-// started with an adapter for the interface of whoever runs them.
+// Entry points of the mesh programs: the same executables as the stand-alone
+// ones, run with an adapter for the operating platform's interface.
 #pragma once
 
 #include "protocol/interface_adapter.hpp"
@@ -9,10 +9,10 @@
 
 namespace banktide {
 
-/** Runs a node until it is told to go; the exit code. `arguments` are the command line's words. */
+/** Runs a node until it is signalled to shut down; returns the exit code. `arguments` is the command line. */
 int run_mesh_proxy(std::vector<std::string> const& arguments, InterfaceAdapter const& adapter);
 
-/** Runs a registry until it is told to go; the exit code. */
+/** Runs a registry until it is signalled to shut down; returns the exit code. */
 int run_mesh_registry(std::vector<std::string> const& arguments, InterfaceAdapter const& adapter);
 
 }  // namespace banktide
--- a/source/programs/mesh_proxy.cpp
+++ b/source/programs/mesh_proxy.cpp
@@ -1,4 +1,4 @@
-// banktide-proxy on the new data path: settings, sockets and signals around one
+// banktide-proxy for the mesh: settings, sockets and signal handling around one
 // MeshNode.
 #include "programs/mesh_node.hpp"
 #include "programs/mesh_programs.hpp"
@@ -52,7 +52,7 @@
   return l;
 }
 
-// A body that comes from a peer is there twice while it is unpacked, and the kernel holds some of the next ones.
+// A body from a peer is in memory twice while it is unpacked, and the kernel buffers part of the next ones.
 PeerLimits peer_limits(Settings const& s) {
   constexpr std::size_t part_for_requests = 5;
   PeerLimits limits;
--- a/source/programs/mesh_registry.cpp
+++ b/source/programs/mesh_registry.cpp
@@ -1,5 +1,5 @@
-// banktide-registry on the new data path: settings, sockets and signals around
-// one Registry and what operators ask of it.
+// banktide-registry for the mesh: settings, sockets and signal handling around
+// one Registry and its operator interface.
 #include "programs/mesh_registry.hpp"
 
 #include "programs/mesh_programs.hpp"
@@ -32,7 +32,7 @@
   return r;
 }
 
-// A lead must outlast what a leaving backend and a hold on keys may take.
+// The lead must be longer than a backend's drain and a key hold may last.
 MaintenanceSettings maintenance_settings(Settings const& s, TimingBounds const& bounds) {
   constexpr Duration until_known = 2s;
   MaintenanceSettings m;
--- a/source/programs/mesh_registry.hpp
+++ b/source/programs/mesh_registry.hpp
@@ -1,6 +1,6 @@
-// The registry on the new data path: the operators' interface through an
-// adapter, maintenance windows, and the coordinator of keys, around the registry
-// that keeps the register's values and its zone's feed.
+// The mesh registry: adds the operator interface (through an adapter),
+// maintenance windows and the key coordinator to a Registry, which holds the
+// register values and serves its zone's feed.
 #pragma once
 
 #include "coordination/key_coordinator.hpp"
@@ -36,7 +36,7 @@
     spawn(w_, maintenance_.run());
   }
 
-  /** A call of an operator. */
+  /** Handles an operator's request. */
   Task<HttpReply> interface_call(HttpRequest q) {
     if (is_control_status_target(q.target)) co_return co_await status_.call(std::move(q));
     if (is_maintenance_target(q.target)) co_return co_await maintenance_.call(std::move(q));
--- a/source/programs/mesh_settings.hpp
+++ b/source/programs/mesh_settings.hpp
@@ -1,5 +1,5 @@
-// Settings that the programs on the new data path share, and what is worked out
-// from them: the peers to meet first, the bounds, the times of key leases.
+// Settings that the mesh programs share, and the values derived from them: seed
+// peers, timing bounds and key lease timing.
 #pragma once
 
 #include "coordination/feed_timing.hpp"
@@ -9,7 +9,7 @@
 
 namespace banktide {
 
-/** Words of a command line as `main` gets them. */
+/** A command line in the form of the `argc` and `argv` of `main`. */
 class CommandLine {
  public:
   explicit CommandLine(std::vector<std::string> const& words) : words_(words) {
@@ -40,17 +40,17 @@
   s.need_addresses("seed-control", 1);
 }
 
-/** A number that a template gives as text; `standard` if it gives none. */
+/** A number that is set as text, as the platform's templates do; `standard` if the text is not a number. */
 inline std::uint64_t number_of(Settings const& s, std::string const& name, std::uint64_t const standard) {
   std::string const text = s.text(name);
   if (text.empty() || text.size() > 9 || text.find_first_not_of("0123456789") != std::string::npos) return standard;
   return std::stoull(text);
 }
 
-/** The port at which stores listen. */
+/** The port of the stores. */
 inline std::uint16_t store_port(Settings const& s) { return static_cast<std::uint16_t>(number_of(s, "store-port", 0)); }
 
-/** The seeds' addresses for other processes: their machines, at the port that all registries share. */
+/** The seeds' addresses for traffic between processes: their hosts with the port that all registries use. */
 inline std::vector<Address> seed_peers(Settings const& s) {
   std::vector<Address> peers;
   std::string const port = ":" + s.text("peer-port");
@@ -58,7 +58,7 @@
   return peers;
 }
 
-/** How often zones' registries and nodes speak: quicker to come back than the product's own fleet needs. */
+/** The timing of zone feeds: rejoins and warm-ups are quicker than in the stand-alone fleet. */
 inline FeedTiming mesh_timing() {
   FeedTiming t;
   t.join_every = 600ms;
@@ -68,7 +68,7 @@
   return t;
 }
 
-/** The times of key leases that follow from the bounds. */
+/** The key lease timing that follows from the bounds. */
 inline KeySettings key_settings(TimingBounds const& bounds) {
   KeySettings k;
   k.hold_limit = bounds.hold_limit;
@@ -77,20 +77,20 @@
   return k;
 }
 
-/** How long a process told to go may take: a little less than it is given. */
+/** How long a process may take to shut down: a little less than the platform's grace period. */
 inline Duration leave_patience(TimingBounds const& bounds) {
   constexpr Duration left_of_grace = 600ms;
   return bounds.shutdown_grace - left_of_grace;
 }
 
-/** Reads the settings again. Whether the system starts for the first time matters at a start only. */
+/** Reloads the settings. `initial-start` matters at the start only, so a change of it needs no restart. */
 template <class Define>
 void reload_mesh_settings(Settings& s, Define define, CommandLine& line) {
   Process::reload(s, define, line.count(), line.words(),
                   [](std::string const& name, Settings const&) { return name == "initial-start"; });
 }
 
-/** Logs why a start failed; the exit code. */
+/** Logs why a start failed and returns the exit code. */
 inline int start_failed(Error const& m) {
   log_warn("start_failed", {{"step", m.step}, {"peer", m.peer}, {"reason", m.reason}});
   return 1;
--- a/source/programs/process.hpp
+++ b/source/programs/process.hpp
@@ -1,5 +1,5 @@
-// What every program shares: the pool of one thread, the signals, and a main
-// that only sets up and waits.
+// Set-up shared by all programs: the thread pool of one thread, signal handling,
+// and a main thread that only starts things and waits.
 #pragma once
 
 #include "programs/settings.hpp"
@@ -10,7 +10,7 @@
 
 namespace banktide {
 
-/** Keeps SIGHUP pending until `until_told_to_go` handles it: by default it would end a process that is starting. */
+/** Keeps SIGHUP pending until `until_told_to_go` handles it: its default action would end a process that starts. */
 inline void block_hang_up() {
   sigset_t hang_up;
   sigemptyset(&hang_up);
@@ -18,8 +18,8 @@
   pthread_sigmask(SIG_BLOCK, &hang_up, nullptr);
 }
 
-#ifndef __SANITIZE_ADDRESS__  // which can't be called into before it has started
-// Before the constructors of any library, so that only the loader's own time is left.
+#ifndef __SANITIZE_ADDRESS__  // the sanitizer's runtime can't be called before it is initialised
+// Runs before any library's constructors, so that SIGHUP is unblocked only while the loader runs.
 __attribute__((section(".preinit_array"), used)) static void (*const block_hang_up_first)() = block_hang_up;
 #endif
 
@@ -30,7 +30,7 @@
     start_pool();
   }
 
-  // Runs a set-up step on the pool's thread and waits for it.
+  // Runs a set-up step on the pool's thread and waits for its result.
   template <class F>
   auto on_thread(F f) {
     std::promise<decltype(f())> p;
@@ -38,8 +38,8 @@
     return p.get_future().get();
   }
 
-  // On SIGHUP: reads the settings again, takes up what `apply` knows of, and
-  // names the rest. Settings with an error change nothing.
+  // On SIGHUP: reloads the settings, applies those that `apply` handles, and logs
+  // the names of those that need a restart. If any setting is invalid, nothing changes.
   template <class Define, class Apply>
   static void reload(Settings& in_force, Define define, int const argc, char** const argv, Apply apply) {
     Settings fresh(in_force.program());
@@ -56,8 +56,8 @@
     log_info("reload", {{"taken", taken}, {"needs_restart", restart}});
   }
 
-  // Waits for SIGTERM or SIGINT; `leave` runs on the thread, then `idle` is
-  // asked until it says yes or the patience is over.
+  // Waits for SIGTERM or SIGINT, runs `leave` on the pool's thread, and then polls
+  // `idle` until it returns true or `patience` is over.
   template <class Leave, class Idle, class Reload>
   void until_told_to_go(Leave leave, Idle idle, Reload reload, Duration const patience) {
     asio::io_context& io = crossplat::threadpool::shared_instance().service();
--- a/source/programs/proxy.hpp
+++ b/source/programs/proxy.hpp
@@ -1,9 +1,9 @@
-// The node on every application machine. It takes its callers' calls, decides
-// for each whether it stays in the cell, crosses to another cell's gateway or
-// is dropped, carries it to the node beside the backend, and is that node for
-// its own backends. A gateway is a node that also takes calls from other cells
-// and passes them to local backends only, never further. Here its parts are put
-// together, and the platform's questions answered.
+// The proxy on every application machine. For each call of a local caller it
+// decides whether to route it within the zone, to send it to another zone's
+// gateway or to drop it; it forwards the call to the proxy beside the backend,
+// and runs the calls for its own backends. A gateway is a proxy that also takes
+// calls from other zones and passes them to backends of its own zone only, never
+// further. This class joins the parts and answers the platform's requests.
 #pragma once
 
 #include "coordination/carried_side.hpp"
@@ -39,7 +39,7 @@
     n_.left_at = n_.w.now();
     n_.touch();
   }
-  // Takes up what may change while it runs.
+  // Applies the settings that may change at run time.
   void tune(ProxySettings const& s) {
     n_.s.beat_expiry = s.beat_expiry;
     n_.s.backend_limit = s.backend_limit;
--- a/source/programs/proxy_main.cpp
+++ b/source/programs/proxy_main.cpp
@@ -1,4 +1,4 @@
-// banktide-proxy: the node on every application machine; a gateway by setting.
+// banktide-proxy: the proxy on every application machine; a setting makes it a gateway.
 #include "platform/platform_adapter.hpp"
 #include "platform/settings_file.hpp"
 #include "programs/mesh_programs.hpp"
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -1,8 +1,8 @@
-// A registry: the feed of its own zone, and of zones that have no registry alive
-// and fall to it; what it hears from and tells to the other registries; the
-// values of the registers as a majority vouches for them, handed on to all
-// nodes; and one vote on the leases of key slices. Everything here but the
-// register is memory.
+// A registry. It serves the feed of its own zone and of zones without a live
+// registry that fall to it, exchanges zone summaries with the other registries,
+// distributes the register values that a majority of the stores confirms to all
+// nodes, and has one vote on the leases of key slices. Only the register is
+// durable; all other state is in memory.
 #pragma once
 
 #include "coordination/lease_voter.hpp"
@@ -26,8 +26,8 @@
   std::string cell;
   Address address;
   std::vector<Address> seeds;
-  std::vector<Address> voters;   // empty: learnt from the stores
-  std::uint16_t store_port = 0;  // at which stores listen on the registries' machines
+  std::vector<Address> voters;   // empty: discovered from the stores
+  std::uint16_t store_port = 0;  // of the stores on the registries' machines
   FeedTiming timing{};
 };
 
@@ -72,11 +72,11 @@
   bool ready() const { return vouched() && warm() && !leaving_; }
   void leave() { leaving_ = true; }
   bool leaving() const { return leaving_; }
-  /// Its nodes had time to join it since it started.
+  /// Whether its nodes had time to join it since it started.
   bool warm() const { return w_.now() - started_ >= t_.warm_up; }
-  /// There is a recent reading of a majority.
+  /// Whether there is a recent reading that a majority confirmed.
   bool vouched() const { return reading_.newest() && w_.now() - *reading_.newest() < vouched_for; }
-  /// How long ago the question of the latest reading was asked; none: there was no reading.
+  /// The time since the request of the latest reading was sent; none before the first reading.
   std::optional<Duration> reading_age() const {
     if (!reading_.newest()) return std::nullopt;
     return w_.now() - *reading_.newest();
@@ -87,48 +87,48 @@
   Address const& address() const { return s_.address; }
   RegisterClient<W>& registers() { return register_; }
   Held const& held(Register const r) const { return held_.at(static_cast<std::size_t>(r)); }
-  /// Of the own zone.
+  /// The view of the own zone.
   CellView const& view() const { return own_feed_->view(); }
   Position position() const { return own_feed_->position(); }
   std::vector<RegistryEntry> const& directory() const { return directory_.entries(); }
-  /// The zones of which something is kept here.
+  /// The zones whose feeds are served here.
   std::vector<std::string> zones() const {
     std::vector<std::string> all;
     for (auto const& [zone, feed] : feeds_) all.push_back(zone);
     return all;
   }
-  /// All zones that a registry or an entry is known of.
+  /// All zones with a known registry or a known zone entry.
   std::set<std::string> zone_names() const {
     std::set<std::string> names{s_.cell};
     for (RegistryEntry const& e : directory_.entries()) names.insert(e.cell);
     for (auto const& [zone, entry] : view().cells) names.insert(zone);
     return names;
   }
-  /// What each zone offers, the own one among them.
+  /// The entries of all zones, the own zone included: what each offers to the others.
   std::vector<CellEntry> zone_entries() const {
     std::vector<CellEntry> all{own_feed_->entry()};
     for (auto const& [zone, entry] : view().cells) all.push_back(entry);
     return all;
   }
-  /// Of the registries heard of in the last moments, this has the lowest address.
+  /// Whether this registry has the lowest address of those heard from lately, and so acts for all of them.
   bool first_of_live_registries() const {
     std::vector<Address> const live = directory_.live(w_.now(), heard_lately);
     return !live.empty() && live.front() == s_.address;
   }
 
-  /// Takes up a value that a majority has accepted, and tells the nodes.
+  /// Applies a value that a majority has accepted and sends it to the nodes.
   void take(Register const r, Held const& h) {
     Held& mine = held_.at(static_cast<std::size_t>(r));
     if (h.revision <= mine.revision) return;
     remember_delta(r, mine, h);
     mine = h;
-    mine.requests.clear();  // only changes need them, which take them from the voters
-    // Written every few seconds of a window; its phases are logged where they are counted.
+    mine.requests.clear();  // only changes need the requests, and they read them from the voters
+    // The maintenance register is written every few seconds during a window; its phases are logged elsewhere.
     if (r != Register::maintenance)
       log_info("revision_known", {{"register", register_name(r)}, {"revision", std::to_string(h.revision)}});
     for (auto const& [zone, feed] : feeds_) send_down(*feed, r);
   }
-  /// The same, and tells the other registries.
+  /// As `take`, and sends the value to the other registries too.
   void announce(Register const r, Held const& h) {
     take(r, h);
     KeyDelta const* const delta = r == Register::keys ? key_deltas_.newest() : nullptr;
@@ -142,13 +142,13 @@
   void note(std::string const& what, Error const& m) { mishaps_.note(w_.now() - started_, what, m); }
   Mishaps const& mishaps() const { return mishaps_; }
 
-  // ---- the operators' door
+  // ---- operator interface
 
   Task<Verdict> propose(Proposal p) { return operators_.propose(std::move(p)); }
   Task<HttpReply> operate(HttpRequest q) { return operators_.operate(std::move(q)); }
   bool idle() const { return operators_.idle(); }
 
-  // Decisions of this cell's nodes, as far as they answer in time.
+  // The routing decisions of this zone's nodes, of those that answer in time.
   Task<DecisionsReply> decisions(DecisionsAsk q) {
     std::vector<Address> nodes;
     for (Member const& m : nodes_kept()) nodes.push_back(m.address);
@@ -165,7 +165,7 @@
     all.next.insert(more.next.begin(), more.next.end());
   }
 
-  // This cell as its registry sees it, with every node's own state.
+  // The state of this zone as its registry sees it, with each node's own state.
   Task<StateReply> state(StateAsk q) {
     Json j = {{"registry", s_.id},
               {"cell", s_.cell},
@@ -211,13 +211,13 @@
  private:
   static constexpr Duration vouched_for = 600ms;
   static constexpr Duration read_patience = 1s;
-  static constexpr Duration fresh_patience = 300ms;  // of a node that asks for a reading of its own
+  static constexpr Duration fresh_patience = 300ms;  // for a node that asks for a new reading
   static constexpr Duration heard_lately = 1500ms;
-  static constexpr Duration adopt_after = 1s;  // of this registry's start
+  static constexpr Duration adopt_after = 1s;  // counted from this registry's start
   static constexpr Duration meet_patience = 500ms;
-  static constexpr Duration quiet_reading = 150ms;  // for a majority to agree, before a round makes it
-  static constexpr Duration told_within = 60ms;     // by the writer of a table, of the answers of those who have it
-  // One-way messages may be this late.
+  static constexpr Duration quiet_reading = 150ms;  // for a majority to agree without a consensus round
+  static constexpr Duration told_within = 60ms;     // for the writer's update to arrive, after a majority has the table
+  // The longest delay of one-way messages that is allowed for.
   static constexpr Duration told_may_be_late = 3s;
   static constexpr std::uint64_t rounds_per_look_at_silent = 8;
 
@@ -226,7 +226,7 @@
     return RegisterClient<W>(w, StoreSeeds{stores_beside(s.seeds, s.store_port)});
   }
 
-  // ---- values of the registers
+  // ---- register values
 
   Task<Told> chosen(Chosen q) {
     if (static_cast<std::size_t>(q.reg) >= held_.size()) co_return Told{};
@@ -234,7 +234,7 @@
       take(q.reg, q.held);
       co_return Told{};
     }
-    // One that doesn't fit is no loss: the register is read in a moment.
+    // A delta that doesn't apply can be ignored: the next reading of the register brings the table.
     Result<Held> const next = apply_key_deltas(held(Register::keys), {*q.key_delta});
     if (next) take(Register::keys, *next);
     co_return Told{};
@@ -245,7 +245,7 @@
     if (r == Register::routing) routing_deltas_.add_or_clear(make_text_delta(before, after));
   }
 
-  // To a zone's nodes goes what has changed of a large value, where that is known.
+  // Large values are sent to a zone's nodes as deltas where the delta is known.
   void send_down(ZoneFeed<W>& feed, Register const r) {
     Held const& newest = held(r);
     KeyDelta const* const of_keys = key_deltas_.newest();
@@ -293,7 +293,7 @@
 
   Task<bool> read_all() {
     Instant const deadline = w_.now() + read_patience;
-    // Mostly nothing has changed, and one question tells that of all registers.
+    // Usually nothing has changed, and one request shows that for all registers.
     std::optional<Revisions> const newest = co_await register_.newest_revisions(deadline);
     bool all = true;
     for (Register const r : told_registers) {
@@ -316,8 +316,8 @@
     co_return h.has_value();
   }
 
-  // A table that was just written comes from the registry that wrote it, by what
-  // has changed; only if it doesn't come the whole is read.
+  // A newly written key table arrives as a delta from the registry that wrote it; the whole table is read only if
+  // that delta doesn't arrive in time.
   Task<bool> confirm_keys(Instant const deadline) {
     Result<ConfirmedRevision> const newest =
         co_await register_.confirm_revision(Register::keys, held(Register::keys).revision, deadline);
@@ -328,7 +328,7 @@
     co_return held(Register::keys).revision >= newest->revision;
   }
 
-  // Lease epochs go on from a number that the register has never given before.
+  // Lease epochs start from a round number of the register that was never issued before, so they never repeat.
   Task<void> find_floor() {
     while (!lease_.floored()) {
       Result<std::uint64_t> const round = co_await register_.rise(Register::routing, w_.now() + 2s);
@@ -352,7 +352,7 @@
     co_return reply;
   }
 
-  // Each on its own, so that one that hangs delays no news of the others.
+  // One task for each peer, so that a peer that hangs doesn't delay the others.
   Task<void> meet_one(Address const peer) {
     Instant const asked = w_.now();
     Meet const question{directory_.told(asked)};
@@ -384,7 +384,7 @@
       if (a != s_.address) w_.tell_raw(a, Q::kind, raw);
   }
 
-  // ---- what zones tell each other
+  // ---- zone entries exchanged between registries
 
   bool keeps(std::string const& zone) const { return directory_.registry_of(zone, w_.now()) == s_.address; }
 
@@ -413,7 +413,7 @@
     }
   }
 
-  // ---- feeds of zones
+  // ---- zone feeds
 
   std::shared_ptr<ZoneFeed<W>> make_feed(std::string const& zone) {
     FeedSettings settings{zone, s_.id, s_.address, t_};
@@ -447,7 +447,7 @@
       co_return reply;
     }
     std::shared_ptr<ZoneFeed<W>> feed = feed_of(zone);
-    // The zone's own registry may have started a moment later than this one.
+    // Right after this registry's start the zone's own registry may still be starting.
     if (!feed && w_.now() - started_ < adopt_after) co_return reply;
     if (!feed) {
       feed = make_feed(zone);
@@ -515,8 +515,8 @@
   Mishaps mishaps_;
   RegistryDirectory directory_;
   std::array<Held, register_count> held_;
-  DeltaHistory<KeyDelta> key_deltas_;       // up to the table held, if any
-  DeltaHistory<TextDelta> routing_deltas_;  // up to the configuration held, if any
+  DeltaHistory<KeyDelta> key_deltas_;       // up to the current key table, if any
+  DeltaHistory<TextDelta> routing_deltas_;  // up to the current configuration, if any
   bool leaving_ = false;
   std::shared_ptr<ZoneFeed<W>> own_feed_;
   std::map<std::string, std::shared_ptr<ZoneFeed<W>>> feeds_;
--- a/source/programs/registry_main.cpp
+++ b/source/programs/registry_main.cpp
@@ -1,4 +1,4 @@
-// banktide-registry: the control plane of a cell, and the door for operators.
+// banktide-registry: the control plane of a zone, with the operator interface.
 #include "platform/platform_adapter.hpp"
 #include "platform/settings_file.hpp"
 #include "programs/mesh_programs.hpp"
--- a/source/programs/settings.hpp
+++ b/source/programs/settings.hpp
@@ -1,5 +1,6 @@
-// Settings of a process: one JSON file and flags of the same names, flags win.
-// All errors are told at once. `--check` only checks.
+// Settings of a process: a JSON file and command-line flags of the same names;
+// flags take precedence. All errors are reported at once. `--check` only
+// validates.
 #pragma once
 
 #include "state/layout.hpp"
@@ -42,10 +43,10 @@
                            what.c_str());
   }
 
-  // Words without a flag belong to this list.
+  // Positional arguments are added to this list.
   void trailing(std::string const& name) { trailing_.add(name.c_str(), -1); }
 
-  // Reads; an exit code if the program should end now.
+  // Reads the settings; returns an exit code if the program should exit now.
   std::optional<int> read(int const argc, char const* const* const argv) {
     std::vector<std::string> errors = load(argc, argv);
     if (values_.count("help")) {
@@ -65,7 +66,7 @@
     return std::nullopt;
   }
 
-  // What differs from the settings that are in force, by name.
+  // The names of the settings that differ from `old`.
   std::vector<std::string> changed_from(Settings const& old) const {
     std::vector<std::string> names;
     for (auto const& o : options_.options())
@@ -74,7 +75,7 @@
     return names;
   }
 
-  // All errors at once; with --help or --version none matter.
+  // Returns all errors; with --help or --version errors are ignored.
   std::vector<std::string> load(int const argc, char const* const* const argv) {
     std::vector<std::string> errors;
     try {
--- a/source/programs/store_main.cpp
+++ b/source/programs/store_main.cpp
@@ -1,7 +1,7 @@
-// banktide-store: one voter of the register, on its own disk. It knows nothing
-// of HTTP; registries ask it over our frames. Its fellow voters are either a
-// fixed list (--voter), or found among the seeds and changed as stores come and
-// go (--seed-voter).
+// banktide-store: one voter of the register, with its own disk. It has no HTTP
+// interface; registries use the peer protocol. The set of voters is either a
+// fixed list (--voter), or discovered from the seeds and changed as stores join
+// and leave (--seed-voter).
 #include "coordination/membership.hpp"
 #include "platform/settings_file.hpp"
 #include "programs/mesh_settings.hpp"
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// How long a store that is told to go waits to be removed from the set of voters.
+/// How long a store that shuts down waits to be removed from the set of voters.
 constexpr Duration removal_patience = 2s;
 
 void define(Settings& s) {
