--- a/source/coordination/acceptor.hpp
+++ b/source/coordination/acceptor.hpp
@@ -32,14 +32,14 @@
   { d.keep(r) } -> std::same_as<Task<Result<bool>>>;
 };
 
-template <Surroundings W, Disk D>
+template <Environment Env, Disk D>
 class Acceptor {
  public:
   /// A voter of a fixed list: the set of epoch 0, for good.
-  Acceptor(W& w, D& d, std::vector<Address> voters, std::size_t const own)
-      : w_(w), disk_(d), fixed_(std::move(voters)), own_(fixed_.at(own)), turn_(w) {}
+  Acceptor(Env& env, D& d, std::vector<Address> voters, std::size_t const own)
+      : env_(env), disk_(d), fixed_(std::move(voters)), own_(fixed_.at(own)), turn_(env) {}
   /// A store whose set is on its disk, or is still to be founded or joined.
-  Acceptor(W& w, D& d, Address own) : w_(w), disk_(d), own_(std::move(own)), turn_(w) {}
+  Acceptor(Env& env, D& d, Address own) : env_(env), disk_(d), own_(std::move(own)), turn_(env) {}
 
   Result<bool> load() {
     Result<VoterRecord> r = disk_.load();
@@ -75,7 +75,7 @@
   Task<void> settle() {
     while (!voting()) {
       co_await settle_once();
-      if (!voting()) co_await sleep_for(w_, 200ms + std::chrono::milliseconds(w_.chance()() % 100));
+      if (!voting()) co_await sleep_for(env_, 200ms + std::chrono::milliseconds(env_.chance()() % 100));
     }
     log_info("voting", {{"founding", std::to_string(record_.founding)},
                         {"routing", std::to_string(slot(Register::routing).held.revision)},
@@ -87,7 +87,7 @@
     std::vector<Address> const others = other_voters(record_.set);
     Found question{Phase::blank, record_.founding};
     auto const replies =
-        co_await ask_all<Found>(w_, others, question, w_.now() + 1s, [](auto const&) { return false; });
+        co_await ask_all<Found>(env_, others, question, env_.now() + 1s, [](auto const&) { return false; });
     std::size_t heard = 0, voting = 0, same = 0;
     for (auto const& [i, r] : replies) {
       if (!r) continue;
@@ -114,7 +114,7 @@
 
   /// Names an empty disk, and keeps the set that is to be founded, if any.
   Task<bool> begin(VoterSet const founders) {
-    std::uint64_t const name = w_.chance()() | 1;
+    std::uint64_t const name = env_.chance()() | 1;
     co_return co_await change([&](VoterRecord& r) {
       if (r.disk != 0) return false;
       r.disk = name;
@@ -126,7 +126,7 @@
   /// Forgets everything: a store that was removed joins like a new one.
   Task<bool> start_afresh() {
     VoterRecord empty;
-    empty.disk = w_.chance()() | 1;
+    empty.disk = env_.chance()() | 1;
     co_return co_await change([&](VoterRecord& r) {
       r = empty;
       return true;
@@ -142,7 +142,7 @@
   Task<std::optional<VoterSet>> rejoin(VoterSet const set) {
     std::vector<Address> const others = other_voters(set);
     std::size_t const enough = recovery_quorum_of(set);
-    std::uint64_t const nonce = w_.chance()();
+    std::uint64_t const nonce = env_.chance()();
     VoterRecord next;
     next.founding = co_await agreed_founding(others, enough);
     if (next.founding == 0) co_return std::nullopt;
@@ -193,8 +193,8 @@
   }
 
   void disk_error(Error const& m) {
-    if (last_mishap_ && w_.now() - *last_mishap_ < log_interval) return;
-    last_mishap_ = w_.now();
+    if (last_mishap_ && env_.now() - *last_mishap_ < log_interval) return;
+    last_mishap_ = env_.now();
     log_warn("disk_error", {{"step", m.step}, {"reason", m.reason}});
   }
 
@@ -354,7 +354,7 @@
   }
 
   Task<void> found_all(std::vector<Address> others) {
-    std::uint64_t const id = w_.chance()() | 1;
+    std::uint64_t const id = env_.chance()() | 1;
     bool const began = co_await change([&](VoterRecord& r) {
       r.phase = Phase::prepared;
       r.founding = id;
@@ -363,7 +363,7 @@
     if (!began) co_return;
     Found const prepared{Phase::prepared, id}, open{Phase::voting, id};
     auto const replies =
-        co_await ask_all<Found>(w_, others, prepared, w_.now() + 2s, [](auto const&) { return false; });
+        co_await ask_all<Found>(env_, others, prepared, env_.now() + 2s, [](auto const&) { return false; });
     std::size_t ready = 0;
     for (auto const& [i, r] : replies) ready += r && r->phase == Phase::prepared && r->founding == id;
     if (ready != others.size()) co_return;
@@ -373,7 +373,7 @@
     });
     if (!opened) co_return;
     log_info("founded", {{"founding", std::to_string(id)}});
-    co_await ask_all<Found>(w_, others, open, w_.now() + 2s, [](auto const&) { return false; });
+    co_await ask_all<Found>(env_, others, open, env_.now() + 2s, [](auto const&) { return false; });
   }
 
   /// The founding that `enough` of these voters name; none: 0.
@@ -390,7 +390,7 @@
     };
     Found const question{};
     auto const replies =
-        co_await ask_all<Found>(w_, others, question, w_.now() + 1s,
+        co_await ask_all<Found>(env_, others, question, env_.now() + 1s,
                                 [enough, most_named](auto const& heard) { return most_named(heard).second >= enough; });
     std::pair<std::uint64_t, std::size_t> const most = most_named(replies);
     co_return most.second >= enough ? most.first : 0;
@@ -403,7 +403,7 @@
     Ballot ballot{set.epoch, 1, nonce};
     for (int attempt = 0; attempt < recovery_attempts; ++attempt) {
       Prepare const asked{reg, ballot};
-      auto const got = co_await ask_all<Prepare>(w_, others, asked, w_.now() + 1s, [enough](auto const& replies) {
+      auto const got = co_await ask_all<Prepare>(env_, others, asked, env_.now() + 1s, [enough](auto const& replies) {
         std::size_t n = 0;
         for (auto const& [i, r] : replies) n += r && r->voting && r->promised;
         return n >= enough || std::any_of(replies.begin(), replies.end(),
@@ -428,26 +428,27 @@
       }
       if (promised >= enough) {
         Accept const question{reg, ballot, held};
-        auto const taken = co_await ask_all<Accept>(w_, others, question, w_.now() + 1s, [enough](auto const& replies) {
-          std::size_t n = 0;
-          for (auto const& [i, r] : replies) n += r && r->accepted;
-          return n >= enough;
-        });
+        auto const taken =
+            co_await ask_all<Accept>(env_, others, question, env_.now() + 1s, [enough](auto const& replies) {
+              std::size_t n = 0;
+              for (auto const& [i, r] : replies) n += r && r->accepted;
+              return n >= enough;
+            });
         std::size_t accepted = 0;
         for (auto const& [i, r] : taken) accepted += r && r->accepted;
         if (accepted >= enough) co_return Slot{ballot, ballot, held};
       }
       ballot.round = top_round + 1;
-      co_await sleep_for(w_, std::chrono::milliseconds(5 + w_.chance()() % 50));
+      co_await sleep_for(env_, std::chrono::milliseconds(5 + env_.chance()() % 50));
     }
     co_return std::nullopt;
   }
 
-  W& w_;
+  Env& env_;
   D& disk_;
   std::vector<Address> const fixed_;
   Address const own_;
-  Turn<W> turn_;
+  Turn<Env> turn_;
   VoterRecord record_;
   std::uint64_t heard_epoch_ = 0;
   Address last_asker_;
--- a/source/coordination/backend_side.hpp
+++ b/source/coordination/backend_side.hpp
@@ -17,19 +17,20 @@
   { b.listens(port) } -> std::same_as<Task<bool>>;
 };
 
-template <Surroundings W, BackendEdge B>
+template <Environment Env, BackendEdge B>
 class BackendSide {
  public:
-  BackendSide(NodeState<W>& n, B& edge) : n_(n), w_(n.w), s_(n.s), edge_(edge), leases_(n.w), tick_(n.w.now()) {}
+  BackendSide(NodeState<Env>& n, B& edge)
+      : n_(n), env_(n.env), s_(n.s), edge_(edge), leases_(n.env), tick_(n.env.now()) {}
 
   void start(Dispatcher& dispatcher) {
     dispatcher.on<Drain>([this](Drain q) { return drain(std::move(q)); });
-    spawn(w_, keep_leases());
-    spawn(w_, keep_probing());
-    spawn(w_, keep_expiring());
+    spawn(env_, keep_leases());
+    spawn(env_, keep_probing());
+    spawn(env_, keep_expiring());
   }
 
-  SliceLeases<W> const& leases() const { return leases_; }
+  SliceLeases<Env> const& leases() const { return leases_; }
 
   static constexpr char const* beat_schema = R"({
     "type": "object", "additionalProperties": false, "required": ["service", "instance", "port"],
@@ -70,20 +71,20 @@
     if (standing != l.record.standing || port != l.record.port || burden / 4 != l.record.burden / 4) n_.touch();
     if (standing == Standing::leaving && l.record.standing != Standing::leaving) {
       l.record.standing = standing;
-      spawn(w_, spread_drain(l.record));
+      spawn(env_, spread_drain(l.record));
     }
     l.record.standing = standing;
     l.record.port = port;
     l.record.burden = burden;
     l.refused = false;
-    l.beaten = w_.now();
+    l.beaten = env_.now();
     return json_reply(200, {{"known", true}, {"cell", s_.cell}, {"node", s_.id}, {"in_flight", l.in_flight}});
   }
 
   // The part of the node beside the backend.
   Task<CarryReply> execute(Carry c) {
     notice_freeze();
-    Instant const now = w_.now();
+    Instant const now = env_.now();
     Instant const deadline = now + std::chrono::milliseconds(c.budget_ms);
     std::pair<std::string, std::string> const key{c.service, c.instance};
     Index const s = n_.rules->layout.service_names.find(c.service);
@@ -124,7 +125,7 @@
     }
     Result<HttpReply> reply = co_await edge_.run(port, std::move(q), deadline);
     bool const unknown = !reply && reply.error().proof == Proof::unknown;
-    if (c.keyed) leases_.done(slice, unknown ? deadline : w_.now());
+    if (c.keyed) leases_.done(slice, unknown ? deadline : env_.now());
     auto const after = n_.local.find(key);
     if (after != n_.local.end()) {
       if (after->second.in_flight > 0) --after->second.in_flight;
@@ -148,9 +149,9 @@
                      {"port", l.record.port},
                      {"burden", l.record.burden},
                      {"in_flight", l.in_flight},
-                     {"standing", l.refused                              ? "refusing"
-                                  : w_.now() - l.beaten > s_.beat_expiry ? "silent"
-                                                                         : standing_name(l.record.standing)}});
+                     {"standing", l.refused                                ? "refusing"
+                                  : env_.now() - l.beaten > s_.beat_expiry ? "silent"
+                                                                           : standing_name(l.record.standing)}});
     return all;
   }
 
@@ -161,7 +162,7 @@
                      {"mapping", slice.mapping},
                      {"slice", slice.slice},
                      {"wanted", l.wanted},
-                     {"ends_in_ms", as_ms(l.until - w_.now())},
+                     {"ends_in_ms", as_ms(l.until - env_.now())},
                      {"instance", l.instance},
                      {"epoch", l.epoch},
                      {"in_flight", l.in_flight}});
@@ -174,21 +175,21 @@
     std::pair<std::string, std::string> const key{b.service, b.instance};
     for (int i = 0; i < 60 && n_.local.contains(key) && !broken_on_purpose("drain_unheard"); ++i) {
       for (auto const& [id, m] : n_.view.members)
-        if (id != s_.id && m.role != Role::registry) tell(w_, m.address, Drain{b});
-      co_await sleep_for(w_, 250ms);
+        if (id != s_.id && m.role != Role::registry) tell(env_, m.address, Drain{b});
+      co_await sleep_for(env_, 250ms);
     }
   }
 
   Task<Told> drain(Drain q) {
-    if (n_.drained.size() < 4096) n_.drained[{q.backend.service, q.backend.instance}] = w_.now() + 10s;
+    if (n_.drained.size() < 4096) n_.drained[{q.backend.service, q.backend.instance}] = env_.now() + 10s;
     co_return Told{};
   }
 
   Task<void> keep_expiring() {
     while (true) {
-      co_await sleep_for(w_, 200ms);
-      expire(w_.now());
-      std::erase_if(n_.drained, [&](auto const& d) { return d.second < w_.now(); });
+      co_await sleep_for(env_, 200ms);
+      expire(env_.now());
+      std::erase_if(n_.drained, [&](auto const& d) { return d.second < env_.now(); });
     }
   }
 
@@ -212,18 +213,18 @@
   // Who was frozen knows nothing of what its backends' ports have become. Until
   // one beats again, and not with what lay unread meanwhile, nothing goes there.
   void notice_freeze() {
-    if (w_.now() - tick_ > frozen_from) woke_ = w_.now();
-    tick_ = w_.now();
+    if (env_.now() - tick_ > frozen_from) woke_ = env_.now();
+    tick_ = env_.now();
   }
 
   Task<void> keep_probing() {
     while (true) {
-      co_await sleep_for(w_, 100ms);
+      co_await sleep_for(env_, 100ms);
       notice_freeze();
       for (auto& [key, l] : n_.local) {
         if (l.refused || l.probing || broken_on_purpose("no_probe")) continue;
         l.probing = true;
-        spawn(w_, probe(key, l.record.port, l.beaten));
+        spawn(env_, probe(key, l.record.port, l.beaten));
       }
     }
   }
@@ -241,11 +242,11 @@
 
   Task<void> keep_leases() {
     while (true) {
-      co_await sleep_for(w_, 400ms);
+      co_await sleep_for(env_, 400ms);
       if (!n_.fresh) continue;
       std::map<Slice, std::string> wanted;
       std::shared_ptr<Rules const> const rules = n_.rules;
-      Instant const now = w_.now();
+      Instant const now = env_.now();
       for (Index s = 0; s < rules->layout.services.size() && !n_.leaving; ++s) {
         Service const& service = rules->layout.services[s];
         for (std::uint32_t slice = 0; slice < service.slices; ++slice) {
@@ -262,11 +263,11 @@
     }
   }
 
-  NodeState<W>& n_;
-  W& w_;
+  NodeState<Env>& n_;
+  Env& env_;
   ProxySettings& s_;
   B& edge_;
-  SliceLeases<W> leases_;
+  SliceLeases<Env> leases_;
   static constexpr Duration frozen_from = 300ms, settling = 100ms;
   Instant tick_, woke_{};
 };
--- a/source/coordination/caller_side.hpp
+++ b/source/coordination/caller_side.hpp
@@ -18,11 +18,11 @@
   std::string mark;
 };
 
-template <Surroundings W, BackendEdge B>
+template <Environment Env, BackendEdge B>
 class CallerSide {
  public:
-  CallerSide(NodeState<W>& n, BackendSide<W, B>& beside)
-      : n_(n), w_(n.w), s_(n.s), beside_(beside), journal_(n.s.id, n.life, n.s.decisions_kept) {}
+  CallerSide(NodeState<Env>& n, BackendSide<Env, B>& beside)
+      : n_(n), env_(n.env), s_(n.s), beside_(beside), journal_(n.s.id, n.life, n.s.decisions_kept) {}
 
   void start(Dispatcher& dispatcher) {
     dispatcher.on<DecisionsAsk>([this](DecisionsAsk q) -> Task<DecisionsReply> { co_return journal_.since(q); });
@@ -37,7 +37,7 @@
   Task<HttpReply> call(HttpRequest q) {
     std::uint64_t const id = ++last_call_;
     CallChart chart;
-    Instant const start = w_.now();
+    Instant const start = env_.now();
     std::shared_ptr<Rules const> const rules = n_.rules;
     if (!n_.ready())
       co_return dropped(chart, id, *rules, "", 503,
@@ -85,7 +85,7 @@
 
   std::optional<Target> pick_target(std::string const& service, bool const keyed, std::uint32_t const slice,
                                     Choice const& choice, std::set<std::string> const& tried, bool const may_cross) {
-    Instant const now = w_.now();
+    Instant const now = env_.now();
     std::vector<Target> targets, ejected;
     std::vector<Candidate> candidates;
     if (choice.stay && keyed) {
@@ -110,7 +110,7 @@
             Candidate{static_cast<double>(b.burden) + marks_.at(t.mark, now).in_flight, marks_.entry(t.mark, now)});
         targets.push_back(std::move(t));
       }
-      if (!targets.empty()) return targets[pick(candidates, w_.chance())];
+      if (!targets.empty()) return targets[pick(candidates, env_.chance())];
     }
     if (may_cross) {
       for (auto const& [name, cell] : n_.view.cells) {
@@ -131,15 +131,15 @@
           targets.push_back(std::move(t));
         }
       }
-      if (!targets.empty()) return targets[pick(candidates, w_.chance())];
+      if (!targets.empty()) return targets[pick(candidates, env_.chance())];
     }
     // All that is left are ejected ones: better one of them than nothing.
-    if (!ejected.empty() && tried.empty()) return ejected[w_.chance()() % ejected.size()];
+    if (!ejected.empty() && tried.empty()) return ejected[env_.chance()() % ejected.size()];
     return std::nullopt;
   }
 
   Task<CarryReply> carry_to(Target const& t, Carry const& c, Instant const deadline) {
-    ++marks_.at(t.mark, w_.now()).in_flight;
+    ++marks_.at(t.mark, env_.now()).in_flight;
     CarryReply r;
     if (t.node == s_.address && !t.instance.empty()) {
       r = co_await beside_.execute(c);
@@ -147,8 +147,8 @@
       Carry stamped = c;
       stamped.sender = n_.holder;
       stamped.from = s_.address;
-      stamped.sent_us = std::chrono::duration_cast<std::chrono::microseconds>(w_.now().time_since_epoch()).count();
-      Result<CarryReply> got = co_await ask(w_, t.node, std::move(stamped), deadline + 20ms);
+      stamped.sent_us = std::chrono::duration_cast<std::chrono::microseconds>(env_.now().time_since_epoch()).count();
+      Result<CarryReply> got = co_await ask(env_, t.node, std::move(stamped), deadline + 20ms);
       if (got) {
         r = std::move(*got);
       } else {
@@ -159,8 +159,8 @@
         spoil("n:" + t.node, got.error().step == "connect");
       }
     }
-    Instant const now = w_.now();
-    Mark& m = marks_.at(t.mark, now);
+    Instant const now = env_.now();
+    TargetHistory& m = marks_.at(t.mark, now);
     if (m.in_flight > 0) --m.in_flight;
     if (r.outcome == Outcome::answered) {
       marks_.fine(t.mark, now);
@@ -191,7 +191,7 @@
   void record(std::uint64_t const id, CallChart const& chart, char const* const decision, std::string const& service,
               Error const& m, Rules const& rules, Carry const* const c = nullptr, std::string const& cell = "") {
     CallEvent e;
-    e.at_ms = as_ms(w_.now() - n_.started);
+    e.at_ms = as_ms(env_.now() - n_.started);
     e.call = id;
     e.state = state_name(chart.state());
     e.decision = decision;
@@ -215,14 +215,14 @@
     for (int n = 0; n < 4; ++n) {
       chart.step(CallState::picking);
       std::optional<Target> const t = pick_target(carry.service, carry.keyed, carry.slice, choice, tried, true);
-      std::int64_t const left = as_ms(deadline - w_.now());
+      std::int64_t const left = as_ms(deadline - env_.now());
       if (!t || left <= 0) {
         if (t) last = Error{"pick", s_.cell, "deadline", Proof::not_run};
         break;
       }
       if (n == 0 || broken_on_purpose("no_budget")) {
-        budget_.first(w_.now());
-      } else if (!budget_.extra(w_.now())) {
+        budget_.first(env_.now());
+      } else if (!budget_.extra(env_.now())) {
         last.reason += "; retry budget spent";
         break;
       } else {
@@ -249,7 +249,7 @@
         record(id, chart, carry.crossed ? "cross" : "stay", carry.service,
                Error{"answer", t->node, std::to_string(r.reply.status), Proof::unknown}, rules, &carry, t->cell);
         r.reply.headers.push_back({"banktide-outcome", "answered"});
-        if (broken_on_purpose("swaps_answers") && w_.chance()() % 50 == 0) std::swap(r.reply.body, swapped_);
+        if (broken_on_purpose("swaps_answers") && env_.chance()() % 50 == 0) std::swap(r.reply.body, swapped_);
         co_return std::move(r.reply);
       }
       last = Error{r.step, r.peer.empty() ? t->node : r.peer, r.reason,
@@ -267,7 +267,7 @@
   }
 
   void spoil(std::string const& mark, bool const at_once) {
-    if (marks_.bad(mark, w_.now(), at_once)) log_info("ejected", {{"target", mark}});
+    if (marks_.bad(mark, env_.now(), at_once)) log_info("ejected", {{"target", mark}});
   }
 
   Target to_backend(BackendRecord const& b) const {
@@ -275,13 +275,13 @@
                   "b:" + b.service + "/" + b.instance};
   }
 
-  NodeState<W>& n_;
-  W& w_;
+  NodeState<Env>& n_;
+  Env& env_;
   ProxySettings& s_;
-  BackendSide<W, B>& beside_;
-  Marks marks_;
+  BackendSide<Env, B>& beside_;
+  TargetHistories marks_;
   RetryBudget budget_;
-  Decisions journal_;
+  DecisionLog journal_;
   std::string swapped_;
   std::uint64_t last_call_ = 0, extra_tries_ = 0;
   std::size_t calls_in_flight_ = 0;
--- a/source/coordination/carried_side.hpp
+++ b/source/coordination/carried_side.hpp
@@ -8,11 +8,11 @@
 
 namespace banktide {
 
-template <Surroundings W, BackendEdge B>
+template <Environment Env, BackendEdge B>
 class CarriedSide {
  public:
-  CarriedSide(NodeState<W>& n, BackendSide<W, B>& beside, CallerSide<W, B>& out)
-      : n_(n), w_(n.w), s_(n.s), beside_(beside), out_(out) {}
+  CarriedSide(NodeState<Env>& n, BackendSide<Env, B>& beside, CallerSide<Env, B>& out)
+      : n_(n), env_(n.env), s_(n.s), beside_(beside), out_(out) {}
 
   void start(Dispatcher& dispatcher) {
     dispatcher.on<Carry>([this](Carry q) { return carried(std::move(q)); });
@@ -24,22 +24,22 @@
  private:
   // After the news that this node leaves has had time to spread, calls carried
   // here by late knowers are dropped as not run, so that the node empties.
-  bool refusing() const { return n_.leaving && w_.now() - n_.left_at > 2s; }
+  bool refusing() const { return n_.leaving && env_.now() - n_.left_at > 2s; }
 
   std::int64_t clock_us() const {
-    return std::chrono::duration_cast<std::chrono::microseconds>(w_.now().time_since_epoch()).count();
+    return std::chrono::duration_cast<std::chrono::microseconds>(env_.now().time_since_epoch()).count();
   }
 
   // What the call lost on its way, in a frozen process or a held-up link; none
   // if its sender can't be asked, or is no longer the process that sent it.
   Task<std::optional<Duration>> late(Carry const& c) {
-    Instant const came = w_.now();
+    Instant const came = env_.now();
     std::optional<Duration> const known = transit_.late(c.sender, c.sent_us, came);
     if (known) co_return known;
     ClockAsk const question;
-    Result<ClockReply> const r = co_await ask(w_, c.from, question, came + 400ms);
+    Result<ClockReply> const r = co_await ask(env_, c.from, question, came + 400ms);
     if (!r || r->sender != c.sender) co_return std::nullopt;
-    co_return transit_.learn(c.sender, r->clock_us, came, w_.now(), c.sent_us, came) + (w_.now() - came);
+    co_return transit_.learn(c.sender, r->clock_us, came, env_.now(), c.sent_us, came) + (env_.now() - came);
   }
 
   Task<CarryReply> carried(Carry c) {
@@ -77,15 +77,15 @@
     std::optional<Target> const t = out_.pick_target(c.service, c.keyed, c.slice, choice, {}, false);
     if (!t) co_return not_run("pick", s_.cell, "no usable backend");
     c.instance = t->instance;
-    Instant const deadline = w_.now() + std::chrono::milliseconds(c.budget_ms);
+    Instant const deadline = env_.now() + std::chrono::milliseconds(c.budget_ms);
     co_return co_await out_.carry_to(*t, c, deadline);
   }
 
-  NodeState<W>& n_;
-  W& w_;
+  NodeState<Env>& n_;
+  Env& env_;
   ProxySettings& s_;
-  BackendSide<W, B>& beside_;
-  CallerSide<W, B>& out_;
+  BackendSide<Env, B>& beside_;
+  CallerSide<Env, B>& out_;
   Transit transit_;
   std::size_t carried_in_flight_ = 0;
 };
--- a/source/coordination/cell_follower.hpp
+++ b/source/coordination/cell_follower.hpp
@@ -6,10 +6,10 @@
 
 namespace banktide {
 
-template <Surroundings W>
+template <Environment Env>
 class CellFollower {
  public:
-  explicit CellFollower(NodeState<W>& n) : n_(n) {
+  explicit CellFollower(NodeState<Env>& n) : n_(n) {
     FollowerEvents events;
     events.backends = [this] { return backends(); };
     events.value = [this](Register, Held const&) { take_layouts(); };
@@ -27,7 +27,7 @@
   std::vector<BackendRecord> backends() const {
     std::vector<BackendRecord> all;
     for (auto const& [key, l] : n_.local) {
-      if (n_.w.now() - l.beaten > n_.s.beat_expiry || l.refused) continue;
+      if (n_.env.now() - l.beaten > n_.s.beat_expiry || l.refused) continue;
       all.push_back(l.record);
       all.back().burden = l.record.burden / burden_step * burden_step;
     }
@@ -75,10 +75,10 @@
     n_.rules = back ? former : next;
     log_info("in_force", {{"routing", std::to_string(next->routing)},
                           {"catalogue", std::to_string(next->catalogue_revision)},
-                          {"at_ms", std::to_string(as_ms(n_.w.now().time_since_epoch()))}});
+                          {"at_ms", std::to_string(as_ms(n_.env.now().time_since_epoch()))}});
   }
 
-  NodeState<W>& n_;
+  NodeState<Env>& n_;
   std::shared_ptr<Rules const> older_ = std::make_shared<Rules>();
   std::pair<Revision, Revision> taken_{0, 0};
 };
--- a/source/coordination/key_coordinator.hpp
+++ b/source/coordination/key_coordinator.hpp
@@ -13,17 +13,17 @@
 
 /// `Store` reads and changes the register: `read(Register, Held, Instant)` and
 /// `change(Register, std::string, Instant, step)`, as RegisterClient does.
-template <Surroundings W, class Store>
+template <Environment Env, class Store>
 class KeyCoordinator {
  public:
-  KeyCoordinator(W& w, Store& store, KeySettings settings, std::function<bool()> acting)
-      : w_(w), store_(store), planner_(settings), acting_(std::move(acting)), alarm_(w) {}
+  KeyCoordinator(Env& env, Store& store, KeySettings settings, std::function<bool()> acting)
+      : env_(env), store_(store), planner_(settings), acting_(std::move(acting)), alarm_(env) {}
 
   void attach(Dispatcher& dispatcher) {
     dispatcher.on<KeyReport>([this](KeyReport report) -> Task<KeyReportReply> {
       bool const news = !report.released.empty() || !report.ended.empty() || report.standing != KeyStanding::serving;
       newest_heard_ = std::max(newest_heard_, report.table);
-      planner_.on_report(w_.now(), std::move(report));
+      planner_.on_report(env_.now(), std::move(report));
       if (news && acting_()) alarm_.wake();
       KeyReportReply reply{planner_.table().revision};
       co_return reply;
@@ -39,8 +39,8 @@
 
   Task<void> run() {
     while (!stopped_) {
-      co_await alarm_.wait(w_.now() + step);
-      planner_.tick(w_.now());
+      co_await alarm_.wait(env_.now() + step);
+      planner_.tick(env_.now());
       if (!acting_()) {
         fresh_ = false;
         continue;
@@ -68,12 +68,12 @@
       return;
     }
     held_ = held;
-    planner_.on_table(w_.now(), std::move(*table));
+    planner_.on_table(env_.now(), std::move(*table));
     if (on_table) on_table(held_);
   }
 
   Task<void> refresh() {
-    Result<Held> const read = co_await store_.read(Register::keys, held_, w_.now() + register_patience);
+    Result<Held> const read = co_await store_.read(Register::keys, held_, env_.now() + register_patience);
     fresh_ = read.has_value();
     if (!read) {
       log_info("key_table_not_read", {{"reason", read.error().reason}});
@@ -84,7 +84,7 @@
 
   Task<void> act() {
     if (withheld_zones) planner_.withhold_zones(withheld_zones());
-    std::optional<KeyTable> const plan = planner_.plan(w_.now());
+    std::optional<KeyTable> const plan = planner_.plan(env_.now());
     if (!plan) co_return;
     Held next;
     next.revision = plan->revision;
@@ -96,8 +96,8 @@
       written.requests = newest.requests;
       return written;
     };
-    std::string const request = "keys-" + std::to_string(w_.chance()());
-    Result<Held> const done = co_await store_.change(Register::keys, request, w_.now() + register_patience, over);
+    std::string const request = "keys-" + std::to_string(env_.chance()());
+    Result<Held> const done = co_await store_.change(Register::keys, request, env_.now() + register_patience, over);
     if (done) {
       take(*done);
     } else {
@@ -106,11 +106,11 @@
     }
   }
 
-  W& w_;
+  Env& env_;
   Store& store_;
   KeyPlanner planner_;
   std::function<bool()> acting_;
-  typename W::Alarm alarm_;
+  typename Env::Alarm alarm_;
   Held held_;
   Revision newest_heard_ = 0;
   bool fresh_ = false;
--- a/source/coordination/lease_voter.hpp
+++ b/source/coordination/lease_voter.hpp
@@ -17,16 +17,16 @@
 // The holder stops this much earlier, as clocks differ in speed.
 inline constexpr Duration lease_margin = 200ms;
 
-template <Clock W>
+template <Clock Env>
 class LeaseVoter {
  public:
-  explicit LeaseVoter(W& w) : w_(w), from_(w.now() + lease_term) {}
+  explicit LeaseVoter(Env& env) : env_(env), from_(env.now() + lease_term) {}
 
   void set_floor(std::uint64_t const epoch) { floor_ = epoch; }
   bool floored() const { return floor_ > 0; }
 
   LeaseReply ask(LeaseAsk const& q) {
-    Instant const now = w_.now();
+    Instant const now = env_.now();
     LeaseReply reply;
     for (SliceClaim const& c : q.release) {
       auto const it = grants_.find(c.slice);
@@ -81,7 +81,7 @@
     return top;
   }
 
-  W& w_;
+  Env& env_;
   Instant const from_;
   std::uint64_t floor_ = 0;
   std::map<Slice, Grant> grants_;
--- a/source/coordination/maintenance_keeper.hpp
+++ b/source/coordination/maintenance_keeper.hpp
@@ -15,25 +15,25 @@
 using MaintenanceEdit = std::function<Result<bool>(MaintenancePlan&)>;
 
 /** `Store` changes the register, as RegisterClient does. */
-template <Surroundings W, class Store>
+template <Environment Env, class Store>
 class MaintenanceKeeper {
  public:
-  MaintenanceKeeper(W& w, Store& store, std::function<bool()> acting)
-      : w_(w), store_(store), acting_(std::move(acting)) {}
+  MaintenanceKeeper(Env& env, Store& store, std::function<bool()> acting)
+      : env_(env), store_(store), acting_(std::move(acting)) {}
 
   /** The newest value that the registry knows. */
   std::function<Held()> known;
   /** Called with each value that was written here. */
   std::function<void(Held const&)> on_written;
 
-  MaintenancePlan plan() const { return view_.at(w_.now()); }
+  MaintenancePlan plan() const { return view_.at(env_.now()); }
 
   Task<void> run() {
     while (true) {
-      co_await sleep_for(w_, step_every);
-      if (known) view_.take(known(), w_.now());
+      co_await sleep_for(env_, step_every);
+      if (known) view_.take(known(), env_.now());
       if (acting_() && due()) co_await write_count();
-      view_.log_phases(w_.now());
+      view_.log_phases(env_.now());
     }
   }
 
@@ -43,7 +43,7 @@
     auto const over_newest = [&](Held const& newest) -> Result<Held> {
       Result<MaintenancePlan> plan = unpack_maintenance(newest.bytes);
       if (!plan) return tl::unexpected<Error>(plan.error());
-      counted_at = w_.now();
+      counted_at = env_.now();
       // A newer value than ours was counted down by another registry a moment ago.
       if (newest.revision == view_.revision()) plan->advance(counted_at - view_.counted_at());
       Result<bool> const changed = edit(*plan);
@@ -51,7 +51,7 @@
       return *changed ? next_value(newest, *plan) : newest;
     };
     Result<Held> const done =
-        co_await store_.change(Register::maintenance, "", w_.now() + register_patience, over_newest);
+        co_await store_.change(Register::maintenance, "", env_.now() + register_patience, over_newest);
     if (!done) co_return tl::unexpected<Error>(done.error());
     take_written(*done, counted_at);
     co_return plan();
@@ -64,20 +64,21 @@
 
   bool due() const {
     if (!view_.written().current()) return false;
-    Duration const elapsed = w_.now() - view_.counted_at();
+    Duration const elapsed = env_.now() - view_.counted_at();
     MaintenancePlan plan = view_.written();
     return plan.advance(elapsed) || elapsed >= write_every;
   }
 
   Task<void> write_count() {
     Revision const revision = view_.revision();
-    Instant const counted_at = w_.now();
+    Instant const counted_at = env_.now();
     MaintenancePlan const plan = view_.at(counted_at);
     auto const over_own = [&](Held const& newest) -> Result<Held> {
       if (newest.revision != revision) return make_error("maintenance", "", "another change came first");
       return next_value(newest, plan);
     };
-    Result<Held> const done = co_await store_.change(Register::maintenance, "", w_.now() + register_patience, over_own);
+    Result<Held> const done =
+        co_await store_.change(Register::maintenance, "", env_.now() + register_patience, over_own);
     if (done) take_written(*done, counted_at);
   }
 
@@ -91,11 +92,11 @@
 
   void take_written(Held const& held, Instant const counted_at) {
     view_.take(held, counted_at);
-    view_.log_phases(w_.now());
+    view_.log_phases(env_.now());
     if (on_written) on_written(held);
   }
 
-  W& w_;
+  Env& env_;
   Store& store_;
   std::function<bool()> const acting_;
   MaintenanceView view_;
--- a/source/coordination/membership.hpp
+++ b/source/coordination/membership.hpp
@@ -24,15 +24,15 @@
   Duration remove_after = 6s;  // of silence
 };
 
-template <Surroundings W, Disk D>
+template <Environment Env, Disk D>
 class Membership {
  public:
-  Membership(W& w, Acceptor<W, D>& acceptor, MembershipSettings settings)
-      : w_(w),
+  Membership(Env& env, Acceptor<Env, D>& acceptor, MembershipSettings settings)
+      : env_(env),
         acceptor_(acceptor),
         settings_(std::move(settings)),
-        client_(w, StoreSeeds{settings_.seeds}),
-        change_(w, client_) {
+        client_(env, StoreSeeds{settings_.seeds}),
+        change_(env, client_) {
     if (acceptor_.phase() == Phase::voting) client_.follow(acceptor_.set());
   }
 
@@ -55,9 +55,9 @@
         log_info("voting", {{"epoch", std::to_string(acceptor_.set().epoch)},
                             {"voters", std::to_string(acceptor_.set().voters.size())}});
       }
-      Duration const jitter = std::chrono::milliseconds(w_.chance()() % 50);
+      Duration const jitter = std::chrono::milliseconds(env_.chance()() % 50);
       Duration const pause = acceptor_.voting() ? tick_interval : join_interval;
-      co_await sleep_for(w_, pause + jitter);
+      co_await sleep_for(env_, pause + jitter);
     }
   }
 
@@ -65,11 +65,11 @@
   /// losses with a voter that is gone. It votes until then.
   Task<void> leave(Duration const patience) {
     leaving_ = true;
-    Instant const deadline = w_.now() + patience;
-    while (w_.now() < deadline && acceptor_.voting() && better_without_leaver(acceptor_.set())) {
+    Instant const deadline = env_.now() + patience;
+    while (env_.now() < deadline && acceptor_.voting() && better_without_leaver(acceptor_.set())) {
       bool const removed = co_await ask_to_be_removed(deadline);
       if (removed) break;
-      co_await sleep_for(w_, join_interval);
+      co_await sleep_for(env_, join_interval);
     }
     left_ = true;
   }
@@ -125,7 +125,7 @@
   Task<bool> find_newest() {
     if (acceptor_.phase() == Phase::voting) client_.follow(acceptor_.set());
     if (!acceptor_.last_asker().empty()) client_.learn({acceptor_.last_asker()});
-    co_return co_await client_.discover(w_.now() + look_patience, true);
+    co_return co_await client_.discover(env_.now() + look_patience, true);
   }
 
   Task<void> ask_to_be_added(VoterSet const set) {
@@ -139,7 +139,7 @@
     AddVoter question;
     question.entry = VoterEntry{acceptor_.own(), acceptor_.disk_name()};
     Address const peer = one_of(active);
-    Result<SetReply> const reply = co_await ask<AddVoter>(w_, peer, question, w_.now() + change_patience);
+    Result<SetReply> const reply = co_await ask<AddVoter>(env_, peer, question, env_.now() + change_patience);
     if (!reply) co_return;
     client_.follow(reply->set);
     if (reply->done) log_info("added", {{"epoch", std::to_string(reply->set.epoch)}, {"by", peer}});
@@ -153,7 +153,7 @@
     RemoveVoter question;
     question.address = acceptor_.own();
     Address const peer = one_of(others);
-    Result<SetReply> const reply = co_await ask<RemoveVoter>(w_, peer, question, deadline);
+    Result<SetReply> const reply = co_await ask<RemoveVoter>(env_, peer, question, deadline);
     if (reply && reply->done) log_info("removed_itself", {{"epoch", std::to_string(reply->set.epoch)}, {"by", peer}});
     co_return reply && reply->done;
   }
@@ -165,7 +165,7 @@
     auto const votes_in_it = [&set](Result<VotersReply> const& r) { return r && r->active && r->set == set; };
     VotersAsk const question{};
     auto const replies =
-        co_await ask_all<VotersAsk>(w_, voters, question, w_.now() + look_patience, [&](auto const& heard) {
+        co_await ask_all<VotersAsk>(env_, voters, question, env_.now() + look_patience, [&](auto const& heard) {
           std::size_t n = 0;
           for (auto const& [at, r] : heard) n += votes_in_it(r);
           return n >= needed;
@@ -178,7 +178,7 @@
     co_return active;
   }
 
-  Address one_of(std::vector<Address> const& peers) { return peers[w_.chance()() % peers.size()]; }
+  Address one_of(std::vector<Address> const& peers) { return peers[env_.chance()() % peers.size()]; }
 
   // ---- changes that others ask for
 
@@ -198,7 +198,7 @@
   // While it isn't sure that a voter which doesn't answer is gone, there is none: the
   // newcomer asks again in a moment. To be added beside it, the set would bear less.
   std::optional<VoterSet> set_for_newcomer(VoterSet const& now, VoterEntry const& newcomer) const {
-    if (!last_look_over_ || w_.now() - *last_look_over_ > look_holds_for) return std::nullopt;
+    if (!last_look_over_ || env_.now() - *last_look_over_ > look_holds_for) return std::nullopt;
     std::optional<Address> const silent = watch_.most_silent();
     if (!silent) return set_with(now, newcomer);
     if (watch_.missed(*silent) < missed_looks_of_the_silent) return std::nullopt;
@@ -247,8 +247,8 @@
   // The newest set that any of them tells.
   Task<VoterSet> look_at_others() {
     VoterSet newest = acceptor_.set();
-    if (last_look_ && w_.now() - *last_look_ < least_look_interval) co_return newest;
-    last_look_ = w_.now();
+    if (last_look_ && env_.now() - *last_look_ < least_look_interval) co_return newest;
+    last_look_ = env_.now();
     VoterSet const now = newest;
     std::vector<Address> watched = addresses_of(now);
     std::erase(watched, acceptor_.own());
@@ -257,8 +257,8 @@
     if (!acceptor_.last_asker().empty() && entry_of(now, acceptor_.last_asker()) == nullptr)
       peers.push_back(acceptor_.last_asker());
     VotersAsk const question{acceptor_.own()};
-    auto const replies =
-        co_await ask_all<VotersAsk>(w_, peers, question, w_.now() + look_patience, [](auto const&) { return false; });
+    auto const replies = co_await ask_all<VotersAsk>(env_, peers, question, env_.now() + look_patience,
+                                                     [](auto const&) { return false; });
     std::vector<bool> answered(watched.size(), false);
     std::size_t voting = acceptor_.voting() ? 1 : 0;
     for (auto const& [at, r] : replies) {
@@ -268,7 +268,7 @@
       if (r->member && r->set.epoch > newest.epoch) newest = r->set;
     }
     watch_.note(watched, answered);
-    last_look_over_ = w_.now();
+    last_look_over_ = env_.now();
     tell_health(health_of(now, voting));
     co_return newest;
   }
@@ -289,11 +289,11 @@
                {{"epoch", epoch}, {"voters", voters}, {"voting", voting}, {"losses_to_bear", losses}});
   }
 
-  W& w_;
-  Acceptor<W, D>& acceptor_;
+  Env& env_;
+  Acceptor<Env, D>& acceptor_;
   MembershipSettings const settings_;
-  RegisterClient<W> client_;
-  VoterSetChange<W> change_;
+  RegisterClient<Env> client_;
+  VoterSetChange<Env> change_;
   VoterWatch watch_;
   VoterSetHealth health_;
   std::optional<Instant> last_look_, last_look_over_;
--- a/source/coordination/node_state.hpp
+++ b/source/coordination/node_state.hpp
@@ -39,16 +39,16 @@
   bool probing = false;
 };
 
-template <Surroundings W>
+template <Environment Env>
 class NodeState {
  public:
-  NodeState(W& world, ProxySettings settings)
-      : w(world),
+  NodeState(Env& world, ProxySettings settings)
+      : env(world),
         s(std::move(settings)),
-        life(w.chance()()),
+        life(env.chance()()),
         holder(s.id + "#" + std::to_string(life)),
-        started(w.now()),
-        zone(w, FollowerSettings{s.id, s.cell, s.address, s.gateway, s.seeds, FeedTiming{}}) {}
+        started(env.now()),
+        zone(env, FollowerSettings{s.id, s.cell, s.address, s.gateway, s.seeds, FeedTiming{}}) {}
 
   bool ready() const { return fresh && viewed && !leaving; }
 
@@ -67,7 +67,7 @@
 
   Choice choose(Rules const& rules, Index const service, std::uint32_t const slice) const {
     return choose_cells(rules.layout, rules.catalogue, s.cell, service, slice,
-                        [&] { return offering(rules.layout.services[service].name, w.now()); });
+                        [&] { return offering(rules.layout.services[service].name, env.now()); });
   }
 
   bool fit(BackendRecord const& b, Instant const now) const {
@@ -111,14 +111,14 @@
       zone.touch();
   }
 
-  void note(std::string const& what, Error const& m) { mishaps.note(w.now() - started, what, m); }
+  void note(std::string const& what, Error const& m) { mishaps.note(env.now() - started, what, m); }
 
-  W& w;
+  Env& env;
   ProxySettings s;
   std::uint64_t const life;
   std::string const holder;
   Instant const started;
-  ZoneFollower<W> zone;
+  ZoneFollower<Env> zone;
   CellView const& view = zone.view();
   std::shared_ptr<Rules const> rules = std::make_shared<Rules>();
   std::map<std::pair<std::string, std::string>, Local> local;
--- a/source/coordination/register_client.hpp
+++ b/source/coordination/register_client.hpp
@@ -48,14 +48,14 @@
   Instant asked{};
 };
 
-template <Surroundings W>
+template <Environment Env>
 class RegisterClient {
  public:
   /// Of a fixed list of voters: epoch 0, for good.
-  RegisterClient(W& w, std::vector<Address> voters)
-      : w_(w), set_(first_set(voters, 0)), set_known_(true), nonce_(w.chance()()) {}
+  RegisterClient(Env& env, std::vector<Address> voters)
+      : env_(env), set_(first_set(voters, 0)), set_known_(true), nonce_(env.chance()()) {}
   /// Learns the voters from the stores named here and by `learn`.
-  RegisterClient(W& w, StoreSeeds seeds) : w_(w), nonce_(w.chance()()) { learn(std::move(seeds.addresses)); }
+  RegisterClient(Env& env, StoreSeeds seeds) : env_(env), nonce_(env.chance()()) { learn(std::move(seeds.addresses)); }
 
   /// Further stores to ask for the set of voters.
   void learn(std::vector<Address> const& stores) {
@@ -82,13 +82,12 @@
     for (VoterEntry const& e : set_.voters)
       if (std::find(peers.begin(), peers.end(), e.address) == peers.end()) peers.push_back(e.address);
     VotersAsk const question{};
-    auto const replies = co_await ask_all<VotersAsk>(w_, peers, question, std::min(deadline, w_.now() + round_patience),
-                                                     [first_will_do](auto const& heard) {
-                                                       bool told = false;
-                                                       for (auto const& [at, r] : heard)
-                                                         told = told || (r && r->member);
-                                                       return first_will_do && told;
-                                                     });
+    auto const replies = co_await ask_all<VotersAsk>(
+        env_, peers, question, std::min(deadline, env_.now() + round_patience), [first_will_do](auto const& heard) {
+          bool told = false;
+          for (auto const& [at, r] : heard) told = told || (r && r->member);
+          return first_will_do && told;
+        });
     for (auto const& [i, r] : replies)
       if (r && r->member) follow(r->set);
     co_return set_known_;
@@ -102,8 +101,8 @@
                             std::uint64_t* const round = nullptr) {
     bool offered = false;
     std::string last = "no majority";
-    for (std::uint64_t attempt = 0; w_.now() < deadline; ++attempt) {
-      if (attempt > 0) co_await sleep_for(w_, pause_before(attempt));
+    for (std::uint64_t attempt = 0; env_.now() < deadline; ++attempt) {
+      if (attempt > 0) co_await sleep_for(env_, pause_before(attempt));
       bool const known = co_await find_voters(attempt, deadline);
       if (!known) {
         last = "no voter has told the set of voters";
@@ -114,7 +113,7 @@
       Ballot const ballot{set_.epoch, ++round_, nonce_};
       Prepare const first{reg, ballot};
       auto const prepared = co_await ask_all<Prepare>(
-          w_, voters, first, std::min(deadline, w_.now() + round_patience), [needed](auto const& replies) {
+          env_, voters, first, std::min(deadline, env_.now() + round_patience), [needed](auto const& replies) {
             return count(replies, &PrepareReply::promised) >= needed || newer_told(replies);
           });
       follow_newer(prepared);
@@ -149,7 +148,7 @@
       offered = true;
       Accept const second{reg, ballot, held};
       auto const accepted = co_await ask_all<Accept>(
-          w_, voters, second, std::min(deadline, w_.now() + round_patience), [needed](auto const& replies) {
+          env_, voters, second, std::min(deadline, env_.now() + round_patience), [needed](auto const& replies) {
             return count(replies, &AcceptReply::accepted) >= needed || newer_told(replies);
           });
       follow_newer(accepted);
@@ -182,7 +181,7 @@
     std::size_t const needed = quorum_of(set_);
     PeekRevisions const question{set_.epoch};
     auto const replies = co_await ask_all<PeekRevisions>(
-        w_, addresses_of(set_), question, std::min(deadline, w_.now() + round_patience),
+        env_, addresses_of(set_), question, std::min(deadline, env_.now() + round_patience),
         [needed](auto const& heard) { return voting(heard) >= needed || newer_told(heard); });
     follow_newer(replies);
     if (voting(replies) < needed) co_return std::nullopt;
@@ -198,10 +197,10 @@
   /// until the deadline. Each change must have a greater revision than the one
   /// before, as `known` is taken to be current if the revision is the same.
   Task<Result<Confirmed>> confirm(Register const reg, Held const known, Instant const deadline) {
-    for (std::uint64_t attempt = 0; w_.now() < deadline; ++attempt) {
+    for (std::uint64_t attempt = 0; env_.now() < deadline; ++attempt) {
       bool const ready = co_await ready_to_ask(attempt, deadline);
       if (!ready) continue;
-      Instant const asked = w_.now();
+      Instant const asked = env_.now();
       std::optional<Held> agreed = co_await peek(reg, known, deadline);
       if (!agreed) continue;
       Confirmed out;
@@ -215,10 +214,10 @@
   /// The same for those who get the value by other ways: it doesn't travel. `have`
   /// is the revision of the chosen value that the caller knows.
   Task<Result<ConfirmedRevision>> confirm_revision(Register const reg, Revision const have, Instant const deadline) {
-    for (std::uint64_t attempt = 0; w_.now() < deadline; ++attempt) {
+    for (std::uint64_t attempt = 0; env_.now() < deadline; ++attempt) {
       bool const ready = co_await ready_to_ask(attempt, deadline);
       if (!ready) continue;
-      Instant const asked = w_.now();
+      Instant const asked = env_.now();
       std::optional<Reading> const reading = co_await read_revision(reg, have, deadline);
       if (reading) co_return ConfirmedRevision{reading->agreed ? reading->agreed->revision : reading->bound, asked};
     }
@@ -232,7 +231,7 @@
     if (ready) {
       Peek const question{reg, std::numeric_limits<Revision>::max(), set_.epoch};
       auto const replies =
-          co_await ask_all<Peek>(w_, addresses_of(set_), question, std::min(deadline, w_.now() + round_patience),
+          co_await ask_all<Peek>(env_, addresses_of(set_), question, std::min(deadline, env_.now() + round_patience),
                                  [](auto const&) { return false; });
       follow_newer(replies);
       for (auto const& [i, r] : replies) {
@@ -287,14 +286,14 @@
   }
 
   Task<bool> ready_to_ask(std::uint64_t const attempt, Instant const deadline) {
-    if (attempt > 0) co_await sleep_for(w_, pause_before(attempt));
+    if (attempt > 0) co_await sleep_for(env_, pause_before(attempt));
     co_return co_await find_voters(attempt, deadline);
   }
   // Pauses double: many clients that ask again at once would keep the voters too busy
   // to complete the very round that they wait for.
   Duration pause_before(std::uint64_t const attempt) {
     std::uint64_t const longest = first_pause_ms << std::min(attempt, pause_doublings);
-    return std::chrono::milliseconds(2 + w_.chance()() % longest);
+    return std::chrono::milliseconds(2 + env_.chance()() % longest);
   }
   tl::unexpected<Error> not_confirmed(Register const reg) const {
     return make_error("confirm", register_name(reg), set_known_ ? "no majority agrees" : "no voters known",
@@ -325,7 +324,7 @@
     std::size_t const needed = quorum_of(set_);
     Peek const question{reg, known.revision, epoch};
     auto const replies = co_await ask_all<Peek>(
-        w_, addresses_of(set_), question, std::min(deadline, w_.now() + round_patience),
+        env_, addresses_of(set_), question, std::min(deadline, env_.now() + round_patience),
         [epoch, needed, &known](auto const& r) {
           return agreeing(r, epoch).second >= needed || none_newer(r, needed, known.revision) || newer_told(r);
         });
@@ -346,7 +345,7 @@
     std::vector<Address> const voters = addresses_of(set_);
     Peek const question{reg, 0, epoch, false};
     auto const replies = co_await ask_all<Peek>(
-        w_, voters, question, std::min(deadline, w_.now() + round_patience), [epoch, needed, have](auto const& r) {
+        env_, voters, question, std::min(deadline, env_.now() + round_patience), [epoch, needed, have](auto const& r) {
           return agreeing(r, epoch).second >= needed || none_newer(r, needed, have) || newer_told(r);
         });
     follow_newer(replies);
@@ -376,7 +375,7 @@
     if (agreed->revision <= known.revision) co_return known;
     for (Address const& voter : agreed->voters) {
       Peek const question{reg, known.revision, epoch};
-      Result<PeekReply> const r = co_await ask(w_, voter, question, std::min(deadline, w_.now() + fetch_patience));
+      Result<PeekReply> const r = co_await ask(env_, voter, question, std::min(deadline, env_.now() + fetch_patience));
       if (r && r->voting && r->accepted == agreed->accepted) co_return r->held;
     }
     co_return std::nullopt;
@@ -412,7 +411,7 @@
     return best;
   }
 
-  W& w_;
+  Env& env_;
   VoterSet set_;
   bool set_known_ = false;
   std::vector<Address> contacts_;
--- a/source/coordination/ring_places.hpp
+++ b/source/coordination/ring_places.hpp
@@ -16,9 +16,9 @@
 
   /// To be called before the others; costs nothing if no member came or went.
   void follow(CellView const& view) {
-    if (known_ && seen_ == view.membership()) return;
+    if (known_ && seen_ == view.membership_version()) return;
     known_ = true;
-    seen_ = view.membership();
+    seen_ = view.membership_version();
     std::vector<std::string> all, fit, others;
     for (auto const& [id, m] : view.members) {
       all.push_back(id);
--- a/source/coordination/slice_leases.hpp
+++ b/source/coordination/slice_leases.hpp
@@ -11,10 +11,10 @@
 
 namespace banktide {
 
-template <Surroundings W>
+template <Environment Env>
 class SliceLeases {
  public:
-  explicit SliceLeases(W& w) : w_(w) {}
+  explicit SliceLeases(Env& env) : env_(env) {}
 
   struct Lease {
     std::string instance;
@@ -52,7 +52,7 @@
   // it should not and has emptied.
   Task<void> round(std::string const holder, std::map<Slice, std::string> const wanted,
                    std::vector<Address> const registries, std::size_t const majority) {
-    Instant const start = w_.now();
+    Instant const start = env_.now();
     LeaseAsk q;
     q.holder = holder;
     for (auto it = held_.begin(); it != held_.end();) {
@@ -82,7 +82,7 @@
     }
     if (q.want.empty() && q.release.empty()) co_return;
     auto const replies =
-        co_await ask_all<LeaseAsk>(w_, registries, q, start + 600ms, [](auto const&) { return false; });
+        co_await ask_all<LeaseAsk>(env_, registries, q, start + 600ms, [](auto const&) { return false; });
     LeaseAsk undo;
     undo.holder = holder;
     for (std::size_t i = 0; i < q.want.size(); ++i) {
@@ -109,13 +109,13 @@
       }
     }
     if (!undo.release.empty())
-      for (Address const& r : registries) tell(w_, r, undo);
+      for (Address const& r : registries) tell(env_, r, undo);
   }
 
   std::map<Slice, Lease> const& held() const { return held_; }
 
  private:
-  W& w_;
+  Env& env_;
   std::map<Slice, Lease> held_;
   std::map<Slice, std::uint64_t> seen_epochs_;
 };
--- a/source/coordination/voter_set_change.hpp
+++ b/source/coordination/voter_set_change.hpp
@@ -23,10 +23,10 @@
 
 namespace banktide {
 
-template <Surroundings W>
+template <Environment Env>
 class VoterSetChange {
  public:
-  VoterSetChange(W& w, RegisterClient<W>& client) : w_(w), client_(client) {}
+  VoterSetChange(Env& env, RegisterClient<Env>& client) : env_(env), client_(client) {}
 
   /// Changes the set from `now` to `next`, unless another change was decided first:
   /// then that one is completed. Does nothing while a change is driven here.
@@ -48,14 +48,14 @@
     if (!next) co_return;
     std::size_t const needed = quorum_of(set);
     auto const replies =
-        co_await ask_all<Activate>(w_, addresses_of(set), *next, w_.now() + step_patience,
+        co_await ask_all<Activate>(env_, addresses_of(set), *next, env_.now() + step_patience,
                                    [needed](auto const& heard) { return count_active(heard) >= needed; });
     follow_newer(replies);
     if (count_active(replies) < needed) co_return;
     client_.follow(set);
     for (Register const reg : kept_registers) {
       Held const none{};
-      co_await client_.read(reg, none, w_.now() + step_patience);
+      co_await client_.read(reg, none, env_.now() + step_patience);
     }
   }
 
@@ -65,7 +65,7 @@
 
   Task<Result<VoterSet>> decide(VoterSet const now, VoterSet const next) {
     Result<Held> const held =
-        co_await client_.change(Register::voters, "", w_.now() + decide_patience, [&](Held const& h) -> Result<Held> {
+        co_await client_.change(Register::voters, "", env_.now() + decide_patience, [&](Held const& h) -> Result<Held> {
           if (client_.set().epoch != now.epoch) return make_error("decide_set", "", "the set has changed meanwhile");
           bool const decided = h.revision > now.epoch;  // only ever written again
           if (decided || next == now) return h;
@@ -95,7 +95,7 @@
       return sealed >= needed;
     };
     Seal const question{set};
-    auto const replies = co_await ask_all<Seal>(w_, peers, question, w_.now() + step_patience, enough);
+    auto const replies = co_await ask_all<Seal>(env_, peers, question, env_.now() + step_patience, enough);
     follow_newer(replies);
     if (!enough(replies)) co_return std::nullopt;
     Activate next;
@@ -120,8 +120,8 @@
     return n;
   }
 
-  W& w_;
-  RegisterClient<W>& client_;
+  Env& env_;
+  RegisterClient<Env>& client_;
   bool running_ = false;
 };
 
--- a/source/coordination/zone_feed.hpp
+++ b/source/coordination/zone_feed.hpp
@@ -27,19 +27,19 @@
 };
 
 // Always made by make_shared: news on their way keep it.
-template <Surroundings W>
-class ZoneFeed : public std::enable_shared_from_this<ZoneFeed<W>> {
+template <Environment Env>
+class ZoneFeed : public std::enable_shared_from_this<ZoneFeed<Env>> {
  public:
-  ZoneFeed(W& w, FeedSettings settings, FeedSources sources)
-      : w_(w),
+  ZoneFeed(Env& env, FeedSettings settings, FeedSources sources)
+      : env_(env),
         s_(std::move(settings)),
         t_(s_.timing),
         sources_(std::move(sources)),
-        epoch_(w.chance()() | 1),
-        started_(w.now()),
-        watched_at_(w.now()),
-        warm_at_(w.now() + t_.warm_up),
-        last_node_at_(w.now()),
+        epoch_(env.chance()() | 1),
+        started_(env.now()),
+        watched_at_(env.now()),
+        warm_at_(env.now() + t_.warm_up),
+        last_node_at_(env.now()),
         places_(s_.registry_id) {
     Member const self{s_.registry_id, s_.zone, s_.registry_address, Role::registry, 1, Standing::fit};
     journal_and_fold(Change{0, self, std::nullopt, std::nullopt});
@@ -50,11 +50,11 @@
   std::uint64_t epoch() const { return epoch_; }
   Position position() const { return Position{epoch_, journal_.last()}; }
   /// Nodes had time to join, so that what is known here may be told.
-  bool warm() const { return w_.now() >= warm_at_; }
+  bool warm() const { return env_.now() >= warm_at_; }
   bool has_nodes() const { return nodes_ > 0; }
   bool had_nodes() const { return had_nodes_; }
   /// How long there has been no node.
-  Duration empty_for() const { return has_nodes() ? Duration::zero() : w_.now() - last_node_at_; }
+  Duration empty_for() const { return has_nodes() ? Duration::zero() : env_.now() - last_node_at_; }
 
   // ---- what members say
 
@@ -69,8 +69,8 @@
       return reply;
     }
     if (!has_nodes()) begin_warm_up();
-    heard_[q.self.id] = w_.now();
-    joined_[q.self.id] = w_.now();
+    heard_[q.self.id] = env_.now();
+    joined_[q.self.id] = env_.now();
     if (it == view_.members.end() || !(it->second == q.self)) {
       log_info("member", {{"id", q.self.id},
                           {"zone", s_.zone},
@@ -99,7 +99,7 @@
     return reply;
   }
 
-  void beat(Beat const& q) { heard_[q.id] = w_.now(); }
+  void beat(Beat const& q) { heard_[q.id] = env_.now(); }
 
   void suspect(Suspect const& q) {
     auto const it = view_.members.find(q.id);
@@ -108,7 +108,7 @@
       return;
     Member m = it->second;
     m.standing = Standing::suspected;
-    suspected_[m.id] = w_.now();
+    suspected_[m.id] = env_.now();
     log_info("member", {{"id", m.id}, {"zone", s_.zone}, {"standing", "suspected"}, {"by", q.by}});
     publish_member(m);
   }
@@ -154,7 +154,7 @@
   /// To be called every `beat_every`: beats to the registry's own watchers, and
   /// looks for members that are silent.
   void watch() {
-    Instant const now = w_.now();
+    Instant const now = env_.now();
     bool const overslept = now - watched_at_ > 4 * t_.beat_every;  // we were frozen: nobody else was silent
     watched_at_ = now;
     places_.follow(view_);
@@ -223,8 +223,8 @@
   // Nodes that come to a feed that has none come one after the other: from their
   // start, or from another registry that has kept them until now.
   void begin_warm_up() {
-    bool const moved = w_.now() - started_ > t_.warm_up;
-    warm_at_ = std::max(warm_at_, w_.now() + (moved ? t_.moved_warm_up : t_.warm_up));
+    bool const moved = env_.now() - started_ > t_.warm_up;
+    warm_at_ = std::max(warm_at_, env_.now() + (moved ? t_.moved_warm_up : t_.warm_up));
     unsent_.clear();
   }
 
@@ -267,24 +267,24 @@
     for (auto const& [id, m] : view_.members) nodes_ += m.role != Role::registry;
     if (nodes_ == 0) return;
     had_nodes_ = true;
-    last_node_at_ = w_.now();
+    last_node_at_ = env_.now();
   }
 
   // Loads change all the time, and a message for each would be most of what a node hears.
   enum class Urgency : std::uint8_t { at_once, with_next_pulse };
 
   void publish(Change c, Urgency const urgency) {
-    if (has_nodes()) last_node_at_ = w_.now();
+    if (has_nodes()) last_node_at_ = env_.now();
     journal_and_fold(std::move(c));
     if (urgency == Urgency::with_next_pulse || unsent_.empty() || flushing_) return;
     flushing_ = true;
-    spawn(w_, flush_soon(this->shared_from_this()));
+    spawn(env_, flush_soon(this->shared_from_this()));
   }
   void publish_member(Member const& m) { publish(Change{0, m, std::nullopt, std::nullopt}, Urgency::at_once); }
 
   // Changes of one moment go in one piece of news.
   static Task<void> flush_soon(std::shared_ptr<ZoneFeed> const feed) {
-    co_await sleep_for(feed->w_, flush_after);
+    co_await sleep_for(feed->env_, flush_after);
     feed->flushing_ = false;
     if (!feed->unsent_.empty()) feed->send_down(feed->next_news());
   }
@@ -306,7 +306,7 @@
     if (!warm() || !has_nodes()) return;
     places_.follow(view_);
     SharedBytes const raw = pack_shared(n);
-    for (std::string const& id : places_.first_relays()) w_.tell_raw(view_.members.at(id).address, News::kind, raw);
+    for (std::string const& id : places_.first_relays()) env_.tell_raw(view_.members.at(id).address, News::kind, raw);
   }
 
   // ---- watching
@@ -316,13 +316,13 @@
     Position const at = warm() ? told_ : Position{};
     SharedBytes const raw =
         pack_shared(Beat{s_.registry_id, s_.registry_address, 1, at, s_.zone, sources_.revisions()});
-    for (std::string const& id : places_.watchers()) w_.tell_raw(view_.members.at(id).address, Beat::kind, raw);
+    for (std::string const& id : places_.watchers()) env_.tell_raw(view_.members.at(id).address, Beat::kind, raw);
   }
 
   // When the member was last heard, as far as silence counts against it: one
   // that isn't watched here, or while we were frozen, isn't silent.
   Instant take_silence(std::string const& id, bool const watched, bool const overslept) {
-    Instant const now = w_.now();
+    Instant const now = env_.now();
     Instant& heard = heard_.try_emplace(id, watched ? now : Instant{}).first->second;
     if (overslept) heard = now;
     if (!watched) heard = std::max(heard, now - t_.suspect_after / 2);
@@ -330,7 +330,7 @@
   }
 
   bool is_dead(Member const& m, bool const watched) const {
-    Instant const now = w_.now();
+    Instant const now = env_.now();
     if (m.standing == Standing::suspected) return now - suspected_.at(m.id) > t_.dead_after;
     if (m.standing != Standing::leaving) return false;
     if (watched && now - heard_.at(m.id) > t_.suspect_after) return true;
@@ -347,7 +347,7 @@
     joined_.erase(m.id);
   }
 
-  W& w_;
+  Env& env_;
   FeedSettings const s_;
   FeedTiming const& t_;
   FeedSources const sources_;
--- a/source/coordination/zone_follower.hpp
+++ b/source/coordination/zone_follower.hpp
@@ -39,20 +39,20 @@
   std::function<void()> status_changed;
 };
 
-template <Surroundings W>
+template <Environment Env>
 class ZoneFollower {
  public:
-  ZoneFollower(W& w, FollowerSettings settings, FollowerEvents events = {})
-      : w_(w),
+  ZoneFollower(Env& env, FollowerSettings settings, FollowerEvents events = {})
+      : env_(env),
         s_(std::move(settings)),
         t_(s_.timing),
         events_(std::move(events)),
         directory_(s_.seeds),
         places_(s_.id),
-        join_alarm_(w),
-        fresh_alarm_(w),
-        started_(w.now()),
-        last_contact_(w.now()) {}
+        join_alarm_(env),
+        fresh_alarm_(env),
+        started_(env.now()),
+        last_contact_(env.now()) {}
 
   /// Takes the place of the events given at first; before `start`.
   void set_events(FollowerEvents events) { events_ = std::move(events); }
@@ -62,17 +62,17 @@
     dispatcher.on<News>([this](News q) { return news(std::move(q)); });
     dispatcher.on<Follow>([this](Follow q) { return follow(q); });
     dispatcher.on<Beat>([this](Beat q) { return beaten(std::move(q)); });
-    spawn(w_, keep_meeting());
-    spawn(w_, keep_joined());
-    spawn(w_, keep_fresh());
-    spawn(w_, keep_beating());
+    spawn(env_, keep_meeting());
+    spawn(env_, keep_joined());
+    spawn(env_, keep_fresh());
+    spawn(env_, keep_beating());
   }
 
   ZoneView const& view() const { return view_; }
   std::vector<RegistryEntry> const& directory() const { return directory_.entries(); }
   /// Registries that were heard of lately.
-  std::vector<Address> live_registries() const { return directory_.live(w_.now()); }
-  Address own_registry() const { return directory_.registry_of(s_.zone, w_.now()); }
+  std::vector<Address> live_registries() const { return directory_.live(env_.now()); }
+  Address own_registry() const { return directory_.registry_of(s_.zone, env_.now()); }
   /// How many registries there are, as they say themselves.
   std::uint32_t cores() const { return cores_; }
   Held const& held(Register const r) const { return values_.of(r); }
@@ -83,7 +83,7 @@
   Position at() const { return at_; }
   std::uint64_t incarnation() const { return incarnation_; }
   /// How long ago any registry or member was last heard.
-  Duration since_contact() const { return w_.now() - last_contact_; }
+  Duration since_contact() const { return env_.now() - last_contact_; }
 
   /// Takes up a chosen value that the owner has from elsewhere.
   void take(Register const r, Held const& held) { take_values({{r, held}}); }
@@ -91,14 +91,14 @@
   /// a moment ago: the own one, again for a while as it may be about to learn of it,
   /// then another. True if the table is here then, also by news.
   Task<bool> fetch_keys(Revision const wanted) {
-    Instant const own_until = w_.now() + own_keys_patience;
-    while (w_.now() < own_until && keys().revision < wanted && !own_registry().empty()) {
+    Instant const own_until = env_.now() + own_keys_patience;
+    while (env_.now() < own_until && keys().revision < wanted && !own_registry().empty()) {
       co_await ask_for_keys(own_registry(), own_until);
-      if (keys().revision < wanted) co_await sleep_for(w_, ask_keys_again);
+      if (keys().revision < wanted) co_await sleep_for(env_, ask_keys_again);
     }
     std::vector<Address> const others = live_others(own_registry());
     if (keys().revision < wanted && !others.empty())
-      co_await ask_for_keys(others[w_.chance()() % others.size()], w_.now() + other_keys_patience);
+      co_await ask_for_keys(others[env_.chance()() % others.size()], env_.now() + other_keys_patience);
     co_return keys().revision >= wanted;
   }
 
@@ -126,8 +126,8 @@
   // ---- what is heard
 
   void heard(Address const& registry) {
-    last_contact_ = w_.now();
-    directory_.heard(registry, w_.now());
+    last_contact_ = env_.now();
+    directory_.heard(registry, env_.now());
   }
   void status_changed() {
     if (events_.status_changed) events_.status_changed();
@@ -139,21 +139,21 @@
   // ---- the registries
 
   Task<MeetReply> meet(Meet q) {
-    directory_.learn_names(q.registries, w_.now());
+    directory_.learn_names(q.registries, env_.now());
     status_changed();
     MeetReply reply;
-    reply.registries = directory_.told(w_.now());
+    reply.registries = directory_.told(env_.now());
     reply.cores = cores_;
     co_return reply;
   }
 
   Task<void> meet_one(Address const peer) {
-    Instant const asked = w_.now();
+    Instant const asked = env_.now();
     Meet const question{directory_.told(asked)};
-    Result<MeetReply> const r = co_await ask(w_, peer, question, asked + meet_patience);
+    Result<MeetReply> const r = co_await ask(env_, peer, question, asked + meet_patience);
     if (!r) co_return;
     heard(peer);
-    directory_.learn_answer(r->registries, asked, w_.now());
+    directory_.learn_answer(r->registries, asked, env_.now());
     cores_ = std::max(cores_, r->cores);
     status_changed();
   }
@@ -163,7 +163,7 @@
     std::vector<Address> peers = s_.seeds;
     std::vector<RegistryEntry> const& known = directory_.entries();
     if (known.empty()) return peers;
-    Address const& other = known[w_.chance()() % known.size()].address;
+    Address const& other = known[env_.chance()() % known.size()].address;
     if (std::find(peers.begin(), peers.end(), other) == peers.end()) peers.push_back(other);
     return peers;
   }
@@ -171,11 +171,11 @@
   Task<void> keep_meeting() {
     while (true) {
       std::vector<Address> const peers = peers_to_meet();
-      for (Address const& peer : peers) spawn(w_, meet_one(peer));
-      directory_.forget_silent(w_.now());
-      bool const young = w_.now() - started_ < meet_often_for;
+      for (Address const& peer : peers) spawn(env_, meet_one(peer));
+      directory_.forget_silent(env_.now());
+      bool const young = env_.now() - started_ < meet_often_for;
       bool const settled = !young && !own_registry().empty() && directory_.entries().size() >= 2;
-      co_await sleep_for(w_, settled ? t_.node_meet_every : Duration(200ms));
+      co_await sleep_for(env_, settled ? t_.node_meet_every : Duration(200ms));
     }
   }
 
@@ -191,23 +191,23 @@
   Task<void> keep_joined() {
     Instant last{};
     while (true) {
-      bool const due = dirty_ || w_.now() - last >= t_.join_every;
-      if (!due) co_await join_alarm_.wait(std::min(w_.now() + 250ms, last + t_.join_every));
-      if (!dirty_ && w_.now() - last < t_.join_every) continue;
+      bool const due = dirty_ || env_.now() - last >= t_.join_every;
+      if (!due) co_await join_alarm_.wait(std::min(env_.now() + 250ms, last + t_.join_every));
+      if (!dirty_ && env_.now() - last < t_.join_every) continue;
       Address const registry = own_registry();
       if (registry.empty()) {
-        co_await sleep_for(w_, 100ms);
+        co_await sleep_for(env_, 100ms);
         continue;
       }
       dirty_ = false;
-      last = w_.now();
+      last = env_.now();
       Join const q = join_question();
-      Result<JoinReply> const r = co_await ask(w_, registry, q, w_.now() + 800ms);
+      Result<JoinReply> const r = co_await ask(env_, registry, q, env_.now() + 800ms);
       if (r) take_join_reply(q, *r, registry);
       bool const refutes = r && r->incarnation > q.self.incarnation;
       bool const not_yet = r && !r->taken && !refutes;
       if (not_yet) dirty_ = true;
-      co_await sleep_for(w_, r && !not_yet ? Duration(10ms) : Duration(150ms));
+      co_await sleep_for(env_, r && !not_yet ? Duration(10ms) : Duration(150ms));
     }
   }
 
@@ -218,8 +218,8 @@
       incarnation_ = r.incarnation;
       dirty_ = true;
     }
-    if (r.taken || r.registry.empty() || directory_.alive(r.registry, w_.now())) return;
-    directory_.heard(RegistryEntry{r.registry_zone, r.registry}, w_.now());
+    if (r.taken || r.registry.empty() || directory_.alive(r.registry, env_.now())) return;
+    directory_.heard(RegistryEntry{r.registry_zone, r.registry}, env_.now());
     status_changed();
     if (own_registry() != registry) dirty_ = true;
   }
@@ -245,7 +245,7 @@
 
   // What is to be passed on goes first: reading a value takes long on a small machine, on each level of the tree.
   Task<Told> news(News q) {
-    last_contact_ = w_.now();
+    last_contact_ = env_.now();
     bool const current = is_current(q);
     if (current) pass_on(q);
     take_values(std::move(q.layouts));
@@ -261,11 +261,11 @@
   bool is_current(News const& q) {
     Address const own = own_registry();
     if (!own.empty() && q.root != own) return false;
-    directory_.heard(q.root, w_.now() - news_may_be_late);
+    directory_.heard(q.root, env_.now() - news_may_be_late);
     if (q.at.epoch == pulse_epoch_ && q.pulse <= pulse_) return false;
     pulse_epoch_ = q.at.epoch;
     pulse_ = q.pulse;
-    if (q.vouched) vouched_ = w_.now();
+    if (q.vouched) vouched_ = env_.now();
     return true;
   }
 
@@ -274,7 +274,7 @@
     std::vector<std::string> const below = places_.relays();
     if (below.empty()) return;
     SharedBytes const raw = pack_shared(q);
-    for (std::string const& id : below) w_.tell_raw(view_.members.at(id).address, News::kind, raw);
+    for (std::string const& id : below) env_.tell_raw(view_.members.at(id).address, News::kind, raw);
   }
 
   void fold(Position const at, std::vector<Change> const& changes) {
@@ -306,7 +306,7 @@
   Task<Followed> catch_up_view(Address const from) {
     if (from.empty()) co_return Followed::no_answer;
     Follow const question{at_, s_.zone};
-    Result<FollowReply> const r = co_await ask(w_, from, question, w_.now() + 250ms);
+    Result<FollowReply> const r = co_await ask(env_, from, question, env_.now() + 250ms);
     if (!r) co_return Followed::no_answer;
     heard(from);
     if (!r->known) co_return Followed::not_kept_there;
@@ -331,10 +331,10 @@
   // The newest values that a quorum vouches for: from the registry named, if it answers and vouches for its own, else
   // from others. False if nobody vouched.
   Task<bool> catch_up_values(Address const first) {
-    if (!first.empty() && co_await ask_for_values(first, w_.now() + values_patience())) co_return true;
+    if (!first.empty() && co_await ask_for_values(first, env_.now() + values_patience())) co_return true;
     if (broken_on_purpose("own_registry_only")) co_return false;
     std::vector<Address> others = live_others(first);
-    std::shuffle(others.begin(), others.end(), w_.chance());
+    std::shuffle(others.begin(), others.end(), env_.chance());
     std::size_t const few = std::min(asked_at_first, others.size());
     std::vector<Address> const rest(others.begin() + static_cast<std::ptrdiff_t>(few), others.end());
     others.resize(few);
@@ -349,10 +349,10 @@
     LayoutsAsk question = values_.question();
     question.fresh = !fresh_;
     question.revisions_only = true;
-    Instant const asked = w_.now();
+    Instant const asked = env_.now();
     auto const vouches = [](auto const& reply) { return reply.second && reply.second->known; };
     auto const one_vouches = [vouches](auto const& replies) { return vouches(replies.back()); };
-    auto const replies = co_await ask_all<LayoutsAsk>(w_, from, question, asked + values_patience(), one_vouches);
+    auto const replies = co_await ask_all<LayoutsAsk>(env_, from, question, asked + values_patience(), one_vouches);
     for (auto const& [i, r] : replies)
       if (r) heard(from[i]);
     auto const vouching = std::find_if(replies.begin(), replies.end(), vouches);
@@ -363,14 +363,14 @@
       co_return true;
     }
     Address const newest = from[vouching->first];
-    co_return co_await ask_for_values(newest, w_.now() + values_patience());
+    co_return co_await ask_for_values(newest, env_.now() + values_patience());
   }
 
   // Takes whatever newer values that registry has. Whether it vouches for them.
   Task<bool> ask_for_values(Address const from, Instant const deadline) {
     LayoutsAsk question = values_.question();
     question.fresh = !fresh_;
-    Instant const asked = w_.now();
+    Instant const asked = env_.now();
     std::optional<LayoutsReply> const reply = co_await ask_registry(from, question, deadline);
     if (reply && reply->known) take_vouched_reply(*reply, asked);
     co_return reply && reply->known;
@@ -384,7 +384,7 @@
   // What one registry has is chosen even if it can't vouch that it's the newest.
   Task<std::optional<LayoutsReply>> ask_registry(Address const from, LayoutsAsk const question,
                                                  Instant const deadline) {
-    Result<LayoutsReply> const r = co_await ask(w_, from, question, deadline);
+    Result<LayoutsReply> const r = co_await ask(env_, from, question, deadline);
     if (!r) co_return std::nullopt;
     heard(from);
     take_values(r->newer);
@@ -394,7 +394,7 @@
 
   // The reply was made after the question was sent, and its reading was begun at most its age before that.
   void take_vouched_reply(LayoutsReply const& reply, Instant const asked) {
-    vouched_ = w_.now();
+    vouched_ = env_.now();
     bool const here = held(Register::routing).revision >= reply.revisions[static_cast<std::size_t>(Register::routing)];
     if (here && events_.routing_confirmed)
       events_.routing_confirmed(asked - std::chrono::milliseconds(reply.reading_age_ms));
@@ -405,7 +405,7 @@
 
   // Registries of any zone that were heard lately, or all that are known if none was.
   std::vector<Address> live_others(Address const& but) const {
-    std::vector<Address> all = directory_.live(w_.now());
+    std::vector<Address> all = directory_.live(env_.now());
     if (all.empty())
       for (RegistryEntry const& e : directory_.entries()) all.push_back(e.address);
     std::erase(all, but);
@@ -417,8 +417,8 @@
   // them too: the one way in which zones lean on each other's control planes.
   Task<void> keep_fresh() {
     while (true) {
-      if (!is_behind_) co_await fresh_alarm_.wait(w_.now() + t_.pulse_every);
-      bool const unvouched = w_.now() - vouched_ > t_.pulse_missed;
+      if (!is_behind_) co_await fresh_alarm_.wait(env_.now() + t_.pulse_every);
+      bool const unvouched = env_.now() - vouched_ > t_.pulse_missed;
       if (!is_behind_ && !unvouched && fresh_ && viewed_) continue;
       is_behind_ = false;
       Address const own = own_registry();
@@ -427,10 +427,10 @@
       bool const values = co_await catch_up_values(first);
       bool const followed = view == Followed::followed;
       std::vector<Address> const others = live_others(own);
-      if (!followed && !viewed_ && !others.empty() && w_.now() - started_ > 3s)
-        co_await borrow_view(others[w_.chance()() % others.size()]);
+      if (!followed && !viewed_ && !others.empty() && env_.now() - started_ > 3s)
+        co_await borrow_view(others[env_.chance()() % others.size()]);
       if (values) ask_pause_ = shortest_ask_pause;
-      co_await sleep_for(w_, followed && values ? Duration(20ms) : jittered(ask_pause_));
+      co_await sleep_for(env_, followed && values ? Duration(20ms) : jittered(ask_pause_));
       if (!values) ask_pause_ = std::min(2 * ask_pause_, longest_ask_pause);
     }
   }
@@ -439,7 +439,7 @@
   // still cross by what another zone's registry knows.
   Task<void> borrow_view(Address const from) {
     Follow const question{};
-    Result<FollowReply> const r = co_await ask(w_, from, question, w_.now() + 400ms);
+    Result<FollowReply> const r = co_await ask(env_, from, question, env_.now() + 400ms);
     if (!r || !r->known || !r->snapshot || viewed_) co_return;
     for (CellEntry const& c : r->snapshot->cells)
       if (c.cell != s_.zone) view_.cells[c.cell] = c;
@@ -459,11 +459,11 @@
   // ---- beats
 
   Task<Told> beaten(Beat q) {
-    last_contact_ = w_.now();
-    heard_[q.id] = w_.now();
+    last_contact_ = env_.now();
+    heard_[q.id] = env_.now();
     if (is_ahead(q.at, q.revisions) && !checking_) {
       checking_ = true;
-      spawn(w_, ask_if_still_behind(q.at, q.revisions));
+      spawn(env_, ask_if_still_behind(q.at, q.revisions));
     }
     co_return Told{};
   }
@@ -474,16 +474,16 @@
 
   // The news that the sender has already may be on their way here.
   Task<void> ask_if_still_behind(Position const at, Revisions const revisions) {
-    co_await sleep_for(w_, news_are_on_their_way);
+    co_await sleep_for(env_, news_are_on_their_way);
     checking_ = false;
     if (is_ahead(at, revisions)) behind();
   }
 
   Task<void> keep_beating() {
-    Instant last = w_.now();
+    Instant last = env_.now();
     while (true) {
-      co_await sleep_for(w_, t_.beat_every);
-      Instant const now = w_.now();
+      co_await sleep_for(env_, t_.beat_every);
+      Instant const now = env_.now();
       bool const overslept = now - last > 4 * t_.beat_every;  // we were frozen: nobody else was silent
       last = now;
       places_.follow(view_);
@@ -495,11 +495,11 @@
   void tell_watchers() {
     if (places_.watchers().empty()) return;
     SharedBytes const raw = pack_shared(Beat{s_.id, s_.address, incarnation_, at_, s_.zone, values_.revisions()});
-    for (std::string const& id : places_.watchers()) w_.tell_raw(view_.members.at(id).address, Beat::kind, raw);
+    for (std::string const& id : places_.watchers()) env_.tell_raw(view_.members.at(id).address, Beat::kind, raw);
   }
 
   void look_at_watched(bool const overslept) {
-    Instant const now = w_.now();
+    Instant const now = env_.now();
     Address const registry = own_registry();
     std::erase_if(heard_, [&](auto const& h) { return !places_.watched().contains(h.first); });
     for (std::string const& id : places_.watched()) {
@@ -507,12 +507,12 @@
       Instant& at = heard_.try_emplace(id, now).first->second;
       if (overslept) at = now;
       if (now - at > t_.suspect_after && m.standing == Standing::fit && m.role != Role::registry && !registry.empty())
-        tell(w_, registry, Suspect{id, m.incarnation, s_.id, s_.zone});
+        tell(env_, registry, Suspect{id, m.incarnation, s_.id, s_.zone});
     }
   }
 
   // Nodes that fail together don't ask again together.
-  Duration jittered(Duration const pause) { return pause * 3 / 4 + Duration(w_.chance()() % (pause.count() / 2)); }
+  Duration jittered(Duration const pause) { return pause * 3 / 4 + Duration(env_.chance()() % (pause.count() / 2)); }
 
   static constexpr Duration meet_patience = 500ms;
   static constexpr Duration shortest_ask_pause = 150ms;
@@ -526,14 +526,14 @@
   // Frames between processes are given up long before they are this old.
   static constexpr Duration news_may_be_late = 3s;
 
-  W& w_;
+  Env& env_;
   FollowerSettings const s_;
   FeedTiming const& t_;
   FollowerEvents events_;
   RegistryDirectory directory_;
   RingPlaces places_;
-  typename W::Alarm join_alarm_;
-  typename W::Alarm fresh_alarm_;
+  typename Env::Alarm join_alarm_;
+  typename Env::Alarm fresh_alarm_;
   Instant const started_;
   Instant last_contact_;
   ZoneView view_;
--- a/source/data_path/local_backend.hpp
+++ b/source/data_path/local_backend.hpp
@@ -41,7 +41,7 @@
 /** Opens connections to a backend; made anew for each life of a backend. */
 using ConnectionsFactory = std::function<std::unique_ptr<BackendCaller>(Address const&, std::size_t limit)>;
 
-template <Surroundings W>
+template <Environment Env>
 class LocalBackend {
  public:
   struct Events {
@@ -55,13 +55,17 @@
     std::function<std::size_t(std::string const& service)> connection_limit;
   };
 
-  LocalBackend(W& w, LocalBackendSettings settings, DataPathHeaders const& headers, ConnectionsFactory factory,
+  LocalBackend(Env& env, LocalBackendSettings settings, DataPathHeaders const& headers, ConnectionsFactory factory,
                Events events)
-      : w_(w), s_(std::move(settings)), headers_(headers), factory_(std::move(factory)), events_(std::move(events)) {}
+      : env_(env),
+        s_(std::move(settings)),
+        headers_(headers),
+        factory_(std::move(factory)),
+        events_(std::move(events)) {}
 
   /** Takes a heartbeat up. False: it is older than one already seen, or of an instance that doesn't count here. */
   bool heartbeat(BackendHeartbeat const& beat) {
-    Instant const now = w_.now();
+    Instant const now = env_.now();
     if (ended_.contains(beat.id) || !is_newest_of_its_life(beat)) return false;
     bool changed = false;
     if (!instance_ || instance_->beat.id != beat.id) {
@@ -98,7 +102,7 @@
   std::vector<BackendRecord> records() const {
     if (!instance_) return {};
     Instance const& i = *instance_;
-    if (i.refused || w_.now() - i.heard > s_.silent_after) return {};
+    if (i.refused || env_.now() - i.heard > s_.silent_after) return {};
     BackendRecord r;
     r.service = i.beat.service;
     r.instance = i.beat.id;
@@ -124,13 +128,13 @@
     l.slots = instance_->beat.slots;
     l.run_us = static_cast<std::uint32_t>(
         std::chrono::duration_cast<std::chrono::microseconds>(instance_->queue.estimate().overall()).count());
-    l.failed_percent = instance_->failures.percent(w_.now());
+    l.failed_percent = instance_->failures.percent(env_.now());
     return l;
   }
 
   /** Runs one request on the backend: at once, after a wait for a slot, or not at all. */
   Task<ForwardReply> run(Forward forward, SharedCancellation const cancellation = nullptr) {
-    Instant const arrived = w_.now();
+    Instant const arrived = env_.now();
     Instant const deadline = arrived + std::chrono::milliseconds(forward.remaining_ms);
     // What would miss its aim is better refused early: another endpoint, or the
     // client's next try, may still make it.
@@ -138,12 +142,12 @@
     Duration const useful = std::min<Duration>(aim, deadline - arrived);
     if (key_is_due(forward, arrived)) co_await wait_for_key(forward, arrived + useful, cancellation);
     if (is_cancelled(cancellation)) co_return cancelled_reply(Proof::not_run);
-    if (ForwardReply const refused = check(forward, w_.now()); refused.refusal != Refusal::none) co_return refused;
+    if (ForwardReply const refused = check(forward, env_.now()); refused.refusal != Refusal::none) co_return refused;
     std::uint64_t const id = ++last_id_;
     QueuedRequest const queued{id, forward.rank, forward.work_class, arrived + useful};
-    Admission const admission = instance_->queue.admit(w_.now(), queued);
+    Admission const admission = instance_->queue.admit(env_.now(), queued);
     if (admission == Admission::refuse) co_return refuse(Refusal::busy, "queue too long", expected_wait(forward));
-    std::shared_ptr<Waiter> const waiter = std::make_shared<Waiter>(w_);
+    std::shared_ptr<Waiter> const waiter = std::make_shared<Waiter>(env_);
     requests_[id] = waiter;
     std::uint64_t const life = life_;
     if (admission == Admission::wait) {
@@ -159,7 +163,7 @@
   /** Called now and then: what is silent or drained is let go. */
   void tick() {
     if (!instance_) return;
-    Instant const now = w_.now();
+    Instant const now = env_.now();
     announce_load(now);
     if (instance_->draining_since && now - *instance_->draining_since > s_.drain_end) {
       instance_->queue.refuse_all();
@@ -195,8 +199,8 @@
   };
 
   struct Waiter {
-    explicit Waiter(W& w) : turn(w) {}
-    OneShot<W, bool> turn;
+    explicit Waiter(Env& env) : turn(env) {}
+    OneShot<Env, bool> turn;
   };
 
   void start(BackendHeartbeat const& beat) {
@@ -292,13 +296,13 @@
   Task<void> wait_for_key(Forward const& forward, Instant const useful_until, SharedCancellation const cancellation) {
     Instant const until = useful_until - instance_->queue.estimate().expected(forward.work_class);
     std::uint64_t const id = ++last_id_;
-    std::shared_ptr<Waiter> const waiter = std::make_shared<Waiter>(w_);
+    std::shared_ptr<Waiter> const waiter = std::make_shared<Waiter>(env_);
     awaiting_keys_[id] = waiter;
     CancellationListener const listener(cancellation, [waiter] { waiter->turn.give(false); });
     std::optional<bool> const granted = co_await waiter->turn.wait(until);
     awaiting_keys_.erase(id);
     // The answer that grants the key reaches the backend before a request does.
-    if (granted && *granted) co_await sleep_for(w_, grant_takes);
+    if (granted && *granted) co_await sleep_for(env_, grant_takes);
   }
 
   void wake_awaiting_keys() {
@@ -320,7 +324,7 @@
     for (std::uint64_t const id : decisions.refuse) wake(id, false);
     for (std::uint64_t const id : decisions.run) {
       if (wake(id, true)) continue;
-      instance_->queue.finished(w_.now(), 0, Duration::zero(), false);
+      instance_->queue.finished(env_.now(), 0, Duration::zero(), false);
     }
   }
 
@@ -342,7 +346,7 @@
       return same_name(h.name, headers_.remaining_ms) || same_name(h.name, headers_.target_instance) ||
              same_name(h.name, headers_.calling_service) || same_name(h.name, headers_.tenant);
     });
-    std::int64_t const left = std::max<std::int64_t>(as_ms(deadline - w_.now()), 1);
+    std::int64_t const left = std::max<std::int64_t>(as_ms(deadline - env_.now()), 1);
     call.request.headers.push_back({std::string(headers_.remaining_ms), std::to_string(left)});
     call.request.headers.push_back({std::string(headers_.target_instance), instance_->beat.id});
     call.request.headers.push_back({std::string(headers_.calling_service), forward.calling_service});
@@ -353,7 +357,7 @@
   Task<ForwardReply> send(Forward& forward, Instant const deadline, std::uint64_t const life,
                           SharedCancellation const cancellation) {
     // While it waited its keys may have moved, or its time have gone.
-    Instant const begun = w_.now();
+    Instant const begun = env_.now();
     if (life != life_ || !instance_) co_return refuse(Refusal::no_backend, "backend ended", 100ms);
     bool const held = !forward.keyed || key_held(forward, begun);
     bool const drained = instance_->draining_since && begun - *instance_->draining_since > s_.drain_end;
@@ -371,12 +375,12 @@
     BackendCall call = call_of(forward, deadline);
     if (forward.repeatable) call.cancellation = cancellation;
     Result<HttpReply> got = co_await connections->call(std::move(call));
-    Duration const took = w_.now() - begun;
+    Duration const took = env_.now() - begun;
     bool const good = got && got->status < 500 && got->status >= 200;
     finished(life, forward.work_class, took, good);
     bool const ended_by_us = !got && forward.repeatable && is_cancelled(cancellation);
     if (ended_by_us) co_return cancelled_reply(got.error().proof);
-    if (life == life_ && instance_ && reached_backend(got)) instance_->failures.add(w_.now(), !good);
+    if (life == life_ && instance_ && reached_backend(got)) instance_->failures.add(env_.now(), !good);
     ForwardReply reply = got ? judge(std::move(*got), instance) : judge_failure(got.error(), instance);
     co_return reply;
   }
@@ -389,7 +393,7 @@
 
   void finished(std::uint64_t const life, std::uint32_t const work_class, Duration const took, bool const measured) {
     if (life != life_ || !instance_) return;
-    instance_->queue.finished(w_.now(), work_class, took, measured);
+    instance_->queue.finished(env_.now(), work_class, took, measured);
     carry_out();
   }
 
@@ -412,10 +416,10 @@
   // A full backend may refuse hundreds a second: they are counted, and told once a second.
   void note_refusal(std::string const& instance, std::uint16_t const status) {
     ++refusals_;
-    if (w_.now() - refusals_told_ < 1s) return;
+    if (env_.now() - refusals_told_ < 1s) return;
     log_info("backend_refused",
              {{"instance", instance}, {"status", std::to_string(status)}, {"so_far", std::to_string(refusals_)}});
-    refusals_told_ = w_.now();
+    refusals_told_ = env_.now();
   }
 
   ForwardReply cancelled_reply(Proof const proof) const {
@@ -445,7 +449,7 @@
   static constexpr std::size_t most_awaiting_keys = 64;
   static constexpr Duration grant_takes = 5ms;
 
-  W& w_;
+  Env& env_;
   LocalBackendSettings const s_;
   DataPathHeaders const& headers_;
   ConnectionsFactory factory_;
--- a/source/data_path/request_path.hpp
+++ b/source/data_path/request_path.hpp
@@ -45,11 +45,11 @@
   std::uint64_t unconfirmed_key = 0;  // refused as the node couldn't tell whether access keys were dropped
 };
 
-template <Surroundings W, class Backend>
+template <Environment Env, class Backend>
 class RequestPath {
  public:
-  RequestPath(W& w, RequestPathSettings settings, DataPathHeaders const& headers, Backend& backend)
-      : w_(w), s_(std::move(settings)), headers_(headers), backend_(backend), access_lease_(s_.revocation_limit) {}
+  RequestPath(Env& env, RequestPathSettings settings, DataPathHeaders const& headers, Backend& backend)
+      : env_(env), s_(std::move(settings)), headers_(headers), backend_(backend), access_lease_(s_.revocation_limit) {}
 
   EndpointSelector& selector() { return selector_; }
   RequestCounts const& counts() const { return counts_; }
@@ -62,7 +62,7 @@
   void confirm_access_keys(Instant const asked) { access_lease_.confirm(asked); }
   /** Whether requests that need an access key can be let in now; true if none needs one. */
   bool lets_tenants_in() const {
-    return !router_ || !router_->configuration().tenants || access_lease_.valid(w_.now());
+    return !router_ || !router_->configuration().tenants || access_lease_.valid(env_.now());
   }
   /** The process ends then at the latest: requests that may last longer are refused from now on. */
   void end_by(Instant const end) { end_ = end; }
@@ -76,7 +76,7 @@
     if (!router) co_return refusal("no configuration yet", not_ready_retry);
     Route const* const route = router->match(header_of(request, "Host"), request.target);
     if (route == nullptr) co_return plain_reply(404, "no route");
-    AccessDecision const access = decide_access(*router, *route, request, access_lease_.valid(w_.now()));
+    AccessDecision const access = decide_access(*router, *route, request, access_lease_.valid(env_.now()));
     if (access.verdict != AccessDecision::Verdict::granted) co_return access_refused(access.verdict);
     if (in_flight_ >= s_.most_in_flight) co_return refusal("too many requests in flight", busy_retry);
     remove_credentials(request, *router, *route, access);
@@ -85,14 +85,14 @@
     if (end_ && attempt->deadline > *end_) co_return refusal("node is leaving", leaving_retry);
     std::shared_ptr<ClientDeparture> const departure = std::make_shared<ClientDeparture>();
     exchange->on_hang_up = [this, departure, cancellation = attempt->cancellation](ClientState const state) {
-      departure->note(state, w_.now());
+      departure->note(state, env_.now());
       cancellation->request();
     };
     if (exchange->client_hung_up()) exchange->on_hang_up(exchange->client);
     ++in_flight_;
     HttpReply reply = co_await run(std::move(*attempt));
     --in_flight_;
-    departure->count(departures_, w_.now());
+    departure->count(departures_, env_.now());
     co_return reply;
   }
 
@@ -100,9 +100,10 @@
   Task<ForwardReply> pass_on(Forward forward, ForwardReply refused, SharedCancellation cancellation = nullptr) {
     forward.crossed = false;
     std::set<Address> const tried{s_.own_address};
-    Endpoint const* const other = selector_.select(forward.service, tried, w_.now(), w_.chance(), forward.repeatable);
+    Endpoint const* const other =
+        selector_.select(forward.service, tried, env_.now(), env_.chance(), forward.repeatable);
     if (other == nullptr || !other->local_zone) co_return refused;
-    Instant const deadline = w_.now() + std::chrono::milliseconds(forward.remaining_ms);
+    Instant const deadline = env_.now() + std::chrono::milliseconds(forward.remaining_ms);
     Address const address = other->address;
     ForwardReply reply = co_await send(address, forward, deadline, std::move(cancellation));
     co_return reply;
@@ -165,7 +166,7 @@
 
   HttpReply failure(Attempt const& attempt, std::string const& reason) {
     ++counts_.failed;
-    return plain_reply(w_.now() + answer_margin >= attempt.deadline ? 504 : 502, reason);
+    return plain_reply(env_.now() + answer_margin >= attempt.deadline ? 504 : 502, reason);
   }
 
   static std::optional<std::uint64_t> number(std::string const& text) {
@@ -178,7 +179,7 @@
   Result<Attempt> prepare(Router const& router, Route const& route, Tenant const* const tenant, HttpRequest request) {
     Attempt attempt;
     Forward& f = attempt.forward;
-    ServiceDefinition const& service = router.services()[Router::choose(route, w_.chance()())];
+    ServiceDefinition const& service = router.services()[Router::choose(route, env_.chance()())];
     f.attempt_id = header_of(request, headers_.attempt_id);
     if (f.attempt_id.empty()) return make_error("admit", "", "no attempt id", Proof::not_run);
     f.service = service.name;
@@ -191,7 +192,7 @@
     Duration patience = route.timeout;
     std::optional<std::uint64_t> const remaining = number(header_of(request, headers_.remaining_ms));
     if (remaining) patience = std::min<Duration>(patience, std::chrono::milliseconds(*remaining));
-    attempt.began = w_.now();
+    attempt.began = env_.now();
     attempt.deadline = attempt.began + patience;
     attempt.aim = std::max<Duration>(Duration::zero(), route.aim);
     attempt.attempt_limit = std::max<std::uint32_t>(route.attempt_limit, 1);
@@ -214,12 +215,12 @@
     Forward& f = attempt.forward;
     if (f.keyed) {
       KeyHolderRecord const* const holder = keys_ ? keys_->find(f.service, f.key) : nullptr;
-      if (holder == nullptr || tried.contains(holder->address) || selector_.avoided(holder->address, w_.now()))
+      if (holder == nullptr || tried.contains(holder->address) || selector_.avoided(holder->address, env_.now()))
         return std::nullopt;
       f.crossed = holder->zone != s_.zone;
       return holder->address;
     }
-    Endpoint const* const endpoint = selector_.select(f.service, tried, w_.now(), w_.chance(), f.repeatable);
+    Endpoint const* const endpoint = selector_.select(f.service, tried, env_.now(), env_.chance(), f.repeatable);
     if (endpoint == nullptr) return std::nullopt;
     f.crossed = !endpoint->local_zone;
     return endpoint->address;
@@ -232,13 +233,13 @@
     if (address == s_.own_address) {
       reply = co_await backend_.run(forward, cancellation);
     } else {
-      Instant const sent = w_.now();
-      Result<ForwardReply> got = co_await ask_cancellable(w_, address, forward, deadline, cancellation);
+      Instant const sent = env_.now();
+      Result<ForwardReply> got = co_await ask_cancellable(env_, address, forward, deadline, cancellation);
       if (got) {
         reply = std::move(*got);
-        selector_.transferred(address, w_.now() - sent - std::chrono::microseconds(reply.here_us), w_.now());
+        selector_.transferred(address, env_.now() - sent - std::chrono::microseconds(reply.here_us), env_.now());
       } else {
-        if (got.error().proof != Proof::not_run) unanswered(address, w_.now() - sent);
+        if (got.error().proof != Proof::not_run) unanswered(address, env_.now() - sent);
         reply.outcome = got.error().proof == Proof::not_run ? Outcome::not_run : Outcome::unknown;
         reply.refusal = reply.outcome == Outcome::not_run ? Refusal::unreachable : Refusal::none;
         if (got.error().step == no_room_step) reply = no_room();
@@ -260,12 +261,12 @@
 
   // Without an answer the way took at least what was waited for it, as far as that tells more.
   void unanswered(Address const& address, Duration const waited) {
-    Duration const expected = selector_.expected_transfer(address, w_.now());
-    selector_.transferred(address, std::max(waited, expected), w_.now());
+    Duration const expected = selector_.expected_transfer(address, env_.now());
+    selector_.transferred(address, std::max(waited, expected), env_.now());
   }
 
   void learn(Address const& address, ForwardReply const& reply) {
-    Instant const now = w_.now();
+    Instant const now = env_.now();
     if (reply.outcome == Outcome::answered)
       selector_.answered(address, reply.load, now);
     else if (reply.refusal == Refusal::busy || reply.refusal == Refusal::too_late)
@@ -285,13 +286,13 @@
   // What is left of the aim when the request arrives there, if its answer is to be back
   // in time. Once that is hopeless a part of it still says how long to wait for a slot.
   std::uint32_t aim_left_ms(Attempt const& attempt, Address const& endpoint) const {
-    Duration const spent = w_.now() - attempt.began + selector_.expected_transfer(endpoint, w_.now());
+    Duration const spent = env_.now() - attempt.began + selector_.expected_transfer(endpoint, env_.now());
     Duration const left = std::max(attempt.aim - spent, attempt.aim / late_aim_divisor);
     return static_cast<std::uint32_t>(as_ms(left));
   }
 
   std::uint32_t remaining_ms(Attempt const& attempt) const {
-    std::int64_t const left = as_ms(attempt.deadline - w_.now());
+    std::int64_t const left = as_ms(attempt.deadline - env_.now());
     return static_cast<std::uint32_t>(std::max<std::int64_t>(left, 0));
   }
 
@@ -303,7 +304,7 @@
     bool may_have_run = false;
     std::uint32_t arrivals = 0;
     std::uint32_t retry_after_ms = 0;
-    budget(attempt.forward.service).first(w_.now());
+    budget(attempt.forward.service).first(env_.now());
     for (std::uint32_t n = 0; n < s_.most_endpoints; ++n) {
       attempt.forward.remaining_ms = remaining_ms(attempt);
       if (attempt.forward.remaining_ms < 2 || attempt.cancellation->requested()) break;
@@ -311,7 +312,7 @@
       std::optional<Address> const endpoint = choose(attempt, tried);
       if (!endpoint) break;
       if (arrivals > 0) {
-        if (arrivals >= attempt.attempt_limit || !budget(attempt.forward.service).extra(w_.now())) break;
+        if (arrivals >= attempt.attempt_limit || !budget(attempt.forward.service).extra(env_.now())) break;
         ++counts_.retried;
       }
       attempt.forward.aim_ms = aim_left_ms(attempt, *endpoint);
@@ -341,11 +342,11 @@
   // A row on its way between two holders is let go a moment before the table that names
   // the next one is here.
   Task<void> wait_for_another_holder(Attempt const& attempt, Address const refusing) {
-    Instant const until = std::min(w_.now() + key_move_patience, attempt.deadline);
-    while (w_.now() < until && !attempt.cancellation->requested()) {
+    Instant const until = std::min(env_.now() + key_move_patience, attempt.deadline);
+    while (env_.now() < until && !attempt.cancellation->requested()) {
       KeyHolderRecord const* const holder = keys_ ? keys_->find(attempt.forward.service, attempt.forward.key) : nullptr;
       if (holder != nullptr && holder->address != refusing) co_return;
-      co_await sleep_for(w_, key_move_pause);
+      co_await sleep_for(env_, key_move_pause);
     }
   }
 
@@ -368,7 +369,7 @@
     return may_have_run ? plain_reply(502, "client has left") : refusal_of("client has left", busy_retry);
   }
 
-  W& w_;
+  Env& env_;
   RequestPathSettings const s_;
   DataPathHeaders const& headers_;
   Backend& backend_;
--- a/source/programs/configuration_interface.hpp
+++ b/source/programs/configuration_interface.hpp
@@ -14,11 +14,11 @@
 
 namespace banktide {
 
-template <Surroundings W>
+template <Environment Env>
 class ConfigurationInterface {
  public:
-  ConfigurationInterface(W& w, Registry<W>& registry, InterfaceAdapter const& adapter)
-      : w_(w), registry_(registry), adapter_(adapter) {}
+  ConfigurationInterface(Env& env, Registry<Env>& registry, InterfaceAdapter const& adapter)
+      : env_(env), registry_(registry), adapter_(adapter) {}
 
   Task<HttpReply> write(WriteConfigurationOperation const operation) {
     std::string const bytes = compress(operation.bytes);
@@ -26,7 +26,7 @@
       if (operation.version == 0 && now.revision == 0) return now;
       return claim_version(now, operation.version, operation.bytes, bytes);
     };
-    Result<Held> const done = co_await registry_.registers().change(Register::routing, "", w_.now() + patience, step);
+    Result<Held> const done = co_await registry_.registers().change(Register::routing, "", env_.now() + patience, step);
     if (!done) {
       log_warn("configuration_not_taken", {{"version", std::to_string(operation.version)},
                                            {"step", done.error().step},
@@ -51,7 +51,7 @@
     Held const known = registry_.held(Register::routing);
     Result<Held> held = known;
     if (!broken_on_purpose("shows_what_it_holds"))
-      held = co_await registry_.registers().read(Register::routing, known, w_.now() + patience);
+      held = co_await registry_.registers().read(Register::routing, known, env_.now() + patience);
     if (!held) co_return http_reply(adapter_.unavailable_reply(held.error().reason));
     if (held->revision == 0) co_return http_reply(adapter_.unavailable_reply("no configuration was ever sent"));
     Result<std::string> const text = decompress(held->bytes);
@@ -67,8 +67,8 @@
   // Callers go on to another registry after a second of silence.
   static constexpr Duration patience = 900ms;
 
-  W& w_;
-  Registry<W>& registry_;
+  Env& env_;
+  Registry<Env>& registry_;
   InterfaceAdapter const& adapter_;
 };
 
--- a/source/programs/control_status.hpp
+++ b/source/programs/control_status.hpp
@@ -14,10 +14,10 @@
   return target.substr(0, target.find('?')) == control_status_path;
 }
 
-template <Surroundings W>
+template <Environment Env>
 class ControlStatus {
  public:
-  ControlStatus(W& w, Registry<W>& registry) : w_(w), registry_(registry) {}
+  ControlStatus(Env& env, Registry<Env>& registry) : env_(env), registry_(registry) {}
 
   /// Handles `GET /control/status`; the answer is a JSON object.
   Task<HttpReply> call(HttpRequest const question) {
@@ -38,13 +38,13 @@
   static constexpr Duration voter_patience = 400ms;
 
   Task<Json> collect() {
-    RegisterClient<W>& registers = registry_.registers();
-    co_await registers.discover(w_.now() + voter_patience, true);
+    RegisterClient<Env>& registers = registry_.registers();
+    co_await registers.discover(env_.now() + voter_patience, true);
     VoterSet const set = registers.set();
     std::vector<Address> const voters = addresses_of(set);
     VotersAsk const question{};
-    auto const replies =
-        co_await ask_all<VotersAsk>(w_, voters, question, w_.now() + voter_patience, [](auto const&) { return false; });
+    auto const replies = co_await ask_all<VotersAsk>(env_, voters, question, env_.now() + voter_patience,
+                                                     [](auto const&) { return false; });
     std::vector<std::string> conditions(voters.size(), "silent");
     std::size_t voting = 0;
     for (auto const& [at, reply] : replies) {
@@ -74,8 +74,8 @@
     return status;
   }
 
-  W& w_;
-  Registry<W>& registry_;
+  Env& env_;
+  Registry<Env>& registry_;
 };
 
 }  // namespace banktide
--- a/source/programs/fleet_main.cpp
+++ b/source/programs/fleet_main.cpp
@@ -59,8 +59,8 @@
 
 class Fleet {
  public:
-  Fleet(Process& p, SocketWorld& w, std::string bin, fs::path folder)
-      : process_(p), world_(w), caller_(w), bin_(std::move(bin)), folder_(std::move(folder)) {}
+  Fleet(Process& p, SocketWorld& env, std::string bin, fs::path folder)
+      : process_(p), world_(env), caller_(env), bin_(std::move(bin)), folder_(std::move(folder)) {}
   ~Fleet() {
     for (auto& [name, c] : children_) end(c, SIGKILL);
   }
--- a/source/programs/hollow_fleet_world.hpp
+++ b/source/programs/hollow_fleet_world.hpp
@@ -232,6 +232,6 @@
   std::uint64_t last_alarm_ = 0;
 };
 
-static_assert(Surroundings<HollowProcess>);
+static_assert(Environment<HollowProcess>);
 
 }  // namespace banktide
--- a/source/programs/maintenance_interface.hpp
+++ b/source/programs/maintenance_interface.hpp
@@ -65,16 +65,16 @@
 Json window_json(MaintenanceWindow const& window, ZoneRemains const& remains, bool clear);
 
 /** Of `Registry` are used: held, registers, directory, vouched, zone_names and zone_entries. */
-template <Surroundings W, class Registry, class Keeper>
+template <Environment Env, class Registry, class Keeper>
 class MaintenanceInterface {
  public:
-  MaintenanceInterface(W& w, Registry& registry, Keeper& keeper, MaintenanceSettings const& settings)
-      : w_(w), registry_(registry), keeper_(keeper), settings_(settings) {}
+  MaintenanceInterface(Env& w, Registry& registry, Keeper& keeper, MaintenanceSettings const& settings)
+      : env_(w), registry_(registry), keeper_(keeper), settings_(settings) {}
 
   /** Watches zones that traffic is kept away from, for as long as the process runs. */
   Task<void> run() {
     while (true) {
-      co_await sleep_for(w_, look_every);
+      co_await sleep_for(env_, look_every);
       look_at_withheld_zones();
     }
   }
@@ -94,15 +94,15 @@
     std::set<std::string> const withheld = keeper_.plan().withheld_zones();
     std::erase_if(last_busy_, [&](auto const& known) { return !withheld.contains(known.first); });
     for (std::string const& zone : withheld) {
-      Instant& last = last_busy_.try_emplace(zone, w_.now()).first->second;
-      if (remains(zone).requests > 0) last = w_.now();
+      Instant& last = last_busy_.try_emplace(zone, env_.now()).first->second;
+      if (remains(zone).requests > 0) last = env_.now();
     }
   }
 
   Json described(MaintenanceWindow const& window) const {
     ZoneRemains const left = remains(window.zone);
     auto const busy = last_busy_.find(window.zone);
-    Duration const quiet_for = busy == last_busy_.end() ? Duration::zero() : w_.now() - busy->second;
+    Duration const quiet_for = busy == last_busy_.end() ? Duration::zero() : env_.now() - busy->second;
     return window_json(window, left, is_clear(window, left, quiet_for));
   }
 
@@ -169,7 +169,7 @@
     return json_reply(200, Json{{"windows", windows}});
   }
 
-  W& w_;
+  Env& env_;
   Registry& registry_;
   Keeper& keeper_;
   MaintenanceSettings const settings_;
--- a/source/programs/mesh_node.hpp
+++ b/source/programs/mesh_node.hpp
@@ -26,25 +26,25 @@
   Duration leave_patience = 5400ms;
 };
 
-template <Surroundings W>
+template <Environment Env>
 class MeshNode {
  public:
-  MeshNode(W& w, MeshNodeSettings settings, InterfaceAdapter const& adapter, ConnectionsFactory factory)
-      : w_(w),
+  MeshNode(Env& env, MeshNodeSettings settings, InterfaceAdapter const& adapter, ConnectionsFactory factory)
+      : env_(env),
         s_(std::move(settings)),
         adapter_(adapter),
-        registers_(w, StoreSeeds{stores_beside(s_.follower.seeds, s_.store_port)}),
-        local_(w, local_settings(), adapter.headers, std::move(factory), local_events()),
-        path_(w, path_settings(), adapter.headers, local_),
-        follower_(w, s_.follower, follower_events()),
+        registers_(env, StoreSeeds{stores_beside(s_.follower.seeds, s_.store_port)}),
+        local_(env, local_settings(), adapter.headers, std::move(factory), local_events()),
+        path_(env, path_settings(), adapter.headers, local_),
+        follower_(env, s_.follower, follower_events()),
         departure_(clients_need_to_notice, s_.leave_patience),
-        started_(w.now()),
-        grant_alarm_(w),
-        report_alarm_(w),
-        configuration_alarm_(w) {
+        started_(env.now()),
+        grant_alarm_(env),
+        report_alarm_(env),
+        configuration_alarm_(env) {
     // The simulated network has no pings.
-    if constexpr (requires { w.silence_of(Address{}); })
-      path_.selector().set_silent([&w](Address const& peer) { return w.silence_of(peer) > silent_after; });
+    if constexpr (requires { env.silence_of(Address{}); })
+      path_.selector().set_silent([&env](Address const& peer) { return env.silence_of(peer) > silent_after; });
   }
 
   void start(Dispatcher& dispatcher) {
@@ -52,11 +52,11 @@
       return forwarded(std::move(f), std::move(cancellation));
     });
     follower_.start(dispatcher);
-    spawn(w_, keep_configured());
-    spawn(w_, keep_confirming());
-    spawn(w_, keep_reporting());
-    if (s_.bounds.revocation_limit) spawn(w_, keep_access_keys_confirmed());
-    spawn(w_, keep_ticking());
+    spawn(env_, keep_configured());
+    spawn(env_, keep_confirming());
+    spawn(env_, keep_reporting());
+    if (s_.bounds.revocation_limit) spawn(env_, keep_access_keys_confirmed());
+    spawn(env_, keep_ticking());
   }
 
   /** Called with the client limits of each configuration that is applied. */
@@ -73,23 +73,23 @@
     OwedWork owed;
     owed.requests = path_.in_flight() + local_.in_flight() + forwarded_;
     // The simulated network has no send queues.
-    if constexpr (requires { w_.queued(); }) owed.bytes = w_.queued().of_requests();
+    if constexpr (requires { env_.queued(); }) owed.bytes = env_.queued().of_requests();
     return owed;
   }
   /** Whether new requests are refused: it is shutting down, and clients and other nodes had time to notice. */
-  bool refusing() const { return !departure_.takes_work(w_.now()); }
+  bool refusing() const { return !departure_.takes_work(env_.now()); }
   /** Whether the process may exit after the signal to shut down; `connections` is the number of busy client
    * connections. */
   bool may_end(std::size_t const connections) {
     OwedWork all = owed();
     all.connections = connections;
-    return departure_.may_end(w_.now(), all);
+    return departure_.may_end(env_.now(), all);
   }
-  RequestPath<W, LocalBackend<W>>& path() { return path_; }
+  RequestPath<Env, LocalBackend<Env>>& path() { return path_; }
 
   void leave() {
-    departure_.begin(w_.now());
-    path_.end_by(w_.now() + s_.leave_patience);
+    departure_.begin(env_.now());
+    path_.end_by(env_.now() + s_.leave_patience);
     follower_.leave();
     report_alarm_.wake();
   }
@@ -143,8 +143,8 @@
     return l;
   }
 
-  typename LocalBackend<W>::Events local_events() {
-    typename LocalBackend<W>::Events e;
+  typename LocalBackend<Env>::Events local_events() {
+    typename LocalBackend<Env>::Events e;
     e.record_changed = [this] {
       follower_.touch();
       rebuild_endpoints();
@@ -155,7 +155,7 @@
       report_alarm_.wake();
     };
     e.signed_off = [this](std::string const& instance) {
-      if (keys_) keys_->on_instance_signed_off(instance, w_.now());
+      if (keys_) keys_->on_instance_signed_off(instance, env_.now());
       report_alarm_.wake();
     };
     e.connection_limit = [this](std::string const& service) -> std::size_t {
@@ -198,13 +198,13 @@
   }
 
   void take_maintenance(Held const& held) {
-    if (maintenance_.take(held, w_.now())) follow_maintenance();
+    if (maintenance_.take(held, env_.now())) follow_maintenance();
   }
 
   // Zone shares change with time during a maintenance window, also when no new plan arrives.
   void follow_maintenance() {
-    maintenance_.log_phases(w_.now());
-    path_.selector().set_zone_shares(maintenance_.at(w_.now()).zone_shares());
+    maintenance_.log_phases(env_.now());
+    path_.selector().set_zone_shares(maintenance_.at(env_.now()).zone_shares());
   }
 
   // When configurations arrive in quick succession, only the newest is parsed. The pause after each parse is as long
@@ -213,14 +213,14 @@
     while (true) {
       Held const& newest = follower_.held(Register::routing);
       if (newest.revision <= read_revision_) {
-        co_await configuration_alarm_.wait(w_.now() + look_for_configuration_every);
+        co_await configuration_alarm_.wait(env_.now() + look_for_configuration_every);
         continue;
       }
-      Instant const begun = w_.now();
+      Instant const begun = env_.now();
       read_revision_ = newest.revision;
       take_configuration(newest);
       confirm_access_keys();
-      co_await sleep_for(w_, std::min<Duration>(w_.now() - begun, longest_reading_pause));
+      co_await sleep_for(env_, std::min<Duration>(env_.now() - begun, longest_reading_pause));
     }
   }
 
@@ -285,16 +285,16 @@
   // ---- requests from other nodes
 
   Task<ForwardReply> forwarded(Forward f, SharedCancellation cancellation) {
-    Instant const arrived = w_.now();
+    Instant const arrived = env_.now();
     ++forwarded_;
     ForwardReply reply = co_await answer_forwarded(std::move(f), std::move(cancellation));
     --forwarded_;
-    reply.here_us = static_cast<std::uint32_t>(as_us(w_.now() - arrived));
+    reply.here_us = static_cast<std::uint32_t>(as_us(env_.now() - arrived));
     co_return reply;
   }
 
   Task<ForwardReply> answer_forwarded(Forward f, SharedCancellation const cancellation) {
-    if (!departure_.takes(w_.now(), w_.now() + std::chrono::milliseconds(f.remaining_ms))) {
+    if (!departure_.takes(env_.now(), env_.now() + std::chrono::milliseconds(f.remaining_ms))) {
       ForwardReply reply;
       reply.outcome = Outcome::not_run;
       reply.refusal = Refusal::no_backend;
@@ -303,10 +303,10 @@
     }
     bool const may_pass_on = f.crossed && !f.keyed;
     if (!may_pass_on) co_return co_await local_.run(std::move(f), cancellation);
-    Instant const arrived = w_.now();
+    Instant const arrived = env_.now();
     Forward kept = f;
     ForwardReply reply = co_await local_.run(std::move(f), cancellation);
-    std::uint32_t const waited = static_cast<std::uint32_t>(as_ms(w_.now() - arrived));
+    std::uint32_t const waited = static_cast<std::uint32_t>(as_ms(env_.now() - arrived));
     kept.remaining_ms -= std::min(kept.remaining_ms, waited);
     bool const refused = reply.refusal == Refusal::busy || reply.refusal == Refusal::no_backend;
     if (reply.outcome != Outcome::not_run || !refused) co_return reply;
@@ -318,19 +318,19 @@
   Task<HeartbeatAnswer> heartbeat(BackendHeartbeat const beat) {
     HeartbeatAnswer answer;
     if (!local_.heartbeat(beat)) co_return answer;
-    Instant const arrived = w_.now();
+    Instant const arrived = env_.now();
     Instant const until = arrived + s_.keys.answer_wait;
     std::uint64_t const number = ++beats_taken_;
     // A node that has just started has no configuration yet and can't tell whether the service is keyed.
-    while (number == beats_taken_ && !path_.router() && !beat.leaving && w_.now() < until)
+    while (number == beats_taken_ && !path_.router() && !beat.leaving && env_.now() < until)
       co_await grant_alarm_.wait(until);
     if (number != beats_taken_ || !keyed(beat.service)) co_return answer;
     prepare_keys(beat.service);
     keys_->take_beat(arrived, key_beat(beat));
     report_alarm_.wake();
-    while (number == beats_taken_ && w_.now() < until && keys_->answer_may_wait(w_.now()))
+    while (number == beats_taken_ && env_.now() < until && keys_->answer_may_wait(env_.now()))
       co_await grant_alarm_.wait(until);
-    KeyBeatAnswer const grant = keys_->answer(w_.now(), beat.id, beat.sequence);
+    KeyBeatAnswer const grant = keys_->answer(env_.now(), beat.id, beat.sequence);
     if (!grant.renews) co_return answer;
     local_.keys_granted();
     answer.grant.emplace();
@@ -373,7 +373,7 @@
 
   // Right after its start a node gets no feed updates yet, so it reads the key table more often until its backend
   // holds rows.
-  bool awaits_first_rows() const { return keys_->grants_nothing() && w_.now() - started_ < news_come_after; }
+  bool awaits_first_rows() const { return keys_->grants_nothing() && env_.now() - started_ < news_come_after; }
 
   Duration confirm_period() const { return awaits_first_rows() ? first_confirm_every : s_.keys.confirm_every; }
 
@@ -381,16 +381,16 @@
   // arrives over the feed needs no such read: the current lease covers it.
   Task<void> keep_confirming() {
     while (true) {
-      co_await sleep_for(w_, tick_period);
+      co_await sleep_for(env_, tick_period);
       if (!keys_) continue;
-      bool const wanted = confirm_soon_ && !keys_->leased(w_.now());
-      bool const due = w_.now() - confirmed_at_ >= confirm_period();
-      if ((!wanted && !due) || w_.now() < next_confirm_) continue;
+      bool const wanted = confirm_soon_ && !keys_->leased(env_.now());
+      bool const due = env_.now() - confirmed_at_ >= confirm_period();
+      if ((!wanted && !due) || env_.now() < next_confirm_) continue;
       confirm_soon_ = false;
       registers_.learn(stores_beside(registry_addresses(), s_.store_port));
       // Until the voters are known, a read waits for all stores, including those that are down.
       Duration const patience = registers_.knows_voters() ? confirm_patience : first_confirm_patience;
-      bool const confirmed = co_await confirm_table(w_.now() + patience);
+      bool const confirmed = co_await confirm_table(env_.now() + patience);
       pause_confirming(confirmed);
     }
   }
@@ -401,7 +401,7 @@
       confirm_pause_ = tick_period;
       return;
     }
-    next_confirm_ = w_.now() + confirm_pause_ / 2 + Duration(w_.chance()() % confirm_pause_.count());
+    next_confirm_ = env_.now() + confirm_pause_ / 2 + Duration(env_.chance()() % confirm_pause_.count());
     confirm_pause_ = std::min(2 * confirm_pause_, longest_confirm_pause);
   }
 
@@ -416,7 +416,7 @@
     grant_alarm_.wake();
     if (has_table(newest->revision)) co_return true;
     bool const here = co_await follower_.fetch_keys(newest->revision);
-    if (!here) co_await read_table(w_.now() + confirm_patience);
+    if (!here) co_await read_table(env_.now() + confirm_patience);
     co_return has_table(newest->revision);
   }
   bool has_table(Revision const wanted) const { return wanted <= (table_ ? table_->revision : 0); }
@@ -440,10 +440,10 @@
 
   // Each confirmed reading extends the `AccessLease`, which admits tenants for a while after contact is lost.
   Task<void> keep_access_keys_confirmed() {
-    co_await sleep_for(w_, Duration(w_.chance()() % confirm_access_every.count()));
+    co_await sleep_for(env_, Duration(env_.chance()() % confirm_access_every.count()));
     while (true) {
       co_await follower_.confirm_routing();
-      co_await sleep_for(w_, confirm_access_every);
+      co_await sleep_for(env_, confirm_access_every);
     }
   }
 
@@ -451,13 +451,13 @@
     Instant last{};
     while (true) {
       bool const early = keys_ && keys_->has_news();
-      if (!early) co_await report_alarm_.wait(std::max(last + s_.keys.report_every, w_.now() + 20ms));
-      last = w_.now();
+      if (!early) co_await report_alarm_.wait(std::max(last + s_.keys.report_every, env_.now() + 20ms));
+      last = env_.now();
       if (!keys_) continue;
       KeyReport report = keys_->report(last, static_cast<float>(busy_), backend_capacity());
       if (departure_.leaving()) report.standing = KeyStanding::draining;
-      for (Address const& registry : registry_addresses()) tell(w_, registry, report);
-      co_await sleep_for(w_, 10ms);
+      for (Address const& registry : registry_addresses()) tell(env_, registry, report);
+      co_await sleep_for(env_, 10ms);
     }
   }
 
@@ -469,10 +469,10 @@
 
   Task<void> keep_ticking() {
     while (true) {
-      co_await sleep_for(w_, tick_period);
+      co_await sleep_for(env_, tick_period);
       local_.tick();
       if (maintenance_.written().current()) follow_maintenance();
-      if (w_.now() - counted_at_ > count_period) log_counts();
+      if (env_.now() - counted_at_ > count_period) log_counts();
       EndpointLoad const load = local_.load();
       double const share = load.slots == 0 ? 0 : static_cast<double>(load.running + load.waiting) / load.slots;
       busy_ += (share - busy_) * busy_weight;
@@ -480,7 +480,7 @@
   }
 
   void log_counts() {
-    counted_at_ = w_.now();
+    counted_at_ = env_.now();
     RequestCounts const& c = path_.counts();
     log_info("requests", {{"taken", std::to_string(c.taken)},
                           {"answered", std::to_string(c.answered)},
@@ -495,7 +495,7 @@
                               {"outlived", std::to_string(d.outlived)},
                               {"outlived_ms", std::to_string(d.outlived_ms)}});
     // The simulated network has no send queues.
-    if constexpr (requires { w_.queued(); }) log_sent(w_.queued().sent);
+    if constexpr (requires { env_.queued(); }) log_sent(env_.queued().sent);
   }
 
   template <class Sent>
@@ -519,13 +519,13 @@
   static constexpr Duration count_period = 10s;
   static constexpr std::size_t unstated_connection_limit = 100;
 
-  W& w_;
+  Env& env_;
   MeshNodeSettings const s_;
   InterfaceAdapter const& adapter_;
-  RegisterClient<W> registers_;
-  LocalBackend<W> local_;
-  RequestPath<W, LocalBackend<W>> path_;
-  ZoneFollower<W> follower_;
+  RegisterClient<Env> registers_;
+  LocalBackend<Env> local_;
+  RequestPath<Env, LocalBackend<Env>> path_;
+  ZoneFollower<Env> follower_;
   Departure departure_;
   std::size_t forwarded_ = 0;  // requests of other nodes in flight here
   Instant const started_;
@@ -540,10 +540,10 @@
   Instant next_confirm_{};
   Duration confirm_pause_ = tick_period;
   bool confirm_soon_ = true;
-  std::uint64_t beats_taken_ = 0;  // only the reply to the latest heartbeat may wait
-  typename W::Alarm grant_alarm_;  // has one waiter: the handler of the latest heartbeat
-  typename W::Alarm report_alarm_;
-  typename W::Alarm configuration_alarm_;
+  std::uint64_t beats_taken_ = 0;    // only the reply to the latest heartbeat may wait
+  typename Env::Alarm grant_alarm_;  // has one waiter: the handler of the latest heartbeat
+  typename Env::Alarm report_alarm_;
+  typename Env::Alarm configuration_alarm_;
   double busy_ = 0;
   Instant counted_at_{};
 };
--- a/source/programs/mesh_registry.hpp
+++ b/source/programs/mesh_registry.hpp
@@ -10,19 +10,19 @@
 
 namespace banktide {
 
-template <Surroundings W>
+template <Environment Env>
 class MeshRegistry {
  public:
-  MeshRegistry(W& w, Registry<W>& registry, InterfaceAdapter const& adapter, KeySettings const& keys,
+  MeshRegistry(Env& env, Registry<Env>& registry, InterfaceAdapter const& adapter, KeySettings const& keys,
                MaintenanceSettings const& maintenance = {})
-      : w_(w),
+      : env_(env),
         registry_(registry),
         adapter_(adapter),
-        configuration_(w, registry, adapter),
-        status_(w, registry),
-        coordinator_(w, registry.registers(), keys, [this] { return acting(); }),
-        windows_(w, registry.registers(), [this] { return acting(); }),
-        maintenance_(w, registry, windows_, maintenance) {
+        configuration_(env, registry, adapter),
+        status_(env, registry),
+        coordinator_(env, registry.registers(), keys, [this] { return acting(); }),
+        windows_(env, registry.registers(), [this] { return acting(); }),
+        maintenance_(env, registry, windows_, maintenance) {
     windows_.known = [this] { return registry_.held(Register::maintenance); };
     windows_.on_written = [this](Held const& held) { registry_.announce(Register::maintenance, held); };
     coordinator_.withheld_zones = [this] { return windows_.plan().withheld_zones(); };
@@ -31,9 +31,9 @@
 
   void start(Dispatcher& dispatcher) {
     coordinator_.attach(dispatcher);
-    spawn(w_, coordinator_.run());
-    spawn(w_, windows_.run());
-    spawn(w_, maintenance_.run());
+    spawn(env_, coordinator_.run());
+    spawn(env_, windows_.run());
+    spawn(env_, maintenance_.run());
   }
 
   /** Handles an operator's request. */
@@ -51,18 +51,18 @@
   }
 
  private:
-  using Windows = MaintenanceKeeper<W, RegisterClient<W>>;
+  using Windows = MaintenanceKeeper<Env, RegisterClient<Env>>;
 
   bool acting() const { return registry_.vouched() && registry_.first_of_live_registries(); }
 
-  W& w_;
-  Registry<W>& registry_;
+  Env& env_;
+  Registry<Env>& registry_;
   InterfaceAdapter const& adapter_;
-  ConfigurationInterface<W> configuration_;
-  ControlStatus<W> status_;
-  KeyCoordinator<W, RegisterClient<W>> coordinator_;
+  ConfigurationInterface<Env> configuration_;
+  ControlStatus<Env> status_;
+  KeyCoordinator<Env, RegisterClient<Env>> coordinator_;
   Windows windows_;
-  MaintenanceInterface<W, Registry<W>, Windows> maintenance_;
+  MaintenanceInterface<Env, Registry<Env>, Windows> maintenance_;
 };
 
 }  // namespace banktide
--- a/source/programs/operator_interface.hpp
+++ b/source/programs/operator_interface.hpp
@@ -11,7 +11,7 @@
 
 namespace banktide {
 
-template <Surroundings W>
+template <Environment Env>
 class Registry;
 
 struct Proposal {
@@ -41,11 +41,11 @@
   }
 };
 
-template <Surroundings W>
+template <Environment Env>
 class OperatorInterface {
  public:
-  explicit OperatorInterface(Registry<W>& registry)
-      : registry_(registry), register_(registry.registers()), w_(registry.world()) {}
+  explicit OperatorInterface(Registry<Env>& registry)
+      : registry_(registry), register_(registry.registers()), env_(registry.world()) {}
 
   // What an operator proposes, through whichever door: whole bytes of a
   // register, or a change to the newest catalogue.
@@ -62,7 +62,7 @@
     v.reg = p.reg;
     if (p.request.size() > 128)
       co_return refused(v, 400, Error{"check_request", "", "banktide-request is over 128 bytes", Proof::not_run});
-    if (p.request.empty()) p.request = "auto-" + std::to_string(w_.chance()()) + std::to_string(w_.chance()());
+    if (p.request.empty()) p.request = "auto-" + std::to_string(env_.chance()()) + std::to_string(env_.chance()());
     v.request = p.request;
     std::optional<Revision> expected;
     if (!p.match.empty()) {
@@ -79,7 +79,7 @@
       Result<Layout> const l = Layout::read(p.bytes);
       if (!l) co_return bad_revision(v, l.error());
       Result<Held> const catalogue =
-          co_await register_.read(Register::catalogue, held(Register::catalogue), w_.now() + 2s);
+          co_await register_.read(Register::catalogue, held(Register::catalogue), env_.now() + 2s);
       if (!catalogue) co_return not_taken(v, catalogue.error());
       registry_.take(Register::catalogue, *catalogue);
       Result<Catalogue> const c =
@@ -90,7 +90,7 @@
                                             " would not fit: " + c.error().reason,
                                         Proof::not_run});
     } else {
-      Result<Held> const routing = co_await register_.read(Register::routing, held(Register::routing), w_.now() + 2s);
+      Result<Held> const routing = co_await register_.read(Register::routing, held(Register::routing), env_.now() + 2s);
       if (!routing) co_return not_taken(v, routing.error());
       if (routing->revision == 0)
         co_return bad_revision(v, Error{"check_references", "", "there is no routing revision yet", Proof::not_run});
@@ -103,7 +103,7 @@
     }
     Revision newest = 0;
     Result<Held> done =
-        co_await register_.change(p.reg, p.request, w_.now() + 5s, [&](Held const& now) -> Result<Held> {
+        co_await register_.change(p.reg, p.request, env_.now() + 5s, [&](Held const& now) -> Result<Held> {
           newest = now.revision;
           if (expected && *expected != now.revision)
             return make_error("check_if_match", "", "the newest revision is " + std::to_string(now.revision),
@@ -155,7 +155,7 @@
       }
     StateAsk const question{true};
     auto const replies =
-        co_await ask_all<StateAsk>(w_, others, question, w_.now() + 800ms, [](auto const&) { return false; });
+        co_await ask_all<StateAsk>(env_, others, question, env_.now() + 800ms, [](auto const&) { return false; });
     StateReply const own = co_await registry_.state(question);
     Json j = {{"cells", Json::array({Json::parse(own.json)})}};
     for (auto const& [i, r] : replies) {
@@ -207,7 +207,7 @@
   static std::string quoted(Revision const r) { return "\"" + std::to_string(r) + "\""; }
 
   Task<HttpReply> get(Register const r) {
-    Result<Held> h = co_await register_.read(r, held(r), w_.now() + 2s);
+    Result<Held> h = co_await register_.read(r, held(r), env_.now() + 2s);
     if (!h) co_return not_vouched(h.error());
     registry_.take(r, *h);
     if (h->revision == 0) co_return json_reply(404, {{"error", "nothing was ever put"}, {"revision", 0}});
@@ -275,9 +275,9 @@
   Held const& held(Register const r) const { return registry_.held(r); }
   void note(std::string const& what, Error const& m) { registry_.note(what, m); }
 
-  Registry<W>& registry_;
-  RegisterClient<W>& register_;
-  W& w_;
+  Registry<Env>& registry_;
+  RegisterClient<Env>& register_;
+  Env& env_;
   std::size_t proposing_ = 0;
 };
 
--- a/source/programs/operator_streams.hpp
+++ b/source/programs/operator_streams.hpp
@@ -83,10 +83,10 @@
   return j;
 }
 
-template <Surroundings W>
+template <Environment Env>
 class OperatorStreams {
  public:
-  explicit OperatorStreams(Registry<W>& r) : registry_(r), w_(r.world()) {}
+  explicit OperatorStreams(Registry<Env>& r) : registry_(r), env_(r.world()) {}
 
   static constexpr std::size_t most_streams = 64, most_readers = 32, line_limit = 2 * layout_limit;
 
@@ -94,7 +94,7 @@
   template <LineSource In>
   Task<HttpReply> changes(HttpRequest q, In& in) {
     std::string const name =
-        query_of(q.target)["stream"].empty() ? "auto-" + std::to_string(w_.chance()()) : query_of(q.target)["stream"];
+        query_of(q.target)["stream"].empty() ? "auto-" + std::to_string(env_.chance()()) : query_of(q.target)["stream"];
     std::shared_ptr<Stream> const s = stream(name);
     if (!s) co_return busy("too many streams");
     if (s->sending) co_return json_reply(409, {{"error", "this stream has a sender already"}, {"step", "open_stream"}});
@@ -134,7 +134,7 @@
     if (!s || *readers_ >= most_readers) co_return busy("too many streams or readers");
     Reader const reader(readers_);
     std::uint64_t at = std::min<std::uint64_t>(std::stoull(after), s->verdicts.last());
-    Instant told = w_.now();
+    Instant told = env_.now();
     while (!registry_.leaving()) {
       if (!out.full()) {
         std::optional<std::vector<std::string>> const lines = s->verdicts.since(at, 100);
@@ -146,15 +146,15 @@
         bool open = true;
         for (std::string const& line : *lines) open = open && out.write(line);
         at += lines->size();
-        if (!lines->empty()) told = w_.now();
+        if (!lines->empty()) told = env_.now();
         if (!open || (s->ended && !s->sending && at == s->verdicts.last())) break;
         if (!lines->empty()) continue;
-        if (w_.now() - told > 1s) {
-          told = w_.now();
+        if (env_.now() - told > 1s) {
+          told = env_.now();
           if (!out.write(Json{{"pulse", true}, {"after", at}}.dump())) break;
         }
       }
-      co_await sleep_for(w_, 30ms);
+      co_await sleep_for(env_, 30ms);
     }
     co_return std::nullopt;
   }
@@ -192,13 +192,13 @@
         }
         for (CallEvent const& e : reply.events)
           if (e.state != "answered") open = open && out.write(event_json(e).dump());
-        if (open && w_.now() - told >= 1s) {
-          told = w_.now();
+        if (open && env_.now() - told >= 1s) {
+          told = env_.now();
           open = out.write(Json{{"pulse", true}, {"after", word_of(question.after)}}.dump());
         }
         if (!open) break;
       }
-      co_await sleep_for(w_, 100ms);
+      co_await sleep_for(env_, 100ms);
     }
     co_return std::nullopt;
   }
@@ -275,15 +275,16 @@
     std::vector<Address> others;
     for (RegistryEntry const& e : registry_.directory())
       if (e.address != registry_.address()) others.push_back(e.address);
-    auto replies = co_await ask_all<DecisionsAsk>(w_, others, q, w_.now() + 500ms, [](auto const&) { return false; });
+    auto replies =
+        co_await ask_all<DecisionsAsk>(env_, others, q, env_.now() + 500ms, [](auto const&) { return false; });
     DecisionsReply all = co_await registry_.decisions(q);
     for (auto& [i, r] : replies)
-      if (r) Registry<W>::merge(all, std::move(*r));
+      if (r) Registry<Env>::merge(all, std::move(*r));
     co_return all;
   }
 
-  Registry<W>& registry_;
-  W& w_;
+  Registry<Env>& registry_;
+  Env& env_;
   std::map<std::string, std::shared_ptr<Stream>> streams_;
   std::shared_ptr<std::size_t> const readers_ = std::make_shared<std::size_t>(0);  // a reader may outlive this
   std::uint64_t uses_ = 0;
--- a/source/programs/proxy.hpp
+++ b/source/programs/proxy.hpp
@@ -12,11 +12,11 @@
 
 namespace banktide {
 
-template <Surroundings W, BackendEdge B>
+template <Environment Env, BackendEdge B>
 class Proxy {
  public:
-  Proxy(W& w, B& backends, ProxySettings s)
-      : n_(w, std::move(s)),
+  Proxy(Env& env, B& backends, ProxySettings s)
+      : n_(env, std::move(s)),
         follower_(n_),
         beside_(n_, backends),
         callers_(n_, beside_),
@@ -36,7 +36,7 @@
   }
   void leave() {
     n_.leaving = true;
-    n_.left_at = n_.w.now();
+    n_.left_at = n_.env.now();
     n_.touch();
   }
   // Applies the settings that may change at run time.
@@ -87,11 +87,11 @@
   }
 
  private:
-  NodeState<W> n_;
-  CellFollower<W> follower_;
-  BackendSide<W, B> beside_;
-  CallerSide<W, B> callers_;
-  CarriedSide<W, B> carried_;
+  NodeState<Env> n_;
+  CellFollower<Env> follower_;
+  BackendSide<Env, B> beside_;
+  CallerSide<Env, B> callers_;
+  CarriedSide<Env, B> carried_;
 };
 
 }  // namespace banktide
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -31,19 +31,19 @@
   FeedTiming timing{};
 };
 
-template <Surroundings W>
+template <Environment Env>
 class Registry {
  public:
-  Registry(W& w, RegistrySettings s)
-      : w_(w),
+  Registry(Env& env, RegistrySettings s)
+      : env_(env),
         s_(std::move(s)),
         t_(s_.timing),
-        register_(client_of(w, s_)),
-        lease_(w),
-        started_(w.now()),
+        register_(client_of(env, s_)),
+        lease_(env),
+        started_(env.now()),
         directory_(s_.seeds),
         entries_(t_),
-        reading_(w, SharedReadingSettings{t_.read_every}, [this] { return read_all(); }),
+        reading_(env, SharedReadingSettings{t_.read_every}, [this] { return read_all(); }),
         operators_(*this) {
     directory_.set_own(RegistryEntry{s_.cell, s_.address});
     own_feed_ = make_feed(s_.cell);
@@ -62,30 +62,30 @@
     dispatcher.on<LeaseAsk>([this](LeaseAsk q) { return lease(std::move(q)); });
     dispatcher.on<DecisionsAsk>([this](DecisionsAsk q) { return decisions(std::move(q)); });
     dispatcher.on<StateAsk>([this](StateAsk q) { return state(q); });
-    spawn(w_, keep_meeting());
-    spawn(w_, reading_.run());
-    if (!s_.voters.empty()) spawn(w_, find_floor());
-    spawn(w_, keep_pulsing());
-    spawn(w_, keep_watching());
+    spawn(env_, keep_meeting());
+    spawn(env_, reading_.run());
+    if (!s_.voters.empty()) spawn(env_, find_floor());
+    spawn(env_, keep_pulsing());
+    spawn(env_, keep_watching());
   }
 
   bool ready() const { return vouched() && warm() && !leaving_; }
   void leave() { leaving_ = true; }
   bool leaving() const { return leaving_; }
   /// Whether its nodes had time to join it since it started.
-  bool warm() const { return w_.now() - started_ >= t_.warm_up; }
+  bool warm() const { return env_.now() - started_ >= t_.warm_up; }
   /// Whether there is a recent reading that a majority confirmed.
-  bool vouched() const { return reading_.newest() && w_.now() - *reading_.newest() < vouched_for; }
+  bool vouched() const { return reading_.newest() && env_.now() - *reading_.newest() < vouched_for; }
   /// The time since the request of the latest reading was sent; none before the first reading.
   std::optional<Duration> reading_age() const {
     if (!reading_.newest()) return std::nullopt;
-    return w_.now() - *reading_.newest();
+    return env_.now() - *reading_.newest();
   }
 
   RegistrySettings const& settings() const { return s_; }
-  W& world() { return w_; }
+  Env& world() { return env_; }
   Address const& address() const { return s_.address; }
-  RegisterClient<W>& registers() { return register_; }
+  RegisterClient<Env>& registers() { return register_; }
   Held const& held(Register const r) const { return held_.at(static_cast<std::size_t>(r)); }
   /// The view of the own zone.
   CellView const& view() const { return own_feed_->view(); }
@@ -112,7 +112,7 @@
   }
   /// Whether this registry has the lowest address of those heard from lately, and so acts for all of them.
   bool first_of_live_registries() const {
-    std::vector<Address> const live = directory_.live(w_.now(), heard_lately);
+    std::vector<Address> const live = directory_.live(env_.now(), heard_lately);
     return !live.empty() && live.front() == s_.address;
   }
 
@@ -139,7 +139,7 @@
     }
   }
 
-  void note(std::string const& what, Error const& m) { mishaps_.note(w_.now() - started_, what, m); }
+  void note(std::string const& what, Error const& m) { mishaps_.note(env_.now() - started_, what, m); }
   Mishaps const& mishaps() const { return mishaps_; }
 
   // ---- operator interface
@@ -152,7 +152,8 @@
   Task<DecisionsReply> decisions(DecisionsAsk q) {
     std::vector<Address> nodes;
     for (Member const& m : nodes_kept()) nodes.push_back(m.address);
-    auto replies = co_await ask_all<DecisionsAsk>(w_, nodes, q, w_.now() + 250ms, [](auto const&) { return false; });
+    auto replies =
+        co_await ask_all<DecisionsAsk>(env_, nodes, q, env_.now() + 250ms, [](auto const&) { return false; });
     DecisionsReply all;
     for (auto& [i, r] : replies)
       if (r) merge(all, std::move(*r));
@@ -179,13 +180,13 @@
               {"silent", Json::array()},
               {"grants", Json::array()}};
     for (auto const& [slice, g] : lease_.grants())
-      if (g.until > w_.now())
+      if (g.until > env_.now())
         j["grants"].push_back({{"service", slice.service},
                                {"mapping", slice.mapping},
                                {"slice", slice.slice},
                                {"holder", g.holder},
                                {"epoch", g.epoch},
-                               {"ends_in_ms", as_ms(g.until - w_.now())}});
+                               {"ends_in_ms", as_ms(g.until - env_.now())}});
     if (q.with_nodes) {
       std::vector<Address> nodes;
       std::vector<std::string> ids;
@@ -195,7 +196,7 @@
       }
       StateAsk const question{false};
       auto const replies =
-          co_await ask_all<StateAsk>(w_, nodes, question, w_.now() + 400ms, [](auto const&) { return false; });
+          co_await ask_all<StateAsk>(env_, nodes, question, env_.now() + 400ms, [](auto const&) { return false; });
       std::set<std::string> silent(ids.begin(), ids.end());
       for (auto const& [i, r] : replies) {
         Json const node = r ? Json::parse(r->json, nullptr, false) : Json();
@@ -221,9 +222,9 @@
   static constexpr Duration told_may_be_late = 3s;
   static constexpr std::uint64_t rounds_per_look_at_silent = 8;
 
-  static RegisterClient<W> client_of(W& w, RegistrySettings const& s) {
-    if (!s.voters.empty()) return RegisterClient<W>(w, s.voters);
-    return RegisterClient<W>(w, StoreSeeds{stores_beside(s.seeds, s.store_port)});
+  static RegisterClient<Env> client_of(Env& env, RegistrySettings const& s) {
+    if (!s.voters.empty()) return RegisterClient<Env>(env, s.voters);
+    return RegisterClient<Env>(env, StoreSeeds{stores_beside(s.seeds, s.store_port)});
   }
 
   // ---- register values
@@ -246,7 +247,7 @@
   }
 
   // Large values are sent to a zone's nodes as deltas where the delta is known.
-  void send_down(ZoneFeed<W>& feed, Register const r) {
+  void send_down(ZoneFeed<Env>& feed, Register const r) {
     Held const& newest = held(r);
     KeyDelta const* const of_keys = key_deltas_.newest();
     TextDelta const* const of_routing = routing_deltas_.newest();
@@ -260,7 +261,7 @@
   }
 
   Task<LayoutsReply> layouts(LayoutsAsk q) {
-    if (q.fresh || !vouched()) co_await reading_.read_anew(w_.now() + fresh_patience);
+    if (q.fresh || !vouched()) co_await reading_.read_anew(env_.now() + fresh_patience);
     LayoutsReply reply;
     reply.known = vouched();
     if (reply.known) reply.reading_age_ms = static_cast<std::uint32_t>(as_ms(*reading_age()) + 1);  // rounded up
@@ -292,7 +293,7 @@
   }
 
   Task<bool> read_all() {
-    Instant const deadline = w_.now() + read_patience;
+    Instant const deadline = env_.now() + read_patience;
     // Usually nothing has changed, and one request shows that for all registers.
     std::optional<Revisions> const newest = co_await register_.newest_revisions(deadline);
     bool all = true;
@@ -307,7 +308,7 @@
   Task<bool> read_one(Register const r, Instant const deadline) {
     bool const large = r == Register::keys && held(r).revision > 0;
     if (large) {
-      bool const current = co_await confirm_keys(std::min(deadline, w_.now() + quiet_reading));
+      bool const current = co_await confirm_keys(std::min(deadline, env_.now() + quiet_reading));
       if (current) co_return true;
     }
     Held const known = held(r);
@@ -322,20 +323,20 @@
     Result<ConfirmedRevision> const newest =
         co_await register_.confirm_revision(Register::keys, held(Register::keys).revision, deadline);
     if (!newest) co_return false;
-    Instant const until = w_.now() + told_within;
-    while (held(Register::keys).revision < newest->revision && w_.now() < until)
-      co_await sleep_for(w_, told_within / 4);
+    Instant const until = env_.now() + told_within;
+    while (held(Register::keys).revision < newest->revision && env_.now() < until)
+      co_await sleep_for(env_, told_within / 4);
     co_return held(Register::keys).revision >= newest->revision;
   }
 
   // Lease epochs start from a round number of the register that was never issued before, so they never repeat.
   Task<void> find_floor() {
     while (!lease_.floored()) {
-      Result<std::uint64_t> const round = co_await register_.rise(Register::routing, w_.now() + 2s);
+      Result<std::uint64_t> const round = co_await register_.rise(Register::routing, env_.now() + 2s);
       if (round)
         lease_.set_floor(broken_on_purpose("epochs_start_again") ? 1 : *round << 20);
       else
-        co_await sleep_for(w_, 200ms);
+        co_await sleep_for(env_, 200ms);
     }
   }
 
@@ -344,9 +345,9 @@
   // ---- other registries
 
   Task<MeetReply> meet(Meet q) {
-    directory_.learn_names(q.registries, w_.now());
+    directory_.learn_names(q.registries, env_.now());
     MeetReply reply;
-    reply.registries = directory_.told(w_.now());
+    reply.registries = directory_.told(env_.now());
     std::size_t const cores = s_.voters.empty() ? directory_.entries().size() : s_.voters.size();
     reply.cores = static_cast<std::uint32_t>(cores);
     co_return reply;
@@ -354,12 +355,12 @@
 
   // One task for each peer, so that a peer that hangs doesn't delay the others.
   Task<void> meet_one(Address const peer) {
-    Instant const asked = w_.now();
+    Instant const asked = env_.now();
     Meet const question{directory_.told(asked)};
-    Result<MeetReply> const r = co_await ask(w_, peer, question, asked + meet_patience);
+    Result<MeetReply> const r = co_await ask(env_, peer, question, asked + meet_patience);
     if (!r) co_return;
-    directory_.heard(peer, w_.now());
-    directory_.learn_answer(r->registries, asked, w_.now());
+    directory_.heard(peer, env_.now());
+    directory_.learn_answer(r->registries, asked, env_.now());
   }
 
   Task<void> keep_meeting() {
@@ -367,32 +368,32 @@
       std::set<Address> peers(s_.seeds.begin(), s_.seeds.end());
       bool const also_silent = round % rounds_per_look_at_silent == 0;
       for (RegistryEntry const& e : directory_.entries())
-        if (also_silent || directory_.alive(e.address, w_.now())) peers.insert(e.address);
+        if (also_silent || directory_.alive(e.address, env_.now())) peers.insert(e.address);
       peers.erase(s_.address);
-      for (Address const& peer : peers) spawn(w_, meet_one(peer));
-      directory_.forget_silent(w_.now());
+      for (Address const& peer : peers) spawn(env_, meet_one(peer));
+      directory_.forget_silent(env_.now());
       if (s_.voters.empty())
         register_.learn(stores_beside(std::vector<Address>(peers.begin(), peers.end()), s_.store_port));
-      co_await sleep_for(w_, directory_.entries().size() < 2 ? Duration(200ms) : t_.registry_meet_every);
+      co_await sleep_for(env_, directory_.entries().size() < 2 ? Duration(200ms) : t_.registry_meet_every);
     }
   }
 
   template <class Q>
   void tell_registries(Q const& q) {
     SharedBytes const raw = pack_shared(q);
-    for (Address const& a : directory_.live(w_.now()))
-      if (a != s_.address) w_.tell_raw(a, Q::kind, raw);
+    for (Address const& a : directory_.live(env_.now()))
+      if (a != s_.address) env_.tell_raw(a, Q::kind, raw);
   }
 
   // ---- zone entries exchanged between registries
 
-  bool keeps(std::string const& zone) const { return directory_.registry_of(zone, w_.now()) == s_.address; }
+  bool keeps(std::string const& zone) const { return directory_.registry_of(zone, env_.now()) == s_.address; }
 
   Task<Told> cell_told(CellTold q) {
-    directory_.heard(q.sender, w_.now() - told_may_be_late);
+    directory_.heard(q.sender, env_.now() - told_may_be_late);
     auto const feed = feeds_.find(q.entry.cell);
     bool const kept_here = feed != feeds_.end() && feed->second->has_nodes() && keeps(q.entry.cell);
-    CellEntry const* const newer = kept_here ? nullptr : entries_.take(std::move(q), w_.now());
+    CellEntry const* const newer = kept_here ? nullptr : entries_.take(std::move(q), env_.now());
     if (newer != nullptr) show(*newer);
     co_return Told{};
   }
@@ -405,7 +406,7 @@
     for (auto const& [zone, feed] : feeds_) {
       bool const known = feed->warm() && feed->had_nodes() && keeps(zone);
       std::optional<CellTold> told;
-      if (known) told = entries_.due(zone, feed->position(), w_.now(), [&] { return feed->entry(); });
+      if (known) told = entries_.due(zone, feed->position(), env_.now(), [&] { return feed->entry(); });
       if (!told) continue;
       told->sender = s_.address;
       show(told->entry);
@@ -415,16 +416,16 @@
 
   // ---- zone feeds
 
-  std::shared_ptr<ZoneFeed<W>> make_feed(std::string const& zone) {
+  std::shared_ptr<ZoneFeed<Env>> make_feed(std::string const& zone) {
     FeedSettings settings{zone, s_.id, s_.address, t_};
     FeedSources sources{[this] { return vouched(); }, [this] { return revisions(); }};
-    std::shared_ptr<ZoneFeed<W>> const feed =
-        std::make_shared<ZoneFeed<W>>(w_, std::move(settings), std::move(sources));
+    std::shared_ptr<ZoneFeed<Env>> const feed =
+        std::make_shared<ZoneFeed<Env>>(env_, std::move(settings), std::move(sources));
     entries_.each([&](CellEntry const& entry) { feed->take_entry(entry); });
     return feed;
   }
 
-  std::shared_ptr<ZoneFeed<W>> feed_of(std::string const& zone) const {
+  std::shared_ptr<ZoneFeed<Env>> feed_of(std::string const& zone) const {
     auto const it = feeds_.find(zone.empty() ? s_.cell : zone);
     return it == feeds_.end() ? nullptr : it->second;
   }
@@ -442,13 +443,13 @@
     JoinReply reply;
     if (zone.empty()) co_return reply;
     if (!keeps(zone)) {
-      reply.registry = directory_.registry_of(zone, w_.now());
+      reply.registry = directory_.registry_of(zone, env_.now());
       reply.registry_zone = directory_.zone_of(reply.registry);
       co_return reply;
     }
-    std::shared_ptr<ZoneFeed<W>> feed = feed_of(zone);
+    std::shared_ptr<ZoneFeed<Env>> feed = feed_of(zone);
     // Right after this registry's start the zone's own registry may still be starting.
-    if (!feed && w_.now() - started_ < adopt_after) co_return reply;
+    if (!feed && env_.now() - started_ < adopt_after) co_return reply;
     if (!feed) {
       feed = make_feed(zone);
       feeds_[zone] = feed;
@@ -459,7 +460,7 @@
 
   Task<FollowReply> follow(Follow q) {
     FollowReply reply;
-    std::shared_ptr<ZoneFeed<W>> const feed = feed_of(q.zone);
+    std::shared_ptr<ZoneFeed<Env>> const feed = feed_of(q.zone);
     if (!feed || (!q.zone.empty() && !keeps(q.zone))) co_return reply;
     reply = feed->follow(q);
     bool const foreign = q.zone.empty() && reply.snapshot && feed->had_nodes();
@@ -468,20 +469,20 @@
   }
 
   Task<Told> beat(Beat q) {
-    std::shared_ptr<ZoneFeed<W>> const feed = feed_of(q.zone);
+    std::shared_ptr<ZoneFeed<Env>> const feed = feed_of(q.zone);
     if (feed) feed->beat(q);
     co_return Told{};
   }
 
   Task<Told> suspect(Suspect q) {
-    std::shared_ptr<ZoneFeed<W>> const feed = feed_of(q.zone);
+    std::shared_ptr<ZoneFeed<Env>> const feed = feed_of(q.zone);
     if (feed) feed->suspect(q);
     co_return Told{};
   }
 
   Task<void> keep_pulsing() {
     while (true) {
-      co_await sleep_for(w_, t_.pulse_every);
+      co_await sleep_for(env_, t_.pulse_every);
       for (auto const& [zone, feed] : feeds_) feed->pulse();
       tell_entries();
     }
@@ -489,11 +490,11 @@
 
   Task<void> keep_watching() {
     while (true) {
-      co_await sleep_for(w_, t_.beat_every);
+      co_await sleep_for(env_, t_.beat_every);
       for (auto const& [zone, feed] : feeds_)
         if (feed == own_feed_ || keeps(zone)) feed->watch();
       drop_empty_feeds();
-      for (CellEntry const& gone : entries_.forget(w_.now())) show(gone);
+      for (CellEntry const& gone : entries_.forget(env_.now())) show(gone);
     }
   }
 
@@ -506,11 +507,11 @@
     });
   }
 
-  W& w_;
+  Env& env_;
   RegistrySettings const s_;
   FeedTiming const& t_;
-  RegisterClient<W> register_;
-  LeaseVoter<W> lease_;
+  RegisterClient<Env> register_;
+  LeaseVoter<Env> lease_;
   Instant const started_;
   Mishaps mishaps_;
   RegistryDirectory directory_;
@@ -518,11 +519,11 @@
   DeltaHistory<KeyDelta> key_deltas_;       // up to the current key table, if any
   DeltaHistory<TextDelta> routing_deltas_;  // up to the current configuration, if any
   bool leaving_ = false;
-  std::shared_ptr<ZoneFeed<W>> own_feed_;
-  std::map<std::string, std::shared_ptr<ZoneFeed<W>>> feeds_;
+  std::shared_ptr<ZoneFeed<Env>> own_feed_;
+  std::map<std::string, std::shared_ptr<ZoneFeed<Env>>> feeds_;
   ZoneEntries entries_;
-  SharedReading<W> reading_;
-  OperatorInterface<W> operators_;
+  SharedReading<Env> reading_;
+  OperatorInterface<Env> operators_;
 };
 
 }  // namespace banktide
--- a/source/simulation/sim_world.hpp
+++ b/source/simulation/sim_world.hpp
@@ -360,7 +360,7 @@
   net.begin(x, 0us);
 }
 
-static_assert(Surroundings<SimProcess>);
+static_assert(Environment<SimProcess>);
 
 // A disk outlives the processes that use it. Power lost during a sync leaves
 // the old record or the new one.
--- a/source/state/decisions.hpp
+++ b/source/state/decisions.hpp
@@ -8,9 +8,9 @@
 
 namespace banktide {
 
-class Decisions {
+class DecisionLog {
  public:
-  Decisions(std::string node, std::uint64_t const life, std::size_t const limit)
+  DecisionLog(std::string node, std::uint64_t const life, std::size_t const limit)
       : node_(std::move(node)), life_(life), journal_(limit) {}
 
   void append(CallEvent e) {
--- a/source/state/layout.hpp
+++ b/source/state/layout.hpp
@@ -1,4 +1,4 @@
-// What operators give: the routing layout (cells, services, ways) and the
+// What operators give: the routing layout (cells, services, path_routes) and the
 // catalogue (which services and key slices each cell can serve). Both are read
 // through one door: size, JSON with no key twice, schema, then references.
 // A refusal names the JSON pointer. Service and cell names become dense indices
@@ -58,7 +58,7 @@
   return static_cast<std::uint32_t>(digest_of(key) % slices);
 }
 
-struct Way {
+struct PathRoute {
   std::string prefix;
   Index service = no_index;
 };
@@ -103,22 +103,22 @@
     std::size_t at = 0;
     for (Json const& w : (*j)["ways"]) {
       std::string const pointer = "/ways/" + std::to_string(at++);
-      Way way{w["prefix"].get<std::string>(), l.service_names.find(w["service"].get<std::string>())};
+      PathRoute way{w["prefix"].get<std::string>(), l.service_names.find(w["service"].get<std::string>())};
       if (way.service == no_index)
         return make_error("check_references", pointer + "/service", "no such service", Proof::not_run);
       if (!prefixes.insert(way.prefix).second)
         return make_error("check_references", pointer + "/prefix", "prefix stands twice", Proof::not_run);
-      l.ways.push_back(std::move(way));
+      l.path_routes.push_back(std::move(way));
     }
-    std::sort(l.ways.begin(), l.ways.end(),
-              [](Way const& a, Way const& b) { return a.prefix.size() > b.prefix.size(); });
+    std::sort(l.path_routes.begin(), l.path_routes.end(),
+              [](PathRoute const& a, PathRoute const& b) { return a.prefix.size() > b.prefix.size(); });
     return l;
   }
 
   // The longest prefix that ends at a path segment's end.
   Index way_of(std::string const& target) const {
     std::string_view const path = std::string_view(target).substr(0, target.find('?'));
-    for (Way const& w : ways) {
+    for (PathRoute const& w : path_routes) {
       if (path.substr(0, w.prefix.size()) != w.prefix) continue;
       if (w.prefix.back() == '/' || path.size() == w.prefix.size() || path[w.prefix.size()] == '/') return w.service;
     }
@@ -128,7 +128,7 @@
   NameIndex cells;
   NameIndex service_names;
   std::vector<Service> services;
-  std::vector<Way> ways;
+  std::vector<PathRoute> path_routes;
 };
 
 class Catalogue {
@@ -227,9 +227,9 @@
 // catalogue is silent on a keyed service, each slice has one home among them,
 // the one with the highest digest, so that all who see the same cells agree;
 // the leases see to it that it moves only when the old home has let go.
-template <class Offering>
+template <class ZonesOffering>
 Choice choose_cells(Layout const& layout, Catalogue const& c, std::string const& own, Index const service,
-                    std::uint32_t const slice, Offering offering) {
+                    std::uint32_t const slice, ZonesOffering offering) {
   Choice out;
   if (service < c.closed.size() && c.closed[service]) {
     out.dropped = "closed by the catalogue";
--- a/source/state/pick.hpp
+++ b/source/state/pick.hpp
@@ -31,7 +31,7 @@
   return best;
 }
 
-struct Mark {
+struct TargetHistory {
   std::uint32_t in_flight = 0;
   std::uint32_t mishaps = 0;  // in a row
   std::uint32_t ejections = 0;
@@ -40,16 +40,16 @@
   Instant last_used{};
 };
 
-class Marks {
+class TargetHistories {
  public:
   static constexpr std::uint32_t mishaps_to_eject = 3;
   static constexpr Duration entry_time = 5s;
 
-  Mark& at(std::string const& name, Instant const now) {
+  TargetHistory& at(std::string const& name, Instant const now) {
     auto it = marks_.find(name);
     if (it == marks_.end()) {
       if (marks_.size() >= 4096) prune(now);
-      it = marks_.emplace(name, Mark{}).first;
+      it = marks_.emplace(name, TargetHistory{}).first;
       it.value().entry_from = now;
     }
     it.value().last_used = now;
@@ -57,7 +57,7 @@
   }
   bool ejected(std::string const& name, Instant const now) { return now < at(name, now).ejected_until; }
   double entry(std::string const& name, Instant const now) {
-    Mark const& m = at(name, now);
+    TargetHistory const& m = at(name, now);
     if (m.ejections == 0) return 1;
     double const share = std::chrono::duration<double>(now - m.entry_from) / std::chrono::duration<double>(entry_time);
     return std::min(1.0, std::max(0.1, share));
@@ -65,7 +65,7 @@
   void fine(std::string const& name, Instant const now) { at(name, now).mishaps = 0; }
   // A refusal to connect ejects at once; others in a row. Says whether it did.
   bool bad(std::string const& name, Instant const now, bool const at_once) {
-    Mark& m = at(name, now);
+    TargetHistory& m = at(name, now);
     ++m.mishaps;
     if (!at_once && m.mishaps < mishaps_to_eject) return false;
     m.mishaps = 0;
@@ -83,7 +83,7 @@
   }
 
  private:
-  tsl::robin_map<std::string, Mark> marks_;
+  tsl::robin_map<std::string, TargetHistory> marks_;
 };
 
 }  // namespace banktide
--- a/source/transport/http_edge.hpp
+++ b/source/transport/http_edge.hpp
@@ -254,10 +254,10 @@
 
 // One call on one fresh connection. Only a failure to connect is proof that
 // nothing was sent.
-template <Clock W>
+template <Clock Env>
 class HttpCaller {
  public:
-  explicit HttpCaller(W& w, std::string host = "127.0.0.1") : w_(w), host_(std::move(host)) {}
+  explicit HttpCaller(Env& env, std::string host = "127.0.0.1") : env_(env), host_(std::move(host)) {}
 
   Task<Result<HttpReply>> run(std::uint16_t const port, HttpRequest q, Instant const deadline) {
     return run_at(host_ + ":" + std::to_string(port), std::move(q), deadline);
@@ -265,9 +265,9 @@
 
   // Whether anybody takes connections at the port; only a refusal says no.
   Task<bool> listens(std::uint16_t const port) {
-    std::shared_ptr<asio::ip::tcp::socket> s = std::make_shared<asio::ip::tcp::socket>(w_.executor());
+    std::shared_ptr<asio::ip::tcp::socket> s = std::make_shared<asio::ip::tcp::socket>(env_.executor());
     boost::system::error_code ec;
-    asio::steady_timer limit(w_.executor(), w_.now() + 300ms);
+    asio::steady_timer limit(env_.executor(), env_.now() + 300ms);
     limit.async_wait([s](boost::system::error_code const& e) {
       if (!e) s->close();
     });
@@ -276,7 +276,7 @@
   }
 
   Task<Result<HttpReply>> run_at(Address const peer, HttpRequest q, Instant const deadline) {
-    Duration const left = deadline - w_.now();
+    Duration const left = deadline - env_.now();
     if (left <= 1ms) co_return make_error("connect", peer, "deadline", Proof::not_run);
     web::http::client::http_client_config config;
     config.set_timeout(std::chrono::duration_cast<std::chrono::milliseconds>(left) + 1ms);
@@ -295,9 +295,9 @@
     }
     pplx::cancellation_token_source cancel;
     std::shared_ptr<bool> finished = std::make_shared<bool>(false);
-    std::shared_ptr<typename W::Alarm> limit = std::make_shared<typename W::Alarm>(w_);
-    spawn(w_,
-          [](std::shared_ptr<typename W::Alarm> a, std::shared_ptr<bool> done, pplx::cancellation_token_source c,
+    std::shared_ptr<typename Env::Alarm> limit = std::make_shared<typename Env::Alarm>(env_);
+    spawn(env_,
+          [](std::shared_ptr<typename Env::Alarm> a, std::shared_ptr<bool> done, pplx::cancellation_token_source c,
              Instant until) -> Task<void> {
             co_await a->wait(until);
             if (!*done) c.cancel();
@@ -355,7 +355,7 @@
     co_return reply;
   }
 
-  W& w_;
+  Env& env_;
   std::string const host_;
 };
 
--- a/source/transport/peer_connection.hpp
+++ b/source/transport/peer_connection.hpp
@@ -41,7 +41,7 @@
 
  private:
   struct Waiting {
-    explicit Waiting(SocketWorld& w) : reply(w) {}
+    explicit Waiting(SocketWorld& env) : reply(env) {}
     OneShot<SocketWorld, Result<Bytes>> reply;
     bool sent = false;
   };
--- a/source/transport/socket_world.cpp
+++ b/source/transport/socket_world.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-static_assert(Surroundings<SocketWorld>);
+static_assert(Environment<SocketWorld>);
 
 Result<asio::ip::tcp::endpoint> parse_address(Address const& a) {
   std::size_t const colon = a.rfind(':');
@@ -33,7 +33,7 @@
   (void)started;
 }
 
-SocketWorld::Alarm::Alarm(SocketWorld& w) : timer_(w.executor()) {}
+SocketWorld::Alarm::Alarm(SocketWorld& env) : timer_(env.executor()) {}
 
 Task<bool> SocketWorld::Alarm::wait(Instant const until) {
   if (woken_) {
--- a/source/transport/socket_world.hpp
+++ b/source/transport/socket_world.hpp
@@ -30,7 +30,7 @@
  public:
   class Alarm {
    public:
-    explicit Alarm(SocketWorld& w);
+    explicit Alarm(SocketWorld& env);
     /** True when the time came, false when it was woken before. */
     Task<bool> wait(Instant until);
     void wake();
--- a/source/transport/surroundings.hpp
+++ b/source/transport/surroundings.hpp
@@ -53,31 +53,31 @@
   }
 };
 
-template <class W>
-concept Clock = requires(W& w, Instant t, typename W::Alarm& a) {
-  { w.now() } -> std::same_as<Instant>;
-  { w.chance() } -> std::same_as<std::mt19937_64&>;
+template <class Env>
+concept Clock = requires(Env& env, Instant t, typename Env::Alarm& a) {
+  { env.now() } -> std::same_as<Instant>;
+  { env.chance() } -> std::same_as<std::mt19937_64&>;
   { a.wait(t) } -> std::same_as<Task<bool>>;
   a.wake();
 }
-&&std::constructible_from<typename W::Alarm, W&>;
-
-template <class W>
-concept PeerTransport = requires(W& w, Address const& peer, std::uint8_t kind, Bytes b, SharedBytes shared, Instant t,
-                                 Dispatcher& d) {
-  { w.ask_raw(peer, kind, b, t) } -> std::same_as<Task<Result<Bytes>>>;
-  w.tell_raw(peer, kind, shared);
-  w.serve(d);
+&&std::constructible_from<typename Env::Alarm, Env&>;
+
+template <class Env>
+concept PeerTransport = requires(Env& env, Address const& peer, std::uint8_t kind, Bytes b, SharedBytes shared,
+                                 Instant t, Dispatcher& d) {
+  { env.ask_raw(peer, kind, b, t) } -> std::same_as<Task<Result<Bytes>>>;
+  env.tell_raw(peer, kind, shared);
+  env.serve(d);
 };
 
-template <class W>
-concept Surroundings = Clock<W> && PeerTransport<W> && requires(W& w) {
-  w.executor();
+template <class Env>
+concept Environment = Clock<Env> && PeerTransport<Env> && requires(Env& env) {
+  env.executor();
 };
 
-template <class W>
-void spawn(W& w, Task<void> task) {
-  asio::co_spawn(w.executor(), std::move(task), [](std::exception_ptr e) {
+template <class Env>
+void spawn(Env& env, Task<void> task) {
+  asio::co_spawn(env.executor(), std::move(task), [](std::exception_ptr e) {
     if (!e) return;
     try {
       std::rethrow_exception(e);
@@ -87,10 +87,10 @@
   });
 }
 
-template <Clock W>
-Task<void> sleep_for(W& w, Duration d) {
-  typename W::Alarm alarm(w);
-  co_await alarm.wait(w.now() + d);
+template <Clock Env>
+Task<void> sleep_for(Env& env, Duration d) {
+  typename Env::Alarm alarm(env);
+  co_await alarm.wait(env.now() + d);
 }
 
 template <class Q>
@@ -101,31 +101,31 @@
   return reply;
 }
 
-template <class Q, PeerTransport W>
-Task<Result<typename Q::Reply>> ask(W& w, Address peer, Q q, Instant deadline) {
-  Result<Bytes> const raw = co_await w.ask_raw(peer, Q::kind, pack(q), deadline);
+template <class Q, PeerTransport Env>
+Task<Result<typename Q::Reply>> ask(Env& env, Address peer, Q q, Instant deadline) {
+  Result<Bytes> const raw = co_await env.ask_raw(peer, Q::kind, pack(q), deadline);
   co_return unpack_reply<Q>(raw, peer);
 }
 
 /** Passes a cancellation on to the peer, which still answers. One that comes before anything was sent is proof. */
-template <class Q, PeerTransport W>
-Task<Result<typename Q::Reply>> ask_cancellable(W& w, Address peer, Q q, Instant deadline,
+template <class Q, PeerTransport Env>
+Task<Result<typename Q::Reply>> ask_cancellable(Env& env, Address peer, Q q, Instant deadline,
                                                 SharedCancellation cancellation) {
-  Result<Bytes> const raw = co_await w.ask_raw(peer, Q::kind, pack(q), deadline, std::move(cancellation));
+  Result<Bytes> const raw = co_await env.ask_raw(peer, Q::kind, pack(q), deadline, std::move(cancellation));
   co_return unpack_reply<Q>(raw, peer);
 }
 
-template <class Q, PeerTransport W>
-void tell(W& w, Address const& peer, Q const& q) {
-  w.tell_raw(peer, Q::kind, pack_shared(q));
+template <class Q, PeerTransport Env>
+void tell(Env& env, Address const& peer, Q const& q) {
+  env.tell_raw(peer, Q::kind, pack_shared(q));
 }
 
-// One value, given once, awaited once, with a deadline. (W is a Clock; it is not
+// One value, given once, awaited once, with a deadline. (Env is a Clock; it is not
 // constrained here, as a world's own parts hold these before it is complete.)
-template <class W, class T>
+template <class Env, class T>
 class OneShot {
  public:
-  explicit OneShot(W& w) : alarm_(w) {}
+  explicit OneShot(Env& env) : alarm_(env) {}
   void give(T v) {
     if (value_) return;
     value_.emplace(std::move(v));
@@ -138,66 +138,66 @@
   }
 
  private:
-  typename W::Alarm alarm_;
+  typename Env::Alarm alarm_;
   std::optional<T> value_;
 };
 
 // One at a time, in the order of asking.
-template <class W>
+template <class Env>
 class Turn {
  public:
-  explicit Turn(W& w) : w_(w) {}
+  explicit Turn(Env& env) : env_(env) {}
   std::size_t waiting() const { return waiting_.size(); }
   Task<void> enter() {
     if (!busy_) {
       busy_ = true;
       co_return;
     }
-    std::shared_ptr<OneShot<W, bool>> mine = std::make_shared<OneShot<W, bool>>(w_);
+    std::shared_ptr<OneShot<Env, bool>> mine = std::make_shared<OneShot<Env, bool>>(env_);
     waiting_.push_back(mine);
-    while (!mine->given()) co_await mine->wait(w_.now() + 3600s);
+    while (!mine->given()) co_await mine->wait(env_.now() + 3600s);
   }
   void leave() {
     if (waiting_.empty()) {
       busy_ = false;
       return;
     }
-    std::shared_ptr<OneShot<W, bool>> next = waiting_.front();
+    std::shared_ptr<OneShot<Env, bool>> next = waiting_.front();
     waiting_.pop_front();
     next->give(true);
   }
 
  private:
-  W& w_;
+  Env& env_;
   bool busy_ = false;
-  std::deque<std::shared_ptr<OneShot<W, bool>>> waiting_;
+  std::deque<std::shared_ptr<OneShot<Env, bool>>> waiting_;
 };
 
 // Asks every peer at once and returns as soon as `enough` says so, or when all
 // have answered, or at the deadline. Late answers go nowhere.
-template <class Q, Surroundings W, class Enough>
-Task<std::vector<std::pair<std::size_t, Result<typename Q::Reply>>>> ask_all(W& w, std::vector<Address> peers, Q q,
+template <class Q, Environment Env, class Enough>
+Task<std::vector<std::pair<std::size_t, Result<typename Q::Reply>>>> ask_all(Env& env, std::vector<Address> peers, Q q,
                                                                              Instant deadline, Enough enough) {
   using Replies = std::vector<std::pair<std::size_t, Result<typename Q::Reply>>>;
   struct Shared {
-    explicit Shared(W& world) : done(world) {}
+    explicit Shared(Env& world) : done(world) {}
     Replies replies;
-    OneShot<W, bool> done;
+    OneShot<Env, bool> done;
     Enough* enough = nullptr;
     bool closed = false;
   };
-  std::shared_ptr<Shared> shared = std::make_shared<Shared>(w);
+  std::shared_ptr<Shared> shared = std::make_shared<Shared>(env);
   shared->enough = &enough;
   std::size_t const n = peers.size();
   for (std::size_t i = 0; i < n; ++i) {
-    spawn(w,
-          [](W& world, std::shared_ptr<Shared> s, Address peer, Q question, std::size_t at, std::size_t all,
+    spawn(env,
+          [](Env& world, std::shared_ptr<Shared> s, Address peer, Q question, std::size_t at, std::size_t all,
              Instant until) -> Task<void> {
             Result<typename Q::Reply> r = co_await ask(world, peer, std::move(question), until);
             if (s->closed) co_return;
             s->replies.emplace_back(at, std::move(r));
             if (s->replies.size() == all || (*s->enough)(s->replies)) s->done.give(true);
-          }(w, shared, peers[i], q, i, n, deadline));
+          }(env, shared, peers[i], q, i, n, deadline));
   }
   if (n > 0) co_await shared->done.wait(deadline);
   shared->closed = true;
--- a/tests/coordination/voter_set_test.cpp
+++ b/tests/coordination/voter_set_test.cpp
@@ -62,8 +62,8 @@
     p->serve(*trial.dispatchers.back());
   }
   template <class Q>
-  static Task<void> ask_one(SimProcess& w, Address const peer, Q const q, std::optional<typename Q::Reply>& out) {
-    Result<typename Q::Reply> const r = co_await ask<Q>(w, peer, q, w.now() + 1s);
+  static Task<void> ask_one(SimProcess& env, Address const peer, Q const q, std::optional<typename Q::Reply>& out) {
+    Result<typename Q::Reply> const r = co_await ask<Q>(env, peer, q, env.now() + 1s);
     if (r) out = *r;
   }
   template <class Q>
--- a/tests/state/decisions_test.cpp
+++ b/tests/state/decisions_test.cpp
@@ -7,8 +7,8 @@
 namespace banktide {
 namespace {
 
-TEST(Decisions, a_reader_gets_every_event_once_or_is_told_of_the_gap) {
-  Decisions d("n", 7, 100);
+TEST(DecisionLog, a_reader_gets_every_event_once_or_is_told_of_the_gap) {
+  DecisionLog d("n", 7, 100);
   DecisionsAsk q;
   q.most = 10;
   std::uint64_t seen = 0, lost = 0, made = 0;
@@ -35,7 +35,7 @@
   EXPECT_EQ(d.since(q).gaps[0].lost, 50u);
   q.filter.decision = "drop";
   EXPECT_TRUE(d.since(q).events.empty());
-  Decisions again("n", 8, 100);
+  DecisionLog again("n", 8, 100);
   again.append(CallEvent{});
   DecisionsReply const reborn = again.since(q);
   ASSERT_EQ(reborn.gaps.size(), 1u);
--- a/tests/state/layout_test.cpp
+++ b/tests/state/layout_test.cpp
@@ -91,7 +91,7 @@
         continue;
       }
       ASSERT_EQ(l->services.size(), l->service_names.size()) << s;
-      for (Way const& w : l->ways) ASSERT_LT(w.service, l->services.size()) << s;
+      for (PathRoute const& w : l->path_routes) ASSERT_LT(w.service, l->services.size()) << s;
       for (Service const& v : l->services) ASSERT_LE(v.slices, 1024u) << s;
       ASSERT_TRUE(Catalogue::read(catalogue, *l, true)) << s;
     } else {
--- a/tests/state/pick_test.cpp
+++ b/tests/state/pick_test.cpp
@@ -21,8 +21,8 @@
   for (std::size_t i = 0; i < n.size(); ++i) EXPECT_NEAR(seen[i], model[i], 0.01) << i;
 }
 
-TEST(Marks, three_mishaps_in_a_row_eject_and_the_way_back_is_gradual) {
-  Marks m;
+TEST(TargetHistories, three_mishaps_in_a_row_eject_and_the_way_back_is_gradual) {
+  TargetHistories m;
   Instant t{std::chrono::seconds(100)};
   m.bad("x", t, false);
   m.bad("x", t, false);
--- a/tests/transport/http_edge_test.cpp
+++ b/tests/transport/http_edge_test.cpp
@@ -66,19 +66,19 @@
 inline testing::Environment* const pool_emptied = testing::AddGlobalTestEnvironment(new PoolEmptied());
 
 // They stay for the whole test run, as the pool does.
-inline CrookedBackend* crooked(SocketWorld& w, std::string const& bytes) {
+inline CrookedBackend* crooked(SocketWorld& env, std::string const& bytes) {
   static std::vector<CrookedBackend*>* const all = new std::vector<CrookedBackend*>();
   return on_pool([&]() {
-    all->push_back(new CrookedBackend(w.io(), bytes));
+    all->push_back(new CrookedBackend(env.io(), bytes));
     return all->back();
   });
 }
 
-inline Result<HttpReply> call_port(SocketWorld& w, std::uint16_t const port, HttpRequest q) {
-  HttpCaller<SocketWorld> caller(w);
+inline Result<HttpReply> call_port(SocketWorld& env, std::uint16_t const port, HttpRequest q) {
+  HttpCaller<SocketWorld> caller(env);
   std::promise<Result<HttpReply>> p;
   on_pool([&]() {
-    asio::co_spawn(w.executor(), caller.run(port, std::move(q), w.now() + 20s),
+    asio::co_spawn(env.executor(), caller.run(port, std::move(q), env.now() + 20s),
                    [&](std::exception_ptr e, Result<HttpReply> r) {
                      p.set_value(e ? Result<HttpReply>(make_error("test", "", "exception")) : std::move(r));
                    });
@@ -89,7 +89,7 @@
 
 TEST(HttpEdge, only_a_whole_reply_is_an_answer_and_nothing_is_sent_twice) {
   start_pool();
-  SocketWorld w;
+  SocketWorld env;
   struct Trap {
     std::string bytes;
     bool good;
@@ -112,8 +112,8 @@
            Trap{std::string("\0\1garbage\r\n\r\n", 13), false},
            Trap{"", false},
        }) {
-    CrookedBackend* const b = crooked(w, t.bytes);
-    Result<HttpReply> const r = call_port(w, b->port(), HttpRequest{"POST", "/pay/1", {}, "x"});
+    CrookedBackend* const b = crooked(env, t.bytes);
+    Result<HttpReply> const r = call_port(env, b->port(), HttpRequest{"POST", "/pay/1", {}, "x"});
     EXPECT_EQ(r.has_value(), t.good) << t.bytes << (r ? "" : r.error().reason);
     EXPECT_TRUE(r || r.error().proof == Proof::unknown) << t.bytes;
     EXPECT_EQ(b->connections, 1u) << t.bytes;
@@ -122,11 +122,11 @@
 
 TEST(HttpEdge, a_refused_connection_is_proof_that_nothing_ran) {
   start_pool();
-  SocketWorld w;
+  SocketWorld env;
   std::uint16_t const port = on_pool([&]() {
-    return asio::ip::tcp::acceptor(w.io(), {asio::ip::address_v4::loopback(), 0}).local_endpoint().port();
+    return asio::ip::tcp::acceptor(env.io(), {asio::ip::address_v4::loopback(), 0}).local_endpoint().port();
   });
-  Result<HttpReply> const r = call_port(w, port, HttpRequest{"POST", "/", {}, "x"});
+  Result<HttpReply> const r = call_port(env, port, HttpRequest{"POST", "/", {}, "x"});
   ASSERT_FALSE(r);
   EXPECT_EQ(r.error().proof, Proof::not_run);
   EXPECT_EQ(r.error().step, "connect");
@@ -134,10 +134,10 @@
 
 TEST(HttpEdge, method_path_query_headers_and_body_go_as_they_came) {
   start_pool();
-  SocketWorld w;
-  CrookedBackend* const b = crooked(w, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+  SocketWorld env;
+  CrookedBackend* const b = crooked(env, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   for (std::string const bad : {"//a/../b", "x", "/a b"}) {
-    Result<HttpReply> const r = call_port(w, b->port(), HttpRequest{"POST", bad, {}, ""});
+    Result<HttpReply> const r = call_port(env, b->port(), HttpRequest{"POST", bad, {}, ""});
     EXPECT_TRUE(!r && r.error().proof == Proof::not_run) << bad;
   }
   EXPECT_EQ(b->connections, 0u);
@@ -145,7 +145,7 @@
                       "/a/../b%2Fc%20d?x=1&y=%41&&",
                       {{"x-odd", "a  b"}, {"Content-Type", "text/odd"}},
                       std::string("b\0dy", 4)};
-  ASSERT_TRUE(call_port(w, b->port(), q));
+  ASSERT_TRUE(call_port(env, b->port(), q));
   EXPECT_TRUE(b->asked.starts_with("PURGE /a/../b%2Fc%20d?x=1&y=%41&& HTTP/1.1\r\n")) << b->asked;
   EXPECT_NE(b->asked.find("x-odd:a  b\r\n"), std::string::npos);
   EXPECT_NE(b->asked.find("Content-Type:text/odd\r\n"), std::string::npos);
@@ -165,22 +165,22 @@
   return got;
 }
 
-inline Address free_address(SocketWorld& w) {
+inline Address free_address(SocketWorld& env) {
   return "127.0.0.1:" + std::to_string(on_pool([&]() {
-           return asio::ip::tcp::acceptor(w.io(), {asio::ip::address_v4::loopback(), 0}).local_endpoint().port();
+           return asio::ip::tcp::acceptor(env.io(), {asio::ip::address_v4::loopback(), 0}).local_endpoint().port();
          }));
 }
 
 TEST(HttpEdge, every_cookie_arrives_on_its_own_line_or_the_answer_is_no_answer) {
   start_pool();
-  SocketWorld w;
+  SocketWorld env;
   CrookedBackend* const b = crooked(
-      w,
+      env,
       "HTTP/1.1 200 OK\r\nSet-Cookie: a=1; Expires=Wed, 21 Oct 2026 07:28:00 GMT\r\nSet-Cookie: b=2; Path=/\r\nSet-Cookie: c=\r\nVary: x\r\nVary: y\r\nContent-Length: 0\r\n\r\n");
-  Result<HttpReply> const r = call_port(w, b->port(), HttpRequest{"GET", "/", {}, ""});
+  Result<HttpReply> const r = call_port(env, b->port(), HttpRequest{"GET", "/", {}, ""});
   ASSERT_TRUE(r);
-  Address const at = free_address(w);
-  HttpListener listener(w.io(), at, [&](HttpRequest) -> Task<HttpReply> { co_return *r; });
+  Address const at = free_address(env);
+  HttpListener listener(env.io(), at, [&](HttpRequest) -> Task<HttpReply> { co_return *r; });
   ASSERT_TRUE(listener.open());
   std::string const got = raw_exchange(at, "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
   listener.close();
@@ -189,8 +189,8 @@
     EXPECT_NE(got.find(line), std::string::npos) << got;
   EXPECT_NE(got.find("Vary: x, y\r\n"), std::string::npos) << got;
   CrookedBackend* const odd =
-      crooked(w, "HTTP/1.1 200 OK\r\nSet-Cookie: a=\"1, b=2\"\r\nSet-Cookie: c=3\r\nContent-Length: 0\r\n\r\n");
-  Result<HttpReply> const no = call_port(w, odd->port(), HttpRequest{"GET", "/", {}, ""});
+      crooked(env, "HTTP/1.1 200 OK\r\nSet-Cookie: a=\"1, b=2\"\r\nSet-Cookie: c=3\r\nContent-Length: 0\r\n\r\n");
+  Result<HttpReply> const no = call_port(env, odd->port(), HttpRequest{"GET", "/", {}, ""});
   EXPECT_TRUE(!no && no.error().proof == Proof::unknown);
 }
 
--- a/tests/transport/socket_world_test.cpp
+++ b/tests/transport/socket_world_test.cpp
@@ -154,12 +154,13 @@
     SharedCancellation const second = std::make_shared<Cancellation>();
     std::vector<Result<Echo::Reply>> replies;
     for (SharedCancellation const& one : {first, second})
-      spawn(client,
-            [](SocketWorld& w, Address peer, SharedCancellation c, std::vector<Result<Echo::Reply>>& to) -> Task<void> {
-              Echo const question{"q"};
-              Result<Echo::Reply> reply = co_await ask_cancellable(w, peer, question, w.now() + long_enough, c);
-              to.push_back(std::move(reply));
-            }(client, there, one, replies));
+      spawn(
+          client,
+          [](SocketWorld& env, Address peer, SharedCancellation c, std::vector<Result<Echo::Reply>>& to) -> Task<void> {
+            Echo const question{"q"};
+            Result<Echo::Reply> reply = co_await ask_cancellable(env, peer, question, env.now() + long_enough, c);
+            to.push_back(std::move(reply));
+          }(client, there, one, replies));
     while (under_way < 2) co_await let_others_run(client);
     second->request();
     while (replies.empty()) co_await let_others_run(client);
@@ -184,9 +185,9 @@
   run_on_pool([&]() -> Task<void> {
     server.serve(dispatcher);
     for (int i = 0; i < 3; ++i)
-      spawn(client, [](SocketWorld& w, Address peer) -> Task<void> {
+      spawn(client, [](SocketWorld& env, Address peer) -> Task<void> {
         Echo const question{"q"};
-        Result<Echo::Reply> const reply = co_await ask(w, peer, question, w.now() + long_enough);
+        Result<Echo::Reply> const reply = co_await ask(env, peer, question, env.now() + long_enough);
         EXPECT_FALSE(reply);
       }(client, there));
     while (under_way < 3) co_await let_others_run(client);
@@ -230,21 +231,21 @@
 
 TEST(SocketWorld, answers_come_back_refusals_are_proof_and_a_bad_frame_only_costs_its_connection) {
   start_pool();
-  SocketWorld w;
+  SocketWorld env;
   Dispatcher dispatcher;
   dispatcher.on<Echo>([](Echo q) -> Task<Echo::Reply> { co_return Echo::Reply{q.text + "!"}; });
-  Address const here = *w.listen("127.0.0.1:0");
+  Address const here = *env.listen("127.0.0.1:0");
   std::promise<void> over;
   auto const script = [&]() -> Task<void> {
-    w.serve(dispatcher);
+    env.serve(dispatcher);
     Echo const hello{"hello"};
-    Result<Echo::Reply> const r = co_await ask(w, here, hello, w.now() + 20s);
+    Result<Echo::Reply> const r = co_await ask(env, here, hello, env.now() + 20s);
     EXPECT_TRUE(r && r->text == "hello!");
-    Result<Echo::Reply> const refused = co_await ask(w, Address("127.0.0.1:1"), hello, w.now() + 20s);
+    Result<Echo::Reply> const refused = co_await ask(env, Address("127.0.0.1:1"), hello, env.now() + 20s);
     EXPECT_TRUE(!refused && refused.error().proof == Proof::not_run);
     std::mt19937_64 chance(5);
     for (int i = 0; i < 50; ++i) {
-      asio::ip::tcp::socket s(w.io());
+      asio::ip::tcp::socket s(env.io());
       co_await s.async_connect(*parse_address(here), asio::use_awaitable);
       std::string junk(1 + chance() % 60, '\0');
       for (char& c : junk) c = static_cast<char>(chance());
@@ -257,36 +258,36 @@
       char end[64];
       while (!ec) co_await s.async_read_some(asio::buffer(end), asio::redirect_error(asio::use_awaitable, ec));
     }
-    Result<Echo::Reply> const again = co_await ask(w, here, hello, w.now() + 20s);
+    Result<Echo::Reply> const again = co_await ask(env, here, hello, env.now() + 20s);
     EXPECT_TRUE(again && again->text == "hello!");
-    co_await w.stop();
+    co_await env.stop();
     over.set_value();
   };
-  asio::post(w.io(), [&]() { spawn(w, script()); });
+  asio::post(env.io(), [&]() { spawn(env, script()); });
   over.get_future().get();
 }
 
 TEST(SocketWorld, a_peer_that_answers_no_ping_is_known_as_silent_while_it_owes_an_answer) {
   start_pool();
-  SocketWorld w;
-  SlowPeer peer(w);
+  SocketWorld env;
+  SlowPeer peer(env);
   Duration longest{};
   run_on_pool([&]() -> Task<void> {
-    spawn(w, peer.accept());
-    EXPECT_EQ(w.silence_of(peer.address()), Duration::zero()) << "nothing is owed";
+    spawn(env, peer.accept());
+    EXPECT_EQ(env.silence_of(peer.address()), Duration::zero()) << "nothing is owed";
     std::optional<Result<Bytes>> answer;
     auto const wait_for_it = [&]() -> Task<void> {
       Echo const question{"a"};
-      answer = co_await w.ask_raw(peer.address(), Echo::kind, pack(question), w.now() + long_enough);
+      answer = co_await env.ask_raw(peer.address(), Echo::kind, pack(question), env.now() + long_enough);
     };
-    spawn(w, wait_for_it());
+    spawn(env, wait_for_it());
     while (!answer && longest < 20ms) {
-      longest = std::max(longest, w.silence_of(peer.address()));
-      co_await let_others_run(w);
+      longest = std::max(longest, env.silence_of(peer.address()));
+      co_await let_others_run(env);
     }
     peer.close();
-    while (!answer || peer.tasks() > 0) co_await let_others_run(w);
-    co_await w.stop();
+    while (!answer || peer.tasks() > 0) co_await let_others_run(env);
+    co_await env.stop();
   });
   EXPECT_GE(longest, 20ms);
 }
@@ -296,19 +297,20 @@
   start_pool();
   PeerLimits limits;
   limits.one_way_wait = 1h;  // so that a busy machine drops nothing for its age
-  SocketWorld w(limits);
-  SlowPeer peer(w);
+  SocketWorld env(limits);
+  SlowPeer peer(env);
   constexpr std::uint64_t notes = 1000;
   constexpr std::size_t note_size = 30000;
   std::size_t most_queued = 0, answered = 0, refused = 0, lost = 0;
   bool newest_came = false;
   std::size_t left_queued = 0;
   run_on_pool([&]() -> Task<void> {
-    spawn(w, peer.accept());
+    spawn(env, peer.accept());
     constexpr std::size_t questions = 128;
     auto const ask_once = [&](std::size_t const size) -> Task<void> {
       Echo const question{std::string(size, 'x')};
-      Result<Bytes> const reply = co_await w.ask_raw(peer.address(), Echo::kind, pack(question), w.now() + long_enough);
+      Result<Bytes> const reply =
+          co_await env.ask_raw(peer.address(), Echo::kind, pack(question), env.now() + long_enough);
       if (reply)
         ++answered;
       else if (reply.error().proof == Proof::not_run)
@@ -319,29 +321,29 @@
     };
     for (std::uint64_t i = 1; i <= notes; ++i) {
       Note const note{i, std::string(note_size, 'n')};
-      tell(w, peer.address(), note);
-      most_queued = std::max(most_queued, w.queued().sum());
-      if (i % 100 == 0) co_await let_others_run(w);  // the connection is made and filled meanwhile
+      tell(env, peer.address(), note);
+      most_queued = std::max(most_queued, env.queued().sum());
+      if (i % 100 == 0) co_await let_others_run(env);  // the connection is made and filled meanwhile
     }
-    for (std::size_t i = 0; i < questions; ++i) spawn(w, ask_once(i % 2 == 0 ? 100 : 512u << 10));
-    while (peer.connections() == 0) co_await let_others_run(w);
-    co_await let_others_run(w);
-    most_queued = std::max(most_queued, w.queued().sum());
+    for (std::size_t i = 0; i < questions; ++i) spawn(env, ask_once(i % 2 == 0 ? 100 : 512u << 10));
+    while (peer.connections() == 0) co_await let_others_run(env);
+    co_await let_others_run(env);
+    most_queued = std::max(most_queued, env.queued().sum());
     peer.start_reading();
-    while (answered + refused + lost < questions) co_await let_others_run(w);
+    while (answered + refused + lost < questions) co_await let_others_run(env);
     EXPECT_EQ(answered + refused + lost, questions);
     Note const newest{notes + 1, "newest"};
-    Instant const patience = w.now() + long_enough;
-    while (!newest_came && w.now() < patience) {  // again, as a reset connection loses what it has taken
-      tell(w, peer.address(), newest);
-      co_await let_others_run(w);
+    Instant const patience = env.now() + long_enough;
+    while (!newest_came && env.now() < patience) {  // again, as a reset connection loses what it has taken
+      tell(env, peer.address(), newest);
+      co_await let_others_run(env);
       newest_came = peer.notes.contains(newest.number);
     }
-    while (w.queued().sum() > 0 && w.now() < patience) co_await let_others_run(w);
-    left_queued = w.queued().sum();
+    while (env.queued().sum() > 0 && env.now() < patience) co_await let_others_run(env);
+    left_queued = env.queued().sum();
     peer.close();
-    while (peer.tasks() > 0) co_await let_others_run(w);
-    co_await w.stop();
+    while (peer.tasks() > 0) co_await let_others_run(env);
+    co_await env.stop();
   });
   std::size_t const bound = limits.one_way.bytes + limits.small.bytes + limits.large.bytes;
   EXPECT_LE(most_queued, bound);
@@ -537,7 +539,7 @@
 
 TEST(SocketWorld, small_requests_are_answered_before_large_ones_that_were_asked_first) {
   start_pool();
-  SocketWorld w;
+  SocketWorld env;
   Dispatcher dispatcher;
   std::vector<std::size_t> order;
   dispatcher.on<Echo>([&order](Echo q) -> Task<Echo::Reply> {
@@ -545,20 +547,20 @@
     Echo::Reply reply{std::move(q.text)};
     co_return reply;
   });
-  Address const here = *w.listen("127.0.0.1:0");
+  Address const here = *env.listen("127.0.0.1:0");
   constexpr std::size_t large = 1u << 20, small = 10;
   std::size_t answered = 0;
   run_on_pool([&]() -> Task<void> {
-    w.serve(dispatcher);
+    env.serve(dispatcher);
     auto const ask_once = [&](std::size_t const size) -> Task<void> {
       Echo const question{std::string(size, 'x')};
-      Result<Echo::Reply> const reply = co_await ask(w, here, question, w.now() + long_enough);
+      Result<Echo::Reply> const reply = co_await ask(env, here, question, env.now() + long_enough);
       answered += reply && reply->text.size() == size;
     };
-    for (std::size_t i = 0; i < 4; ++i) spawn(w, ask_once(large));
-    for (std::size_t i = 0; i < 4; ++i) spawn(w, ask_once(small));
-    while (answered < 8) co_await let_others_run(w);
-    co_await w.stop();
+    for (std::size_t i = 0; i < 4; ++i) spawn(env, ask_once(large));
+    for (std::size_t i = 0; i < 4; ++i) spawn(env, ask_once(small));
+    while (answered < 8) co_await let_others_run(env);
+    co_await env.stop();
   });
   EXPECT_EQ(order, (std::vector<std::size_t>{small, small, small, small, large, large, large, large}));
 }
