--- a/source/coordination/acceptor.hpp
+++ b/source/coordination/acceptor.hpp
@@ -29,52 +29,53 @@
 template <class D>
 concept Disk = requires(D& d, VoterRecord const& r) {
   { d.load() } -> std::same_as<Result<VoterRecord>>;
-  { d.keep(r) } -> std::same_as<Task<Result<bool>>>;
+  { d.save(r) } -> std::same_as<Task<Result<bool>>>;
 };
 
 template <Environment Env, Disk D>
 class Acceptor {
  public:
   /// A voter of a fixed list: the set of epoch 0, for good.
-  Acceptor(Env& env, D& d, std::vector<Address> voters, std::size_t const own)
-      : env_(env), disk_(d), fixed_(std::move(voters)), own_(fixed_.at(own)), turn_(env) {}
+  Acceptor(Env& env, D& d, std::vector<Address> voters, std::size_t const own_address)
+      : env_(env), disk_(d), fixed_(std::move(voters)), own_address_(fixed_.at(own_address)), turn_(env) {}
   /// A store whose set is on its disk, or is still to be founded or joined.
-  Acceptor(Env& env, D& d, Address own) : env_(env), disk_(d), own_(std::move(own)), turn_(env) {}
+  Acceptor(Env& env, D& d, Address own_address)
+      : env_(env), disk_(d), own_address_(std::move(own_address)), turn_(env) {}
 
   Result<bool> load() {
     Result<VoterRecord> r = disk_.load();
     if (!r) return tl::unexpected<Error>(r.error());
     record_ = std::move(*r);
-    if (!fixed_.empty()) record_.set = first_set(fixed_, 0);
+    if (!fixed_.empty()) record_.set = initial_set(fixed_, 0);
     return true;
   }
 
   void attach(Dispatcher& dispatcher) {
-    dispatcher.on<Prepare>([this](Prepare q) { return prepare(std::move(q)); });
-    dispatcher.on<Accept>([this](Accept q) { return accept(std::move(q)); });
-    dispatcher.on<Peek>([this](Peek q) { return peek(std::move(q)); });
-    dispatcher.on<PeekRevisions>([this](PeekRevisions q) { return peek_revisions(q); });
-    dispatcher.on<Found>([this](Found q) { return found(q); });
-    dispatcher.on<VotersAsk>([this](VotersAsk q) { return voters(std::move(q)); });
-    dispatcher.on<Seal>([this](Seal q) { return seal(std::move(q)); });
-    dispatcher.on<Activate>([this](Activate q) { return activate(std::move(q)); });
+    dispatcher.on<Prepare>([this](Prepare request) { return prepare(std::move(request)); });
+    dispatcher.on<Accept>([this](Accept request) { return accept(std::move(request)); });
+    dispatcher.on<Peek>([this](Peek request) { return peek(std::move(request)); });
+    dispatcher.on<PeekRevisions>([this](PeekRevisions request) { return peek_revisions(request); });
+    dispatcher.on<Found>([this](Found request) { return found(request); });
+    dispatcher.on<VotersAsk>([this](VotersAsk request) { return voters(std::move(request)); });
+    dispatcher.on<Seal>([this](Seal request) { return seal(std::move(request)); });
+    dispatcher.on<Activate>([this](Activate request) { return activate(std::move(request)); });
   }
 
   Phase phase() const { return record_.phase; }
   Slot const& slot(Register const r) const { return record_.slots[static_cast<std::size_t>(r)]; }
   VoterSet const& set() const { return record_.set; }
-  std::uint64_t disk_name() const { return record_.disk; }
-  Address const& own() const { return own_; }
+  std::uint64_t disk_id() const { return record_.disk; }
+  Address const& own_address() const { return own_address_; }
   bool voting() const { return votes(record_); }
   /// The last other store that asked for the set: a voter that this one may not know.
-  Address const& last_asker() const { return last_asker_; }
+  Address const& last_requester() const { return last_requester_; }
   /// Someone has asked in a newer epoch than this voter's.
-  bool behind() const { return heard_epoch_ > record_.set.epoch; }
+  bool behind() const { return highest_seen_epoch_ > record_.set.epoch; }
 
   // Runs until this voter of a fixed list votes.
   Task<void> settle() {
     while (!voting()) {
-      co_await settle_once();
+      co_await found_or_rejoin();
       if (!voting()) co_await sleep_for(env_, 200ms + std::chrono::milliseconds(env_.chance()() % 100));
     }
     log_info("voting", {{"founding", std::to_string(record_.founding)},
@@ -83,11 +84,11 @@
   }
 
   /// One try to found the set that the record names, or to join it again.
-  Task<void> settle_once() {
+  Task<void> found_or_rejoin() {
     std::vector<Address> const others = other_voters(record_.set);
-    Found question{Phase::blank, record_.founding};
+    Found request{Phase::blank, record_.founding};
     auto const replies =
-        co_await ask_all<Found>(env_, others, question, env_.now() + 1s, [](auto const&) { return false; });
+        co_await ask_all<Found>(env_, others, request, env_.now() + 1s, [](auto const&) { return false; });
     std::size_t heard = 0, voting = 0, same = 0;
     for (auto const& [i, r] : replies) {
       if (!r) continue;
@@ -107,8 +108,8 @@
       record_.phase = Phase::voting;
     } else if (voting > 0) {
       co_await rejoin(record_.set);
-    } else if (founder() && heard == others.size()) {
-      co_await found_all(others);
+    } else if (is_founder() && heard == others.size()) {
+      co_await found_with_all(others);
     }
   }
 
@@ -118,13 +119,13 @@
     co_return co_await change([&](VoterRecord& r) {
       if (r.disk != 0) return false;
       r.disk = name;
-      if (entry_of(founders, own_) != nullptr) r.set = founders;
+      if (find_entry(founders, own_address_) != nullptr) r.set = founders;
       return true;
     });
   }
 
   /// Forgets everything: a store that was removed joins like a new one.
-  Task<bool> start_afresh() {
+  Task<bool> reset_record() {
     VoterRecord empty;
     empty.disk = env_.chance()() | 1;
     co_return co_await change([&](VoterRecord& r) {
@@ -141,16 +142,16 @@
   // hold up each round. Returns the newer set if one of them tells it.
   Task<std::optional<VoterSet>> rejoin(VoterSet const set) {
     std::vector<Address> const others = other_voters(set);
-    std::size_t const enough = recovery_quorum_of(set);
+    std::size_t const enough = recovery_quorum_size(set);
     std::uint64_t const nonce = env_.chance()();
     VoterRecord next;
     next.founding = co_await agreed_founding(others, enough);
     if (next.founding == 0) co_return std::nullopt;
     std::optional<VoterSet> newer;
     for (Register const reg : kept_registers) {
-      std::optional<Slot> const got = co_await recover(reg, set, others, enough, nonce, newer);
-      if (!got) co_return newer;
-      next.slots[static_cast<std::size_t>(reg)] = *got;
+      std::optional<Slot> const promises = co_await recover(reg, set, others, enough, nonce, newer);
+      if (!promises) co_return newer;
+      next.slots[static_cast<std::size_t>(reg)] = *promises;
     }
     if (next.slots[static_cast<std::size_t>(Register::voters)].held.revision > set.epoch) co_return std::nullopt;
     next.phase = Phase::voting;
@@ -179,112 +180,112 @@
     if (turn_.waiting() >= 64) co_return false;
     co_await turn_.enter();
     VoterRecord next = record_;
-    bool good = true;
+    bool saved = true;
     if (f(next)) {
-      Result<bool> kept = co_await disk_.keep(next);
-      good = kept.has_value();
-      if (good)
+      Result<bool> kept = co_await disk_.save(next);
+      saved = kept.has_value();
+      if (saved)
         record_ = std::move(next);
       else
-        disk_error(kept.error());
+        log_disk_error(kept.error());
     }
     turn_.leave();
-    co_return good;
+    co_return saved;
   }
 
-  void disk_error(Error const& m) {
-    if (last_mishap_ && env_.now() - *last_mishap_ < log_interval) return;
-    last_mishap_ = env_.now();
+  void log_disk_error(Error const& m) {
+    if (last_error_logged_ && env_.now() - *last_error_logged_ < log_interval) return;
+    last_error_logged_ = env_.now();
     log_warn("disk_error", {{"step", m.step}, {"reason", m.reason}});
   }
 
   std::vector<Address> other_voters(VoterSet const& set) const {
     std::vector<Address> out;
     for (VoterEntry const& e : set.voters)
-      if (e.address != own_) out.push_back(e.address);
+      if (e.address != own_address_) out.push_back(e.address);
     return out;
   }
-  bool founder() const {
-    return record_.set.epoch == 0 && !record_.set.voters.empty() && record_.set.voters.front().address == own_;
+  bool is_founder() const {
+    return record_.set.epoch == 0 && !record_.set.voters.empty() && record_.set.voters.front().address == own_address_;
   }
 
-  static bool known(Register const reg) { return static_cast<std::size_t>(reg) < register_count; }
+  static bool is_known_register(Register const reg) { return static_cast<std::size_t>(reg) < register_count; }
   static Slot& slot_of(VoterRecord& r, Register const reg) { return r.slots[static_cast<std::size_t>(reg)]; }
 
   // Whether a question of that epoch may be answered by a vote now. A newer set
   // is told only by who has been a voter of it or of the one before.
   bool may_vote(std::uint64_t const epoch, std::optional<VoterSet>& newer) {
-    heard_epoch_ = std::max(heard_epoch_, epoch);
+    highest_seen_epoch_ = std::max(highest_seen_epoch_, epoch);
     if (record_.phase == Phase::voting && record_.set.epoch > epoch) newer = record_.set;
     return voting() && record_.set.epoch == epoch;
   }
 
-  Task<PrepareReply> prepare(Prepare q) {
+  Task<PrepareReply> prepare(Prepare request) {
     PrepareReply reply;
-    if (!known(q.reg) || !may_vote(q.ballot.epoch, reply.newer)) co_return reply;
-    bool ok = false, counted = false;
+    if (!is_known_register(request.reg) || !may_vote(request.ballot.epoch, reply.newer)) co_return reply;
+    bool ok = false, votes_in_epoch = false;
     Slot seen;
     bool const kept = co_await change([&](VoterRecord& r) {
-      counted = votes(r) && r.set.epoch == q.ballot.epoch;
-      if (!counted) return false;
-      Slot& s = slot_of(r, q.reg);
-      ok = q.ballot.may_follow(s.promised);
-      if (ok) s.promised = q.ballot;
+      votes_in_epoch = votes(r) && r.set.epoch == request.ballot.epoch;
+      if (!votes_in_epoch) return false;
+      Slot& s = slot_of(r, request.reg);
+      ok = request.ballot.may_follow(s.promised);
+      if (ok) s.promised = request.ballot;
       seen = s;
       return ok;
     });
-    if (!kept || !counted) co_return reply;
+    if (!kept || !votes_in_epoch) co_return reply;
     reply.voting = true;
     reply.promised = ok;
     reply.slot = std::move(seen);
     co_return reply;
   }
 
-  Task<AcceptReply> accept(Accept q) {
+  Task<AcceptReply> accept(Accept request) {
     AcceptReply reply;
-    if (!known(q.reg) || !may_vote(q.ballot.epoch, reply.newer)) co_return reply;
-    bool ok = false, counted = false;
+    if (!is_known_register(request.reg) || !may_vote(request.ballot.epoch, reply.newer)) co_return reply;
+    bool ok = false, votes_in_epoch = false;
     bool const kept = co_await change([&](VoterRecord& r) {
-      counted = votes(r) && r.set.epoch == q.ballot.epoch;
-      if (!counted) return false;
-      Slot& s = slot_of(r, q.reg);
-      ok = q.ballot == s.promised || q.ballot.may_follow(s.promised);
+      votes_in_epoch = votes(r) && r.set.epoch == request.ballot.epoch;
+      if (!votes_in_epoch) return false;
+      Slot& s = slot_of(r, request.reg);
+      ok = request.ballot == s.promised || request.ballot.may_follow(s.promised);
       if (ok) {
-        s.promised = q.ballot;
-        s.accepted = q.ballot;
-        s.held = q.held;
+        s.promised = request.ballot;
+        s.accepted = request.ballot;
+        s.held = request.held;
       }
       reply.promised = s.promised;
       return ok;
     });
-    if (!kept || !counted) co_return AcceptReply{};
+    if (!kept || !votes_in_epoch) co_return AcceptReply{};
     reply.voting = true;
     reply.accepted = ok;
     co_return reply;
   }
 
-  Task<PeekReply> peek(Peek q) {
+  Task<PeekReply> peek(Peek request) {
     PeekReply reply;
-    if (!known(q.reg) || !may_vote(q.epoch, reply.newer)) co_return reply;
-    Slot const& s = slot(q.reg);
+    if (!is_known_register(request.reg) || !may_vote(request.epoch, reply.newer)) co_return reply;
+    Slot const& s = slot(request.reg);
     reply.voting = true;
     reply.accepted = s.accepted;
     reply.revision = s.held.revision;
-    if (q.value && s.held.revision > q.have) reply.held = s.held;
+    if (request.value && s.held.revision > request.have) reply.held = s.held;
     co_return reply;
   }
 
-  Task<PeekRevisionsReply> peek_revisions(PeekRevisions q) {
+  Task<PeekRevisionsReply> peek_revisions(PeekRevisions request) {
     PeekRevisionsReply reply;
-    if (!may_vote(q.epoch, reply.newer)) co_return reply;
+    if (!may_vote(request.epoch, reply.newer)) co_return reply;
     reply.voting = true;
     for (std::size_t i = 0; i < register_count; ++i) reply.revisions[i] = record_.slots[i].held.revision;
     co_return reply;
   }
 
-  Task<VotersReply> voters(VotersAsk q) {
+  Task<VotersReply> voters(VotersAsk request) {
     VotersReply reply;
-    if (!q.from.empty()) last_asker_ = q.from;
+    if (!request.from.empty()) last_requester_ = request.from;
     reply.member = record_.phase == Phase::voting;
     reply.active = voting();
     if (reply.member) reply.set = record_.set;
@@ -293,14 +294,14 @@
 
   // A voter that slept through earlier changes passes over the epochs between: it
   // never voted in them, so no value acknowledged there counts on it.
-  Task<SealReply> seal(Seal q) {
+  Task<SealReply> seal(Seal request) {
     SealReply reply;
     bool const kept = co_await change([&](VoterRecord& r) {
       if (r.phase != Phase::voting) return false;
-      if (r.set.epoch > q.set.epoch) reply.newer = r.set;
-      bool const from_before = r.set.epoch < q.set.epoch;
-      if (from_before) r.set = q.set;
-      reply.sealed = r.set.epoch == q.set.epoch;
+      if (r.set.epoch > request.set.epoch) reply.newer = r.set;
+      bool const from_before = r.set.epoch < request.set.epoch;
+      if (from_before) r.set = request.set;
+      reply.sealed = r.set.epoch == request.set.epoch;
       reply.active = votes(r) && reply.sealed;
       if (reply.sealed) {
         reply.founding = r.founding;
@@ -314,20 +315,22 @@
 
   // A voter of the set before goes on with what it holds; an empty disk is taken
   // only if it is the very one that was added: it has never voted.
-  Task<ActivateReply> activate(Activate q) {
+  Task<ActivateReply> activate(Activate request) {
     ActivateReply reply;
     bool const kept = co_await change([&](VoterRecord& r) {
-      VoterEntry const* const mine = entry_of(q.set, own_);
-      if (r.phase == Phase::voting && r.set.epoch > q.set.epoch) reply.newer = r.set;
-      reply.active = votes(r) && r.set.epoch == q.set.epoch;
-      bool const goes_on = r.phase == Phase::voting && r.active_epoch < q.set.epoch && r.set.epoch <= q.set.epoch;
-      bool const added = r.phase != Phase::voting && mine != nullptr && mine->disk != 0 && mine->disk == r.disk;
-      if (reply.active || mine == nullptr || !(goes_on || added)) return false;
-      for (std::size_t i = 0; i < register_count; ++i) take_newer(r.slots[i], q.slots[i]);
+      VoterEntry const* const own_entry = find_entry(request.set, own_address_);
+      if (r.phase == Phase::voting && r.set.epoch > request.set.epoch) reply.newer = r.set;
+      reply.active = votes(r) && r.set.epoch == request.set.epoch;
+      bool const continuing =
+          r.phase == Phase::voting && r.active_epoch < request.set.epoch && r.set.epoch <= request.set.epoch;
+      bool const added =
+          r.phase != Phase::voting && own_entry != nullptr && own_entry->disk != 0 && own_entry->disk == r.disk;
+      if (reply.active || own_entry == nullptr || !(continuing || added)) return false;
+      for (std::size_t i = 0; i < register_count; ++i) merge_newer(r.slots[i], request.slots[i]);
       r.phase = Phase::voting;
-      r.founding = q.founding;
-      r.set = q.set;
-      r.active_epoch = q.set.epoch;
+      r.founding = request.founding;
+      r.set = request.set;
+      r.active_epoch = request.set.epoch;
       reply.active = true;
       return true;
     });
@@ -335,25 +338,25 @@
     co_return reply;
   }
 
-  Task<FoundReply> found(Found q) {
-    if (q.want == Phase::prepared && record_.phase != Phase::voting && !founder() &&
-        entry_of(record_.set, own_) != nullptr)
+  Task<FoundReply> found(Found request) {
+    if (request.want == Phase::prepared && record_.phase != Phase::voting && !is_founder() &&
+        find_entry(record_.set, own_address_) != nullptr)
       co_await change([&](VoterRecord& r) {
-        if (r.phase == Phase::voting || entry_of(r.set, own_) == nullptr) return false;
+        if (r.phase == Phase::voting || find_entry(r.set, own_address_) == nullptr) return false;
         r.phase = Phase::prepared;
-        r.founding = q.founding;
+        r.founding = request.founding;
         return true;
       });
-    if (q.want == Phase::voting && record_.phase == Phase::prepared && record_.founding == q.founding)
+    if (request.want == Phase::voting && record_.phase == Phase::prepared && record_.founding == request.founding)
       co_await change([&](VoterRecord& r) {
-        if (r.phase != Phase::prepared || r.founding != q.founding) return false;
+        if (r.phase != Phase::prepared || r.founding != request.founding) return false;
         r.phase = Phase::voting;
         return true;
       });
     co_return FoundReply{record_.phase, record_.founding};
   }
 
-  Task<void> found_all(std::vector<Address> others) {
+  Task<void> found_with_all(std::vector<Address> others) {
     std::uint64_t const id = env_.chance()() | 1;
     bool const began = co_await change([&](VoterRecord& r) {
       r.phase = Phase::prepared;
@@ -378,7 +381,7 @@
 
   /// The founding that `enough` of these voters name; none: 0.
   Task<std::uint64_t> agreed_founding(std::vector<Address> const others, std::size_t const enough) {
-    auto const most_named = [](auto const& replies) {
+    auto const most_frequent = [](auto const& replies) {
       std::map<std::uint64_t, std::size_t> named;
       std::pair<std::uint64_t, std::size_t> most{0, 0};
       for (auto const& [i, r] : replies) {
@@ -388,11 +391,11 @@
       }
       return most;
     };
-    Found const question{};
-    auto const replies =
-        co_await ask_all<Found>(env_, others, question, env_.now() + 1s,
-                                [enough, most_named](auto const& heard) { return most_named(heard).second >= enough; });
-    std::pair<std::uint64_t, std::size_t> const most = most_named(replies);
+    Found const request{};
+    auto const replies = co_await ask_all<Found>(
+        env_, others, request, env_.now() + 1s,
+        [enough, most_frequent](auto const& heard) { return most_frequent(heard).second >= enough; });
+    std::pair<std::uint64_t, std::size_t> const most = most_frequent(replies);
     co_return most.second >= enough ? most.first : 0;
   }
 
@@ -403,17 +406,18 @@
     Ballot ballot{set.epoch, 1, nonce};
     for (int attempt = 0; attempt < recovery_attempts; ++attempt) {
       Prepare const asked{reg, ballot};
-      auto const got = co_await ask_all<Prepare>(env_, others, asked, env_.now() + 1s, [enough](auto const& replies) {
-        std::size_t n = 0;
-        for (auto const& [i, r] : replies) n += r && r->voting && r->promised;
-        return n >= enough || std::any_of(replies.begin(), replies.end(),
-                                          [](auto const& reply) { return reply.second && reply.second->newer; });
-      });
+      auto const promises =
+          co_await ask_all<Prepare>(env_, others, asked, env_.now() + 1s, [enough](auto const& replies) {
+            std::size_t n = 0;
+            for (auto const& [i, r] : replies) n += r && r->voting && r->promised;
+            return n >= enough || std::any_of(replies.begin(), replies.end(),
+                                              [](auto const& reply) { return reply.second && reply.second->newer; });
+          });
       std::size_t promised = 0;
       Ballot best;
       std::uint64_t top_round = ballot.round;
       Held held;
-      for (auto const& [i, r] : got) {
+      for (auto const& [i, r] : promises) {
         if (r && r->newer) {
           newer = r->newer;
           co_return std::nullopt;
@@ -427,15 +431,15 @@
         }
       }
       if (promised >= enough) {
-        Accept const question{reg, ballot, held};
-        auto const taken =
-            co_await ask_all<Accept>(env_, others, question, env_.now() + 1s, [enough](auto const& replies) {
+        Accept const request{reg, ballot, held};
+        auto const acceptances =
+            co_await ask_all<Accept>(env_, others, request, env_.now() + 1s, [enough](auto const& replies) {
               std::size_t n = 0;
               for (auto const& [i, r] : replies) n += r && r->accepted;
               return n >= enough;
             });
         std::size_t accepted = 0;
-        for (auto const& [i, r] : taken) accepted += r && r->accepted;
+        for (auto const& [i, r] : acceptances) accepted += r && r->accepted;
         if (accepted >= enough) co_return Slot{ballot, ballot, held};
       }
       ballot.round = top_round + 1;
@@ -447,12 +451,12 @@
   Env& env_;
   D& disk_;
   std::vector<Address> const fixed_;
-  Address const own_;
+  Address const own_address_;
   Turn<Env> turn_;
   VoterRecord record_;
-  std::uint64_t heard_epoch_ = 0;
-  Address last_asker_;
-  std::optional<Instant> last_mishap_;
+  std::uint64_t highest_seen_epoch_ = 0;
+  Address last_requester_;
+  std::optional<Instant> last_error_logged_;
 };
 
 }  // namespace banktide
--- a/source/coordination/backend_side.hpp
+++ b/source/coordination/backend_side.hpp
@@ -93,7 +93,7 @@
     std::string const named = service.keyed() ? header_of(c.request, service.key_header) : "";
     if (service.keyed() != c.keyed || (c.keyed && (named.empty() || service.slice_of(named) != c.slice)))
       co_return not_run("slice", s_.id, "layouts differ on the key's slice");
-    Choice const choice = n_.choose(*n_.rules, s, c.slice);
+    ZoneChoice const choice = n_.choose(*n_.rules, s, c.slice);
     if (!choice.stay && !choice.home && !broken_on_purpose("old_catalogue"))
       co_return not_run("catalogue", s_.id, "the catalogue here has it elsewhere");
     auto const it = n_.local.find(key);
--- a/source/coordination/caller_side.hpp
+++ b/source/coordination/caller_side.hpp
@@ -44,7 +44,7 @@
                         Error{"admit", s_.id, n_.leaving ? "node is leaving" : "node is not ready", Proof::not_run});
     if (calls_in_flight_ >= 4096)
       co_return dropped(chart, id, *rules, "", 503, Error{"admit", s_.id, "backlog full", Proof::not_run});
-    Index const s = rules->layout.way_of(q.target);
+    Index const s = rules->layout.service_of_path(q.target);
     if (s == no_index)
       co_return dropped(chart, id, *rules, "", 404, Error{"find_way", s_.id, "no way for this path", Proof::not_run});
     Service const& service = rules->layout.services[s];
@@ -67,7 +67,7 @@
                           Error{"find_deadline", s_.id, "banktide-timeout-ms must be 1..99999", Proof::not_run});
       patience = std::min<Duration>(patience, std::chrono::milliseconds(std::stoul(asked)));
     }
-    Choice const choice = n_.choose(*rules, s, carry.slice);
+    ZoneChoice const choice = n_.choose(*rules, s, carry.slice);
     if (broken_on_purpose("drops_all"))
       co_return dropped(chart, id, *rules, service.name, 503, Error{"decide", s_.id, "", Proof::not_run});
     if (!choice.dropped.empty())
@@ -84,7 +84,8 @@
   }
 
   std::optional<Target> pick_target(std::string const& service, bool const keyed, std::uint32_t const slice,
-                                    Choice const& choice, std::set<std::string> const& tried, bool const may_cross) {
+                                    ZoneChoice const& choice, std::set<std::string> const& tried,
+                                    bool const may_cross) {
     Instant const now = env_.now();
     std::vector<Target> targets, ejected;
     std::vector<Candidate> candidates;
@@ -207,8 +208,8 @@
     journal_.append(std::move(e));
   }
 
-  Task<HttpReply> tries(CallChart& chart, std::uint64_t const id, Rules const& rules, Choice const& choice, Carry carry,
-                        bool const repeatable, Instant const deadline) {
+  Task<HttpReply> tries(CallChart& chart, std::uint64_t const id, Rules const& rules, ZoneChoice const& choice,
+                        Carry carry, bool const repeatable, Instant const deadline) {
     std::set<std::string> tried;
     Error last{"pick", s_.cell, "no usable backend", Proof::not_run};
     bool maybe_ran = false;
--- a/source/coordination/carried_side.hpp
+++ b/source/coordination/carried_side.hpp
@@ -72,7 +72,7 @@
     std::shared_ptr<Rules const> const rules = n_.rules;
     Index const s = rules->layout.service_names.find(c.service);
     if (s == no_index) co_return not_run("gateway", s_.id, "service is in no layout here");
-    Choice const choice = n_.choose(*rules, s, c.slice);
+    ZoneChoice const choice = n_.choose(*rules, s, c.slice);
     if (!choice.stay) co_return not_run("gateway", s_.id, "the catalogue here has it elsewhere");
     std::optional<Target> const t = out_.pick_target(c.service, c.keyed, c.slice, choice, {}, false);
     if (!t) co_return not_run("pick", s_.cell, "no usable backend");
--- a/source/coordination/lease_voter.hpp
+++ b/source/coordination/lease_voter.hpp
@@ -23,7 +23,7 @@
   explicit LeaseVoter(Env& env) : env_(env), from_(env.now() + lease_term) {}
 
   void set_floor(std::uint64_t const epoch) { floor_ = epoch; }
-  bool floored() const { return floor_ > 0; }
+  bool has_floor() const { return floor_ > 0; }
 
   LeaseReply ask(LeaseAsk const& q) {
     Instant const now = env_.now();
@@ -32,7 +32,7 @@
       auto const it = grants_.find(c.slice);
       if (it != grants_.end() && it->second.holder == q.holder && it->second.epoch == c.epoch) it->second.until = now;
     }
-    if (now < from_ || !floored() || q.want.size() > 4096) return reply;
+    if (now < from_ || !has_floor() || q.want.size() > 4096) return reply;
     reply.voting = true;
     for (SliceClaim const& c : q.want) {
       Grant& g = grants_[c.slice];
--- a/source/coordination/membership.hpp
+++ b/source/coordination/membership.hpp
@@ -33,12 +33,12 @@
         settings_(std::move(settings)),
         client_(env, StoreSeeds{settings_.seeds}),
         change_(env, client_) {
-    if (acceptor_.phase() == Phase::voting) client_.follow(acceptor_.set());
+    if (acceptor_.phase() == Phase::voting) client_.adopt_if_newer(acceptor_.set());
   }
 
   void attach(Dispatcher& dispatcher) {
-    dispatcher.on<AddVoter>([this](AddVoter q) { return add(std::move(q)); });
-    dispatcher.on<RemoveVoter>([this](RemoveVoter q) { return remove(std::move(q)); });
+    dispatcher.on<AddVoter>([this](AddVoter request) { return add(std::move(request)); });
+    dispatcher.on<RemoveVoter>([this](RemoveVoter request) { return remove(std::move(request)); });
   }
 
   /// Runs for as long as the process.
@@ -46,11 +46,11 @@
     for (std::uint64_t tick = 0; !leaving_; ++tick) {
       bool const was = acceptor_.voting();
       if (!was)
-        co_await step_towards_voting();
+        co_await try_to_become_voter();
       else if (acceptor_.slot(Register::voters).held.revision > acceptor_.set().epoch)
         co_await change_.complete(acceptor_.set());
-      else if (acceptor_.behind() || tick % ticks_per_look == 0)
-        co_await keep_set_manned();
+      else if (acceptor_.behind() || tick % ticks_per_probe == 0)
+        co_await maintain_voter_set();
       if (acceptor_.voting() && !was) {
         log_info("voting", {{"epoch", std::to_string(acceptor_.set().epoch)},
                             {"voters", std::to_string(acceptor_.set().voters.size())}});
@@ -63,11 +63,11 @@
 
   /// This store goes, perhaps for good: it has itself removed if the set bears too few
   /// losses with a voter that is gone. It votes until then.
-  Task<void> leave(Duration const patience) {
+  Task<void> leave(Duration const timeout) {
     leaving_ = true;
-    Instant const deadline = env_.now() + patience;
-    while (env_.now() < deadline && acceptor_.voting() && better_without_leaver(acceptor_.set())) {
-      bool const removed = co_await ask_to_be_removed(deadline);
+    Instant const deadline = env_.now() + timeout;
+    while (env_.now() < deadline && acceptor_.voting() && should_remove_leaver(acceptor_.set())) {
+      bool const removed = co_await request_removal(deadline);
       if (removed) break;
       co_await sleep_for(env_, join_interval);
     }
@@ -82,78 +82,78 @@
  private:
   static constexpr Duration tick_interval = 500ms;
   static constexpr Duration join_interval = 100ms;
-  static constexpr Duration look_patience = 400ms;
-  static constexpr Duration least_look_interval = 300ms;
-  static constexpr Duration look_holds_for = 1s;
-  static constexpr Duration change_patience = 3s;
-  static constexpr std::uint64_t ticks_per_look = 1;
-  static constexpr Duration look_interval = tick_interval * ticks_per_look;
+  static constexpr Duration probe_timeout = 400ms;
+  static constexpr Duration min_probe_interval = 300ms;
+  static constexpr Duration probe_validity = 1s;
+  static constexpr Duration change_timeout = 3s;
+  static constexpr std::uint64_t ticks_per_probe = 1;
+  static constexpr Duration probe_interval = tick_interval * ticks_per_probe;
   // In a row: who misses so many may be replaced by a newcomer.
-  static constexpr std::uint64_t missed_looks_of_the_silent = 3;
+  static constexpr std::uint64_t missed_probes_before_replacement = 3;
 
   // ---- on the way to a vote
 
-  Task<void> step_towards_voting() {
-    if (acceptor_.disk_name() == 0) {
+  Task<void> try_to_become_voter() {
+    if (acceptor_.disk_id() == 0) {
       std::vector<Address> seeds = settings_.initial_start ? settings_.seeds : std::vector<Address>{};
       std::sort(seeds.begin(), seeds.end());
-      bool const begun = co_await acceptor_.begin(first_set(seeds, settings_.losses));
+      bool const begun = co_await acceptor_.begin(initial_set(seeds, settings_.losses));
       if (!begun) co_return;
     }
-    bool const heard = co_await find_newest();
+    bool const heard = co_await discover_newest_set();
     if (!heard) {
-      if (acceptor_.phase() != Phase::voting && !acceptor_.set().voters.empty()) co_await acceptor_.settle_once();
+      if (acceptor_.phase() != Phase::voting && !acceptor_.set().voters.empty()) co_await acceptor_.found_or_rejoin();
       co_return;
     }
     VoterSet const newest = client_.set();
-    VoterEntry const* const mine = entry_of(newest, acceptor_.own());
-    if (mine == nullptr) {
-      co_await ask_to_be_added(newest);
+    VoterEntry const* const own_entry = find_entry(newest, acceptor_.own_address());
+    if (own_entry == nullptr) {
+      co_await request_addition(newest);
     } else if (acceptor_.phase() == Phase::voting ||
-               (mine->disk != 0 && mine->disk == acceptor_.disk_name() && newest.epoch > 0)) {
+               (own_entry->disk != 0 && own_entry->disk == acceptor_.disk_id() && newest.epoch > 0)) {
       co_await change_.finish(newest);
     } else if (newest.epoch == 0 && acceptor_.set() == newest) {
-      co_await acceptor_.settle_once();
+      co_await acceptor_.found_or_rejoin();
     } else {
       std::optional<VoterSet> const newer = co_await acceptor_.rejoin(newest);
-      if (newer) client_.follow(*newer);
+      if (newer) client_.adopt_if_newer(*newer);
     }
   }
 
   // Only a set that a voter tells counts; what this store's own disk says is of
   // no use while nobody votes. Who told an old one is corrected by the voters asked next.
-  Task<bool> find_newest() {
-    if (acceptor_.phase() == Phase::voting) client_.follow(acceptor_.set());
-    if (!acceptor_.last_asker().empty()) client_.learn({acceptor_.last_asker()});
-    co_return co_await client_.discover(env_.now() + look_patience, true);
+  Task<bool> discover_newest_set() {
+    if (acceptor_.phase() == Phase::voting) client_.adopt_if_newer(acceptor_.set());
+    if (!acceptor_.last_requester().empty()) client_.add_contacts({acceptor_.last_requester()});
+    co_return co_await client_.discover(env_.now() + probe_timeout, true);
   }
 
-  Task<void> ask_to_be_added(VoterSet const set) {
+  Task<void> request_addition(VoterSet const set) {
     std::vector<Address> const active = co_await active_voters(set);
-    if (active.size() < quorum_of(set)) co_return;
+    if (active.size() < quorum_size(set)) co_return;
     if (acceptor_.phase() == Phase::voting) {
       // What this store holds was needed until the set without it votes.
-      bool const empty = co_await acceptor_.start_afresh();
+      bool const empty = co_await acceptor_.reset_record();
       if (!empty) co_return;
     }
-    AddVoter question;
-    question.entry = VoterEntry{acceptor_.own(), acceptor_.disk_name()};
-    Address const peer = one_of(active);
-    Result<SetReply> const reply = co_await ask<AddVoter>(env_, peer, question, env_.now() + change_patience);
+    AddVoter request;
+    request.entry = VoterEntry{acceptor_.own_address(), acceptor_.disk_id()};
+    Address const peer = pick_random(active);
+    Result<SetReply> const reply = co_await ask<AddVoter>(env_, peer, request, env_.now() + change_timeout);
     if (!reply) co_return;
-    client_.follow(reply->set);
+    client_.adopt_if_newer(reply->set);
     if (reply->done) log_info("added", {{"epoch", std::to_string(reply->set.epoch)}, {"by", peer}});
   }
 
-  Task<bool> ask_to_be_removed(Instant const deadline) {
+  Task<bool> request_removal(Instant const deadline) {
     VoterSet const set = acceptor_.set();
     std::vector<Address> others = co_await active_voters(set);
-    std::erase(others, acceptor_.own());
+    std::erase(others, acceptor_.own_address());
     if (others.empty()) co_return false;
-    RemoveVoter question;
-    question.address = acceptor_.own();
-    Address const peer = one_of(others);
-    Result<SetReply> const reply = co_await ask<RemoveVoter>(env_, peer, question, deadline);
+    RemoveVoter request;
+    request.address = acceptor_.own_address();
+    Address const peer = pick_random(others);
+    Result<SetReply> const reply = co_await ask<RemoveVoter>(env_, peer, request, deadline);
     if (reply && reply->done) log_info("removed_itself", {{"epoch", std::to_string(reply->set.epoch)}, {"by", peer}});
     co_return reply && reply->done;
   }
@@ -161,61 +161,61 @@
   // Those of a set who vote in it, as far as they are needed for a quorum.
   Task<std::vector<Address>> active_voters(VoterSet const set) {
     std::vector<Address> const voters = addresses_of(set);
-    std::size_t const needed = quorum_of(set);
-    auto const votes_in_it = [&set](Result<VotersReply> const& r) { return r && r->active && r->set == set; };
-    VotersAsk const question{};
+    std::size_t const needed = quorum_size(set);
+    auto const votes_in_set = [&set](Result<VotersReply> const& r) { return r && r->active && r->set == set; };
+    VotersAsk const request{};
     auto const replies =
-        co_await ask_all<VotersAsk>(env_, voters, question, env_.now() + look_patience, [&](auto const& heard) {
+        co_await ask_all<VotersAsk>(env_, voters, request, env_.now() + probe_timeout, [&](auto const& heard) {
           std::size_t n = 0;
-          for (auto const& [at, r] : heard) n += votes_in_it(r);
+          for (auto const& [at, r] : heard) n += votes_in_set(r);
           return n >= needed;
         });
     std::vector<Address> active;
     for (auto const& [at, r] : replies) {
-      if (r && r->member) client_.follow(r->set);
-      if (votes_in_it(r)) active.push_back(voters[at]);
+      if (r && r->member) client_.adopt_if_newer(r->set);
+      if (votes_in_set(r)) active.push_back(voters[at]);
     }
     co_return active;
   }
 
-  Address one_of(std::vector<Address> const& peers) { return peers[env_.chance()() % peers.size()]; }
+  Address pick_random(std::vector<Address> const& peers) { return peers[env_.chance()() % peers.size()]; }
 
   // ---- changes that others ask for
 
-  Task<SetReply> add(AddVoter q) {
+  Task<SetReply> add(AddVoter request) {
     VoterSet const now = acceptor_.set();
-    if (acceptor_.voting() && entry_of(now, q.entry.address) == nullptr) {
-      co_await look_at_others();
-      std::optional<VoterSet> const next = set_for_newcomer(now, q.entry);
+    if (acceptor_.voting() && find_entry(now, request.entry.address) == nullptr) {
+      co_await probe_others();
+      std::optional<VoterSet> const next = set_for_newcomer(now, request.entry);
       if (next && acceptor_.set() == now) co_await change_.run(now, *next);
     }
-    SetReply reply = known_set();
-    VoterEntry const* const entry = entry_of(reply.set, q.entry.address);
-    reply.done = entry != nullptr && *entry == q.entry;
+    SetReply reply = own_set();
+    VoterEntry const* const entry = find_entry(reply.set, request.entry.address);
+    reply.done = entry != nullptr && *entry == request.entry;
     co_return reply;
   }
 
   // While it isn't sure that a voter which doesn't answer is gone, there is none: the
   // newcomer asks again in a moment. To be added beside it, the set would bear less.
   std::optional<VoterSet> set_for_newcomer(VoterSet const& now, VoterEntry const& newcomer) const {
-    if (!last_look_over_ || env_.now() - *last_look_over_ > look_holds_for) return std::nullopt;
-    std::optional<Address> const silent = watch_.most_silent();
-    if (!silent) return set_with(now, newcomer);
-    if (watch_.missed(*silent) < missed_looks_of_the_silent) return std::nullopt;
-    return set_with_replacement(now, *silent, newcomer);
+    if (!last_probe_finished_ || env_.now() - *last_probe_finished_ > probe_validity) return std::nullopt;
+    std::optional<Address> const silent = monitor_.least_responsive();
+    if (!silent) return with_voter_added(now, newcomer);
+    if (monitor_.missed(*silent) < missed_probes_before_replacement) return std::nullopt;
+    return with_voter_replaced(now, *silent, newcomer);
   }
 
-  Task<SetReply> remove(RemoveVoter q) {
+  Task<SetReply> remove(RemoveVoter request) {
     VoterSet const now = acceptor_.set();
-    bool const possible = may_shrink(now) && q.address != acceptor_.own();
-    if (acceptor_.voting() && possible && entry_of(now, q.address) != nullptr)
-      co_await change_.run(now, set_without(now, q.address));
-    SetReply reply = known_set();
-    reply.done = !reply.set.voters.empty() && entry_of(reply.set, q.address) == nullptr;
+    bool const possible = can_remove_voter(now) && request.address != acceptor_.own_address();
+    if (acceptor_.voting() && possible && find_entry(now, request.address) != nullptr)
+      co_await change_.run(now, with_voter_removed(now, request.address));
+    SetReply reply = own_set();
+    reply.done = !reply.set.voters.empty() && find_entry(reply.set, request.address) == nullptr;
     co_return reply;
   }
 
-  SetReply known_set() const {
+  SetReply own_set() const {
     SetReply reply;
     if (acceptor_.phase() == Phase::voting) reply.set = acceptor_.set();
     return reply;
@@ -224,20 +224,20 @@
   // ---- what a voter sees of the others
 
   // A newer set is taken up; who has been silent for too long is removed.
-  Task<void> keep_set_manned() {
+  Task<void> maintain_voter_set() {
     VoterSet const now = acceptor_.set();
-    VoterSet const newest = co_await look_at_others();
+    VoterSet const newest = co_await probe_others();
     if (newest.epoch > now.epoch) {
-      client_.follow(newest);
-      if (entry_of(newest, acceptor_.own()) != nullptr)
+      client_.adopt_if_newer(newest);
+      if (find_entry(newest, acceptor_.own_address()) != nullptr)
         co_await change_.finish(newest);
       else
-        co_await ask_to_be_added(newest);
+        co_await request_addition(newest);
       co_return;
     }
-    std::uint64_t const most = static_cast<std::uint64_t>(settings_.remove_after / look_interval);
-    std::optional<Address> const silent = watch_.most_silent();
-    if (!silent || watch_.missed(*silent) < most || !may_shrink(now)) co_return;
+    std::uint64_t const most = static_cast<std::uint64_t>(settings_.remove_after / probe_interval);
+    std::optional<Address> const silent = monitor_.least_responsive();
+    if (!silent || monitor_.missed(*silent) < most || !can_remove_voter(now)) co_return;
     RemoveVoter gone;
     gone.address = *silent;
     SetReply const reply = co_await remove(gone);
@@ -245,43 +245,43 @@
   }
 
   // The newest set that any of them tells.
-  Task<VoterSet> look_at_others() {
+  Task<VoterSet> probe_others() {
     VoterSet newest = acceptor_.set();
-    if (last_look_ && env_.now() - *last_look_ < least_look_interval) co_return newest;
-    last_look_ = env_.now();
+    if (last_probe_started_ && env_.now() - *last_probe_started_ < min_probe_interval) co_return newest;
+    last_probe_started_ = env_.now();
     VoterSet const now = newest;
-    std::vector<Address> watched = addresses_of(now);
-    std::erase(watched, acceptor_.own());
-    std::vector<Address> peers = watched;
+    std::vector<Address> monitored = addresses_of(now);
+    std::erase(monitored, acceptor_.own_address());
+    std::vector<Address> peers = monitored;
     // It may be a voter of a newer set none of whose other voters is known here.
-    if (!acceptor_.last_asker().empty() && entry_of(now, acceptor_.last_asker()) == nullptr)
-      peers.push_back(acceptor_.last_asker());
-    VotersAsk const question{acceptor_.own()};
-    auto const replies = co_await ask_all<VotersAsk>(env_, peers, question, env_.now() + look_patience,
+    if (!acceptor_.last_requester().empty() && find_entry(now, acceptor_.last_requester()) == nullptr)
+      peers.push_back(acceptor_.last_requester());
+    VotersAsk const request{acceptor_.own_address()};
+    auto const replies = co_await ask_all<VotersAsk>(env_, peers, request, env_.now() + probe_timeout,
                                                      [](auto const&) { return false; });
-    std::vector<bool> answered(watched.size(), false);
+    std::vector<bool> answered(monitored.size(), false);
     std::size_t voting = acceptor_.voting() ? 1 : 0;
     for (auto const& [at, r] : replies) {
       if (!r) continue;
-      if (at < watched.size()) answered[at] = true;
-      if (at < watched.size()) voting += r->active && r->set == now;
+      if (at < monitored.size()) answered[at] = true;
+      if (at < monitored.size()) voting += r->active && r->set == now;
       if (r->member && r->set.epoch > newest.epoch) newest = r->set;
     }
-    watch_.note(watched, answered);
-    last_look_over_ = env_.now();
-    tell_health(health_of(now, voting));
+    monitor_.record_probe(monitored, answered);
+    last_probe_finished_ = env_.now();
+    report_health(health_of(now, voting));
     co_return newest;
   }
 
-  void tell_health(VoterSetHealth const& seen) {
+  void report_health(VoterSetHealth const& seen) {
     if (seen == health_) return;
     health_ = seen;
-    bool const weak = seen.losses_to_bear < settings_.losses;
+    bool const below_target = seen.tolerable_losses < settings_.losses;
     std::string const epoch = std::to_string(seen.epoch);
     std::string const voters = std::to_string(seen.voters);
     std::string const voting = std::to_string(seen.voting);
-    std::string const losses = std::to_string(seen.losses_to_bear);
-    if (weak)
+    std::string const losses = std::to_string(seen.tolerable_losses);
+    if (below_target)
       log_warn("voter_set_weak",
                {{"epoch", epoch}, {"voters", voters}, {"voting", voting}, {"losses_to_bear", losses}});
     else
@@ -294,9 +294,9 @@
   MembershipSettings const settings_;
   RegisterClient<Env> client_;
   VoterSetChange<Env> change_;
-  VoterWatch watch_;
+  VoterMonitor monitor_;
   VoterSetHealth health_;
-  std::optional<Instant> last_look_, last_look_over_;
+  std::optional<Instant> last_probe_started_, last_probe_finished_;
   bool leaving_ = false, left_ = false;
 };
 
--- a/source/coordination/node_state.hpp
+++ b/source/coordination/node_state.hpp
@@ -65,8 +65,8 @@
     return cells;
   }
 
-  Choice choose(Rules const& rules, Index const service, std::uint32_t const slice) const {
-    return choose_cells(rules.layout, rules.catalogue, s.cell, service, slice,
+  ZoneChoice choose(Rules const& rules, Index const service, std::uint32_t const slice) const {
+    return choose_zones(rules.layout, rules.catalogue, s.cell, service, slice,
                         [&] { return offering(rules.layout.services[service].name, env.now()); });
   }
 
@@ -119,14 +119,14 @@
   std::string const holder;
   Instant const started;
   ZoneFollower<Env> zone;
-  CellView const& view = zone.view();
+  ZoneView const& view = zone.view();
   std::shared_ptr<Rules const> rules = std::make_shared<Rules>();
   std::map<std::pair<std::string, std::string>, Local> local;
   std::map<std::pair<std::string, std::string>, Instant> drained;
   // As the follower of the zone last said.
   std::vector<RegistryEntry> directory;
   std::uint32_t cores = 0;
-  Mishaps mishaps;
+  RecentErrors mishaps;
   Instant left_at{};
   bool fresh = false, viewed = false, leaving = false;
 };
--- a/source/coordination/register_client.hpp
+++ b/source/coordination/register_client.hpp
@@ -20,7 +20,7 @@
 
 namespace banktide {
 
-inline constexpr std::size_t remembered_requests = 128;
+inline constexpr std::size_t max_remembered_requests = 128;
 
 /// Stores to ask for the set of voters.
 struct StoreSeeds {
@@ -28,7 +28,7 @@
 };
 
 /// The stores on the machines of these registries, all of which listen at one port.
-inline std::vector<Address> stores_beside(std::vector<Address> const& registries, std::uint16_t const port) {
+inline std::vector<Address> colocated_stores(std::vector<Address> const& registries, std::uint16_t const port) {
   std::vector<Address> stores;
   for (Address const& a : registries) stores.push_back(a.substr(0, a.rfind(':') + 1) + std::to_string(port));
   return stores;
@@ -36,7 +36,7 @@
 
 /// A reading, and when its question was sent: it holds every change that was
 /// completed before that.
-struct Confirmed {
+struct ConfirmedValue {
   Held held;
   Instant asked{};
 };
@@ -53,19 +53,21 @@
  public:
   /// Of a fixed list of voters: epoch 0, for good.
   RegisterClient(Env& env, std::vector<Address> voters)
-      : env_(env), set_(first_set(voters, 0)), set_known_(true), nonce_(env.chance()()) {}
+      : env_(env), set_(initial_set(voters, 0)), set_known_(true), nonce_(env.chance()()) {}
   /// Learns the voters from the stores named here and by `learn`.
-  RegisterClient(Env& env, StoreSeeds seeds) : env_(env), nonce_(env.chance()()) { learn(std::move(seeds.addresses)); }
+  RegisterClient(Env& env, StoreSeeds seeds) : env_(env), nonce_(env.chance()()) {
+    add_contacts(std::move(seeds.addresses));
+  }
 
   /// Further stores to ask for the set of voters.
-  void learn(std::vector<Address> const& stores) {
+  void add_contacts(std::vector<Address> const& stores) {
     for (Address const& a : stores)
       if (contacts_.size() < most_contacts && std::find(contacts_.begin(), contacts_.end(), a) == contacts_.end())
         contacts_.push_back(a);
   }
 
   /// Takes up a set that a voter has told, if it is newer.
-  void follow(VoterSet const& told) {
+  void adopt_if_newer(VoterSet const& told) {
     if (told.voters.empty() || (set_known_ && told.epoch <= set_.epoch)) return;
     set_ = told;
     set_known_ = true;
@@ -89,7 +91,7 @@
           return first_will_do && told;
         });
     for (auto const& [i, r] : replies)
-      if (r && r->member) follow(r->set);
+      if (r && r->member) adopt_if_newer(r->set);
     co_return set_known_;
   }
 
@@ -109,14 +111,14 @@
         continue;
       }
       std::vector<Address> const voters = addresses_of(set_);
-      std::size_t const needed = quorum_of(set_);
+      std::size_t const needed = quorum_size(set_);
       Ballot const ballot{set_.epoch, ++round_, nonce_};
       Prepare const first{reg, ballot};
       auto const prepared = co_await ask_all<Prepare>(
           env_, voters, first, std::min(deadline, env_.now() + round_patience), [needed](auto const& replies) {
             return count(replies, &PrepareReply::promised) >= needed || newer_told(replies);
           });
-      follow_newer(prepared);
+      adopt_newer_sets(prepared);
       Ballot best;
       Held held;
       for (auto const& [i, r] : prepared) {
@@ -142,7 +144,7 @@
         held = std::move(*next);
         if (!request.empty()) {
           held.requests.emplace_back(request, held.revision);
-          if (held.requests.size() > remembered_requests) held.requests.erase(held.requests.begin());
+          if (held.requests.size() > max_remembered_requests) held.requests.erase(held.requests.begin());
         }
       }
       offered = true;
@@ -151,7 +153,7 @@
           env_, voters, second, std::min(deadline, env_.now() + round_patience), [needed](auto const& replies) {
             return count(replies, &AcceptReply::accepted) >= needed || newer_told(replies);
           });
-      follow_newer(accepted);
+      adopt_newer_sets(accepted);
       for (auto const& [i, r] : accepted)
         if (r) round_ = std::max(round_, r->promised.round);
       if (count(accepted, &AcceptReply::accepted) >= needed) {
@@ -178,12 +180,12 @@
   Task<std::optional<std::array<Revision, register_count>>> newest_revisions(Instant const deadline) {
     bool const ready = co_await find_voters(0, deadline);
     if (!ready) co_return std::nullopt;
-    std::size_t const needed = quorum_of(set_);
+    std::size_t const needed = quorum_size(set_);
     PeekRevisions const question{set_.epoch};
     auto const replies = co_await ask_all<PeekRevisions>(
         env_, addresses_of(set_), question, std::min(deadline, env_.now() + round_patience),
         [needed](auto const& heard) { return voting(heard) >= needed || newer_told(heard); });
-    follow_newer(replies);
+    adopt_newer_sets(replies);
     if (voting(replies) < needed) co_return std::nullopt;
     std::array<Revision, register_count> newest{};
     for (auto const& [i, r] : replies) {
@@ -196,14 +198,14 @@
   /// A reading that a majority agrees on, with nothing written back: asked again
   /// until the deadline. Each change must have a greater revision than the one
   /// before, as `known` is taken to be current if the revision is the same.
-  Task<Result<Confirmed>> confirm(Register const reg, Held const known, Instant const deadline) {
+  Task<Result<ConfirmedValue>> confirm(Register const reg, Held const known, Instant const deadline) {
     for (std::uint64_t attempt = 0; env_.now() < deadline; ++attempt) {
       bool const ready = co_await ready_to_ask(attempt, deadline);
       if (!ready) continue;
       Instant const asked = env_.now();
       std::optional<Held> agreed = co_await peek(reg, known, deadline);
       if (!agreed) continue;
-      Confirmed out;
+      ConfirmedValue out;
       out.held = std::move(*agreed);
       out.asked = asked;
       co_return out;
@@ -225,7 +227,7 @@
   }
 
   // A number greater than every one that this has given before, to anyone.
-  Task<Result<std::uint64_t>> rise(Register const reg, Instant const deadline) {
+  Task<Result<std::uint64_t>> next_number(Register const reg, Instant const deadline) {
     bool const ready = co_await find_voters(0, deadline);
     std::size_t heard = 0;
     if (ready) {
@@ -233,7 +235,7 @@
       auto const replies =
           co_await ask_all<Peek>(env_, addresses_of(set_), question, std::min(deadline, env_.now() + round_patience),
                                  [](auto const&) { return false; });
-      follow_newer(replies);
+      adopt_newer_sets(replies);
       for (auto const& [i, r] : replies) {
         if (!r || !r->voting) continue;
         ++heard;
@@ -249,7 +251,7 @@
     co_return round;
   }
 
-  std::size_t majority() const { return quorum_of(set_); }
+  std::size_t majority() const { return quorum_size(set_); }
 
  private:
   static constexpr Duration round_patience = 600ms;
@@ -273,9 +275,9 @@
     return std::any_of(replies.begin(), replies.end(), [](auto const& r) { return r.second && r.second->newer; });
   }
   template <class Replies>
-  void follow_newer(Replies const& replies) {
+  void adopt_newer_sets(Replies const& replies) {
     for (auto const& [i, r] : replies)
-      if (r && r->newer) follow(*r->newer);
+      if (r && r->newer) adopt_if_newer(*r->newer);
   }
 
   // Asks when no set is known, and again when rounds keep failing.
@@ -321,14 +323,14 @@
   Task<std::optional<Held>> peek(Register const reg, Held const known, Instant const deadline) {
     if (value_is_large(reg)) co_return co_await peek_and_fetch(reg, known, deadline);
     std::uint64_t const epoch = set_.epoch;
-    std::size_t const needed = quorum_of(set_);
+    std::size_t const needed = quorum_size(set_);
     Peek const question{reg, known.revision, epoch};
     auto const replies = co_await ask_all<Peek>(
         env_, addresses_of(set_), question, std::min(deadline, env_.now() + round_patience),
         [epoch, needed, &known](auto const& r) {
           return agreeing(r, epoch).second >= needed || none_newer(r, needed, known.revision) || newer_told(r);
         });
-    follow_newer(replies);
+    adopt_newer_sets(replies);
     if (none_newer(replies, needed, known.revision)) co_return known;
     auto const [at, n] = agreeing(replies, epoch);
     if (n < needed) co_return std::nullopt;
@@ -341,14 +343,14 @@
 
   Task<std::optional<Reading>> read_revision(Register const reg, Revision const have, Instant const deadline) {
     std::uint64_t const epoch = set_.epoch;
-    std::size_t const needed = quorum_of(set_);
+    std::size_t const needed = quorum_size(set_);
     std::vector<Address> const voters = addresses_of(set_);
     Peek const question{reg, 0, epoch, false};
     auto const replies = co_await ask_all<Peek>(
         env_, voters, question, std::min(deadline, env_.now() + round_patience), [epoch, needed, have](auto const& r) {
           return agreeing(r, epoch).second >= needed || none_newer(r, needed, have) || newer_told(r);
         });
-    follow_newer(replies);
+    adopt_newer_sets(replies);
     if (voting(replies) < needed) co_return std::nullopt;
     Reading reading;
     reading.bound = newest_revision(replies);
--- a/source/coordination/ring_places.hpp
+++ b/source/coordination/ring_places.hpp
@@ -15,7 +15,7 @@
   explicit RingPlaces(std::string id) : id_(std::move(id)) {}
 
   /// To be called before the others; costs nothing if no member came or went.
-  void follow(CellView const& view) {
+  void follow(ZoneView const& view) {
     if (known_ && seen_ == view.membership_version()) return;
     known_ = true;
     seen_ = view.membership_version();
--- a/source/coordination/voter_set.cpp
+++ b/source/coordination/voter_set.cpp
@@ -5,17 +5,17 @@
 
 namespace banktide {
 
-std::size_t quorum_of(VoterSet const& s) { return quorum_of(s.voters.size(), s.losses); }
+std::size_t quorum_size(VoterSet const& s) { return quorum_size(s.voters.size(), s.losses); }
 
-std::size_t recovery_quorum_of(VoterSet const& s) { return recovery_quorum_of(s.voters.size(), s.losses); }
+std::size_t recovery_quorum_size(VoterSet const& s) { return recovery_quorum_size(s.voters.size(), s.losses); }
 
-std::size_t quorum_of(std::size_t const count, std::size_t const losses) {
+std::size_t quorum_size(std::size_t const count, std::size_t const losses) {
   std::size_t const majority = count / 2 + 1;
   return std::min(count, std::max(majority, losses + 1));
 }
 
-std::size_t recovery_quorum_of(std::size_t const count, std::size_t const losses) {
-  return count - quorum_of(count, losses) + 1;
+std::size_t recovery_quorum_size(std::size_t const count, std::size_t const losses) {
+  return count - quorum_size(count, losses) + 1;
 }
 
 std::vector<std::string> addresses_of(VoterSet const& s) {
@@ -24,13 +24,13 @@
   return out;
 }
 
-VoterEntry const* entry_of(VoterSet const& s, std::string const& address) {
+VoterEntry const* find_entry(VoterSet const& s, std::string const& address) {
   auto const it =
       std::find_if(s.voters.begin(), s.voters.end(), [&](VoterEntry const& e) { return e.address == address; });
   return it == s.voters.end() ? nullptr : &*it;
 }
 
-VoterSet first_set(std::vector<std::string> const& addresses, std::uint32_t const losses) {
+VoterSet initial_set(std::vector<std::string> const& addresses, std::uint32_t const losses) {
   VoterSet s;
   s.losses = losses;
   for (std::string const& a : addresses) s.voters.push_back(VoterEntry{a, 0});
@@ -52,26 +52,26 @@
 
 }  // namespace
 
-VoterSet set_with(VoterSet const& s, VoterEntry const& added) {
+VoterSet with_voter_added(VoterSet const& s, VoterEntry const& added) {
   VoterSet next = next_epoch_of(s);
   next.voters.push_back(added);
   return next;
 }
 
-VoterSet set_without(VoterSet const& s, std::string const& removed) {
+VoterSet with_voter_removed(VoterSet const& s, std::string const& removed) {
   VoterSet next = next_epoch_of(s);
   erase_voter(next, removed);
   return next;
 }
 
-VoterSet set_with_replacement(VoterSet const& s, std::string const& removed, VoterEntry const& added) {
+VoterSet with_voter_replaced(VoterSet const& s, std::string const& removed, VoterEntry const& added) {
   VoterSet next = next_epoch_of(s);
   erase_voter(next, removed);
   next.voters.push_back(added);
   return next;
 }
 
-void take_newer(Slot& mine, Slot const& told) {
+void merge_newer(Slot& mine, Slot const& told) {
   mine.promised = std::max(mine.promised, told.promised);
   if (told.accepted <= mine.accepted) return;
   mine.accepted = told.accepted;
--- a/source/coordination/voter_set.hpp
+++ b/source/coordination/voter_set.hpp
@@ -19,34 +19,34 @@
 namespace banktide {
 
 /// A removal never leaves fewer voters than this.
-inline constexpr std::size_t least_voters = 3;
+inline constexpr std::size_t min_voters = 3;
 
 /// How many voters of `count` a round needs when `losses` disks may go at once.
-std::size_t quorum_of(std::size_t const count, std::size_t const losses);
-std::size_t quorum_of(VoterSet const& s);
+std::size_t quorum_size(std::size_t const count, std::size_t const losses);
+std::size_t quorum_size(VoterSet const& s);
 
 /// How many voters that kept their disks meet every quorum of `count`.
-std::size_t recovery_quorum_of(std::size_t const count, std::size_t const losses);
-std::size_t recovery_quorum_of(VoterSet const& s);
+std::size_t recovery_quorum_size(std::size_t const count, std::size_t const losses);
+std::size_t recovery_quorum_size(VoterSet const& s);
 
 std::vector<std::string> addresses_of(VoterSet const& s);
 
 /// The entry of that address; none: nullptr.
-VoterEntry const* entry_of(VoterSet const& s, std::string const& address);
+VoterEntry const* find_entry(VoterSet const& s, std::string const& address);
 
 /// The set of epoch 0.
-VoterSet first_set(std::vector<std::string> const& addresses, std::uint32_t const losses);
+VoterSet initial_set(std::vector<std::string> const& addresses, std::uint32_t const losses);
 
 /// The next epoch with one voter more.
-VoterSet set_with(VoterSet const& s, VoterEntry const& added);
+VoterSet with_voter_added(VoterSet const& s, VoterEntry const& added);
 
 /// The next epoch with one voter less.
-VoterSet set_without(VoterSet const& s, std::string const& removed);
+VoterSet with_voter_removed(VoterSet const& s, std::string const& removed);
 
 /// The next epoch with `added` in the place of `removed`.
-VoterSet set_with_replacement(VoterSet const& s, std::string const& removed, VoterEntry const& added);
+VoterSet with_voter_replaced(VoterSet const& s, std::string const& removed, VoterEntry const& added);
 
 /// Takes into `mine` what `told` has promised or accepted beyond it.
-void take_newer(Slot& mine, Slot const& told);
+void merge_newer(Slot& mine, Slot const& told);
 
 }  // namespace banktide
--- a/source/coordination/voter_set_change.hpp
+++ b/source/coordination/voter_set_change.hpp
@@ -33,7 +33,7 @@
   Task<void> run(VoterSet const now, VoterSet const next) {
     if (running_) co_return;
     running_ = true;
-    client_.follow(now);
+    client_.adopt_if_newer(now);
     Result<VoterSet> const decided = co_await decide(now, next);
     if (decided) co_await finish(*decided);
     running_ = false;
@@ -46,13 +46,13 @@
   Task<void> finish(VoterSet const set) {
     std::optional<Activate> const next = co_await seal(set);
     if (!next) co_return;
-    std::size_t const needed = quorum_of(set);
+    std::size_t const needed = quorum_size(set);
     auto const replies =
         co_await ask_all<Activate>(env_, addresses_of(set), *next, env_.now() + step_patience,
                                    [needed](auto const& heard) { return count_active(heard) >= needed; });
-    follow_newer(replies);
+    adopt_newer_sets(replies);
     if (count_active(replies) < needed) co_return;
-    client_.follow(set);
+    client_.adopt_if_newer(set);
     for (Register const reg : kept_registers) {
       Held const none{};
       co_await client_.read(reg, none, env_.now() + step_patience);
@@ -85,7 +85,7 @@
     for (VoterEntry const& e : set.voters)
       if (std::find(peers.begin(), peers.end(), e.address) == peers.end()) peers.push_back(e.address);
     std::size_t const members_before = set.before.size();
-    std::size_t const needed = recovery_quorum_of(members_before, set.losses);
+    std::size_t const needed = recovery_quorum_size(members_before, set.losses);
     auto const enough = [needed, members_before](auto const& replies) {
       std::size_t sealed = 0;
       for (auto const& [at, r] : replies) {
@@ -96,22 +96,22 @@
     };
     Seal const question{set};
     auto const replies = co_await ask_all<Seal>(env_, peers, question, env_.now() + step_patience, enough);
-    follow_newer(replies);
+    adopt_newer_sets(replies);
     if (!enough(replies)) co_return std::nullopt;
     Activate next;
     next.set = set;
     for (auto const& [at, r] : replies) {
       if (!r || !r->sealed) continue;
       next.founding = r->founding;
-      for (std::size_t k = 0; k < register_count; ++k) take_newer(next.slots[k], r->slots[k]);
+      for (std::size_t k = 0; k < register_count; ++k) merge_newer(next.slots[k], r->slots[k]);
     }
     co_return next;
   }
 
   template <class Replies>
-  void follow_newer(Replies const& replies) {
+  void adopt_newer_sets(Replies const& replies) {
     for (auto const& [at, r] : replies)
-      if (r && r->newer) client_.follow(*r->newer);
+      if (r && r->newer) client_.adopt_if_newer(*r->newer);
   }
   template <class Replies>
   static std::size_t count_active(Replies const& replies) {
--- a/source/coordination/voter_watch.hpp
+++ b/source/coordination/voter_watch.hpp
@@ -15,7 +15,7 @@
   std::uint64_t epoch = 0;
   std::size_t voters = 0;
   std::size_t voting = 0;  // that answer and vote in this epoch
-  std::size_t losses_to_bear = 0;
+  std::size_t tolerable_losses = 0;
   bool operator==(VoterSetHealth const&) const = default;
 };
 
@@ -23,16 +23,16 @@
 VoterSetHealth health_of(VoterSet const& set, std::size_t const voting);
 
 /// Whether a set of `count` voters bears `losses` while all of them vote.
-bool bears_losses(std::size_t const count, std::size_t const losses);
+bool tolerates_losses(std::size_t const count, std::size_t const losses);
 
 /// Whether removing one voter that is gone leaves a set that is still large enough.
-bool may_shrink(VoterSet const& s);
+bool can_remove_voter(VoterSet const& s);
 
 /// Whether a set from which one voter goes for good bears fewer losses than it should
 /// for as long as that voter stays in it, and could do without it.
-bool better_without_leaver(VoterSet const& s);
+bool should_remove_leaver(VoterSet const& s);
 
-class VoterWatch {
+class VoterMonitor {
  public:
   /// Takes down one look: `answered` tells for each of `peers` whether it answered.
   void note(std::vector<std::string> const& peers, std::vector<bool> const& answered);
@@ -41,7 +41,7 @@
   std::uint64_t missed(std::string const& peer) const;
 
   /// The peer with the most missed looks, if it has missed any.
-  std::optional<std::string> most_silent() const;
+  std::optional<std::string> least_responsive() const;
 
  private:
   std::map<std::string, std::uint64_t> missed_;
--- a/source/coordination/zone_feed.hpp
+++ b/source/coordination/zone_feed.hpp
@@ -46,7 +46,7 @@
   }
 
   std::string const& zone() const { return s_.zone; }
-  CellView const& view() const { return view_; }
+  ZoneView const& view() const { return view_; }
   std::uint64_t epoch() const { return epoch_; }
   Position position() const { return Position{epoch_, journal_.last()}; }
   /// Nodes had time to join, so that what is known here may be told.
@@ -355,7 +355,7 @@
   Instant const started_;
   Instant watched_at_, warm_at_, last_node_at_;
   Journal<Change> journal_{journal_length};
-  CellView view_;
+  ZoneView view_;
   RingPlaces places_;
   std::size_t nodes_ = 0;
   std::uint64_t pulse_ = 0;
--- a/source/coordination/zone_follower.hpp
+++ b/source/coordination/zone_follower.hpp
@@ -14,7 +14,7 @@
 
 namespace banktide {
 
-using ZoneView = CellView;
+using ZoneView = ZoneView;
 
 struct FollowerSettings {
   std::string id;
--- a/source/programs/control_status.hpp
+++ b/source/programs/control_status.hpp
@@ -60,9 +60,9 @@
     VoterSetHealth const health = health_of(set, voting);
     Json status = {{"registry", registry_.settings().id},
                    {"epoch", health.epoch},
-                   {"quorum", quorum_of(set)},
+                   {"quorum", quorum_size(set)},
                    {"voting", health.voting},
-                   {"losses_to_bear", health.losses_to_bear},
+                   {"losses_to_bear", health.tolerable_losses},
                    {"losses_wanted", set.losses},
                    {"vouched", registry_.vouched()},
                    {"configuration", registry_.held(Register::routing).revision},
--- a/source/programs/hollow_fleet_objects.cpp
+++ b/source/programs/hollow_fleet_objects.cpp
@@ -71,14 +71,14 @@
       hollow_service_name(i / 5), "node-" + std::to_string(i), "10.1.0." + std::to_string(i % 250) + ":7200", 8, 0, 0};
 }
 
-std::shared_ptr<CellView> view_of_members(std::size_t const n) {
-  std::shared_ptr<CellView> const view = std::make_shared<CellView>();
+std::shared_ptr<ZoneView> view_of_members(std::size_t const n) {
+  std::shared_ptr<ZoneView> const view = std::make_shared<ZoneView>();
   for (std::size_t i = 0; i < n; ++i) view->members[member(i).id] = member(i);
   return view;
 }
 
-std::shared_ptr<CellView> view_of_backends(std::size_t const n) {
-  std::shared_ptr<CellView> const view = std::make_shared<CellView>();
+std::shared_ptr<ZoneView> view_of_backends(std::size_t const n) {
+  std::shared_ptr<ZoneView> const view = std::make_shared<ZoneView>();
   for (std::size_t i = 0; i < n; ++i) view->backends[{backend(i).service, backend(i).instance}] = backend(i);
   return view;
 }
--- a/source/programs/maintenance_interface.cpp
+++ b/source/programs/maintenance_interface.cpp
@@ -116,9 +116,9 @@
     if (e.cell == zone || withheld.contains(e.cell)) machines.insert(machine_of(e.address));
   std::size_t elsewhere = 0;
   for (VoterEntry const& v : voters.voters) elsewhere += !machines.contains(machine_of(v.address));
-  if (elsewhere >= quorum_of(voters)) return std::nullopt;
+  if (elsewhere >= quorum_size(voters)) return std::nullopt;
   return std::to_string(elsewhere) + " of the " + std::to_string(voters.voters.size()) +
-         " stores stand elsewhere, needed are " + std::to_string(quorum_of(voters));
+         " stores stand elsewhere, needed are " + std::to_string(quorum_size(voters));
 }
 
 ZoneRemains remains_in(std::string const& zone, std::vector<CellEntry> const& entries, KeyTable const& keys) {
--- a/source/programs/maintenance_interface.hpp
+++ b/source/programs/maintenance_interface.hpp
@@ -26,7 +26,7 @@
 
 /** A window that is asked for. */
 struct MarkZone {
-  MaintenanceMark mark;
+  MaintenanceWindowSpec mark;
   /** Also if the other zones have too few free slots, or the time is too short. */
   bool force = false;
 };
@@ -111,7 +111,7 @@
     std::set<std::string> const zones = registry_.zone_names();
     if (!zones.contains(zone)) co_return maintenance_error(404, "unknown_zone", "no registry or node is in " + zone);
     MaintenancePlan tried = keeper_.plan();
-    bool const is_new = tried.mark(asked.mark) == MarkOutcome::marked;
+    bool const is_new = tried.mark(asked.mark) == ScheduleOutcome::marked;
     if (is_new && !asked.force) {
       std::set<std::string> const withheld = keeper_.plan().withheld_zones();
       std::optional<std::string> lack = lack_of_capacity(zone, registry_.zone_entries(), withheld);
@@ -119,16 +119,16 @@
       lack = lack_of_quorum(zone, registry_.registers().set(), registry_.directory(), withheld);
       if (lack) co_return maintenance_error(409, "no_quorum", *lack);
     }
-    MarkOutcome outcome = MarkOutcome::marked;
+    ScheduleOutcome outcome = ScheduleOutcome::marked;
     MaintenanceEdit const edit = [&](MaintenancePlan& plan) -> Result<bool> {
       outcome = plan.mark(asked.mark);
-      return outcome == MarkOutcome::marked;
+      return outcome == ScheduleOutcome::marked;
     };
     Result<MaintenancePlan> const done = co_await keeper_.change(edit);
     if (!done) co_return not_taken(done.error());
-    if (outcome == MarkOutcome::overlaps_own_zone)
+    if (outcome == ScheduleOutcome::overlaps_own_zone)
       co_return maintenance_error(409, "window_overlaps", zone + " has another window; end that one first");
-    if (outcome == MarkOutcome::overlaps_other_zone)
+    if (outcome == ScheduleOutcome::overlaps_other_zone)
       co_return maintenance_error(409, "other_zone", "another zone is under maintenance then; see allow_second");
     co_return newest_of(*done, zone);
   }
--- a/source/programs/mesh_node.hpp
+++ b/source/programs/mesh_node.hpp
@@ -33,7 +33,7 @@
       : env_(env),
         s_(std::move(settings)),
         adapter_(adapter),
-        registers_(env, StoreSeeds{stores_beside(s_.follower.seeds, s_.store_port)}),
+        registers_(env, StoreSeeds{colocated_stores(s_.follower.seeds, s_.store_port)}),
         local_(env, local_settings(), adapter.headers, std::move(factory), local_events()),
         path_(env, path_settings(), adapter.headers, local_),
         follower_(env, s_.follower, follower_events()),
@@ -263,7 +263,7 @@
 
   void rebuild_endpoints() {
     std::map<std::string, EndpointSelector::Endpoints> all;
-    CellView const& view = follower_.view();
+    ZoneView const& view = follower_.view();
     for (auto const& [key, b] : view.backends) {
       if (b.node == s_.follower.id || b.standing != Standing::fit || !view.usable_node(b.node)) continue;
       Endpoint const e{b.node, view.members.at(b.node).address, s_.follower.zone,
@@ -387,7 +387,7 @@
       bool const due = env_.now() - confirmed_at_ >= confirm_period();
       if ((!wanted && !due) || env_.now() < next_confirm_) continue;
       confirm_soon_ = false;
-      registers_.learn(stores_beside(registry_addresses(), s_.store_port));
+      registers_.add_contacts(colocated_stores(registry_addresses(), s_.store_port));
       // Until the voters are known, a read waits for all stores, including those that are down.
       Duration const patience = registers_.knows_voters() ? confirm_patience : first_confirm_patience;
       bool const confirmed = co_await confirm_table(env_.now() + patience);
@@ -423,7 +423,7 @@
 
   Task<void> read_table(Instant const deadline) {
     Held const known = follower_.held(Register::keys);
-    Result<Confirmed> const read = co_await registers_.confirm(Register::keys, known, deadline);
+    Result<ConfirmedValue> const read = co_await registers_.confirm(Register::keys, known, deadline);
     if (!read || !keys_) co_return;
     confirmed_at_ = read->asked;
     follower_.take(Register::keys, read->held);
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -88,7 +88,7 @@
   RegisterClient<Env>& registers() { return register_; }
   Held const& held(Register const r) const { return held_.at(static_cast<std::size_t>(r)); }
   /// The view of the own zone.
-  CellView const& view() const { return own_feed_->view(); }
+  ZoneView const& view() const { return own_feed_->view(); }
   Position position() const { return own_feed_->position(); }
   std::vector<RegistryEntry> const& directory() const { return directory_.entries(); }
   /// The zones whose feeds are served here.
@@ -140,7 +140,7 @@
   }
 
   void note(std::string const& what, Error const& m) { mishaps_.note(env_.now() - started_, what, m); }
-  Mishaps const& mishaps() const { return mishaps_; }
+  RecentErrors const& mishaps() const { return mishaps_; }
 
   // ---- operator interface
 
@@ -224,7 +224,7 @@
 
   static RegisterClient<Env> client_of(Env& env, RegistrySettings const& s) {
     if (!s.voters.empty()) return RegisterClient<Env>(env, s.voters);
-    return RegisterClient<Env>(env, StoreSeeds{stores_beside(s.seeds, s.store_port)});
+    return RegisterClient<Env>(env, StoreSeeds{colocated_stores(s.seeds, s.store_port)});
   }
 
   // ---- register values
@@ -261,7 +261,7 @@
   }
 
   Task<LayoutsReply> layouts(LayoutsAsk q) {
-    if (q.fresh || !vouched()) co_await reading_.read_anew(env_.now() + fresh_patience);
+    if (q.fresh || !vouched()) co_await reading_.read_fresh(env_.now() + fresh_patience);
     LayoutsReply reply;
     reply.known = vouched();
     if (reply.known) reply.reading_age_ms = static_cast<std::uint32_t>(as_ms(*reading_age()) + 1);  // rounded up
@@ -331,8 +331,8 @@
 
   // Lease epochs start from a round number of the register that was never issued before, so they never repeat.
   Task<void> find_floor() {
-    while (!lease_.floored()) {
-      Result<std::uint64_t> const round = co_await register_.rise(Register::routing, env_.now() + 2s);
+    while (!lease_.has_floor()) {
+      Result<std::uint64_t> const round = co_await register_.next_number(Register::routing, env_.now() + 2s);
       if (round)
         lease_.set_floor(broken_on_purpose("epochs_start_again") ? 1 : *round << 20);
       else
@@ -373,7 +373,7 @@
       for (Address const& peer : peers) spawn(env_, meet_one(peer));
       directory_.forget_silent(env_.now());
       if (s_.voters.empty())
-        register_.learn(stores_beside(std::vector<Address>(peers.begin(), peers.end()), s_.store_port));
+        register_.add_contacts(colocated_stores(std::vector<Address>(peers.begin(), peers.end()), s_.store_port));
       co_await sleep_for(env_, directory_.entries().size() < 2 ? Duration(200ms) : t_.registry_meet_every);
     }
   }
@@ -513,7 +513,7 @@
   RegisterClient<Env> register_;
   LeaseVoter<Env> lease_;
   Instant const started_;
-  Mishaps mishaps_;
+  RecentErrors mishaps_;
   RegistryDirectory directory_;
   std::array<Held, register_count> held_;
   DeltaHistory<KeyDelta> key_deltas_;       // up to the current key table, if any
--- a/source/simulation/sim_world.hpp
+++ b/source/simulation/sim_world.hpp
@@ -370,7 +370,7 @@
   SimProcess* process = nullptr;
 
   Result<VoterRecord> load() { return durable; }
-  Task<Result<bool>> keep(VoterRecord const& r) {
+  Task<Result<bool>> save(VoterRecord const& r) {
     SimProcess* const mine = process;
     VoterRecord const next = r;
     Duration wait = std::chrono::microseconds(200 + mine->chance()() % 2000);
--- a/source/state/cell_view.hpp
+++ b/source/state/cell_view.hpp
@@ -10,7 +10,7 @@
 
 namespace banktide {
 
-class CellView {
+class ZoneView {
  public:
   std::map<std::string, Member> members;
   std::map<std::pair<std::string, std::string>, BackendRecord> backends;
--- a/source/state/layout.hpp
+++ b/source/state/layout.hpp
@@ -116,7 +116,7 @@
   }
 
   // The longest prefix that ends at a path segment's end.
-  Index way_of(std::string const& target) const {
+  Index service_of_path(std::string const& target) const {
     std::string_view const path = std::string_view(target).substr(0, target.find('?'));
     for (PathRoute const& w : path_routes) {
       if (path.substr(0, w.prefix.size()) != w.prefix) continue;
@@ -151,7 +151,7 @@
   // An operator's catalogue is checked against the routing revision to the last
   // name. A node that has a newer routing revision than the catalogue was made
   // for passes over the names and slices that are gone, and nothing else.
-  static Result<Catalogue> read(std::string const& bytes, Layout const& layout, bool const forgiving = false) {
+  static Result<Catalogue> read(std::string const& bytes, Layout const& layout, bool const lenient = false) {
     Result<Json> j = parse_json(bytes);
     if (!j) return tl::unexpected<Error>(j.error());
     Result<bool> const fits = check_schema(*j, schema);
@@ -162,18 +162,18 @@
     std::size_t at = 0;
     for (Json const& name : j->value("closed", Json::array())) {
       Index const s = layout.service_names.find(name.get<std::string>());
-      if (s == no_index && !forgiving)
+      if (s == no_index && !lenient)
         return make_error("check_references", "/closed/" + std::to_string(at), "no such service", Proof::not_run);
       if (s != no_index) c.closed[s] = true;
       ++at;
     }
     for (auto const& [cell, services] : (*j)["cells"].items()) {
       bool const gone = layout.cells.find(cell) == no_index;
-      if (gone && !forgiving) return make_error("check_references", "/cells/" + cell, "no such cell", Proof::not_run);
+      if (gone && !lenient) return make_error("check_references", "/cells/" + cell, "no such cell", Proof::not_run);
       for (auto const& [name, e] : services.items()) {
         std::string const pointer = "/cells/" + cell + "/" + name;
         Index const s = layout.service_names.find(name);
-        if (s == no_index && !forgiving)
+        if (s == no_index && !lenient)
           return make_error("check_references", pointer, "no such service", Proof::not_run);
         if (s == no_index) continue;
         Service const& service = layout.services[s];
@@ -181,14 +181,14 @@
         entry.cell = cell;
         if (gone)
           entry.slices.assign(std::max<std::uint32_t>(service.slices, 1), false);
-        else if (e.contains("slices") && !service.keyed() && !forgiving)
+        else if (e.contains("slices") && !service.keyed() && !lenient)
           return make_error("check_references", pointer + "/slices", "service is not keyed", Proof::not_run);
         if (service.keyed() && !gone) {
           entry.slices.assign(service.slices, !e.contains("slices"));
           for (Json const& range : e.value("slices", Json::array())) {
             std::uint32_t const first = range[0].get<std::uint32_t>();
             std::uint32_t last = range[1].get<std::uint32_t>();
-            if (forgiving)
+            if (lenient)
               last = std::min(last, service.slices - 1);
             else if (first > last || last >= service.slices)
               return make_error("check_references", pointer + "/slices",
@@ -197,7 +197,7 @@
           }
           for (Entry const& other : c.entries[s])
             for (std::uint32_t i = 0; i < service.slices; ++i)
-              if (entry.slices[i] && other.slices[i] && forgiving)
+              if (entry.slices[i] && other.slices[i] && lenient)
                 entry.slices[i] = false;
               else if (entry.slices[i] && other.slices[i])
                 return make_error("check_references", pointer + "/slices",
@@ -215,7 +215,7 @@
 
 // What a call may do, before anything is known of backends: the cells it may
 // run in, own first. `dropped` has the reason where there is none.
-struct Choice {
+struct ZoneChoice {
   bool stay = false;
   bool settled = false;             // by the catalogue, or by the slice's home
   bool home = false;                // the catalogue is silent on a keyed service
@@ -228,9 +228,9 @@
 // the one with the highest digest, so that all who see the same cells agree;
 // the leases see to it that it moves only when the old home has let go.
 template <class ZonesOffering>
-Choice choose_cells(Layout const& layout, Catalogue const& c, std::string const& own, Index const service,
-                    std::uint32_t const slice, ZonesOffering offering) {
-  Choice out;
+ZoneChoice choose_zones(Layout const& layout, Catalogue const& c, std::string const& own, Index const service,
+                        std::uint32_t const slice, ZonesOffering offering) {
+  ZoneChoice out;
   if (service < c.closed.size() && c.closed[service]) {
     out.dropped = "closed by the catalogue";
     return out;
--- a/source/state/maintenance.cpp
+++ b/source/state/maintenance.cpp
@@ -86,7 +86,7 @@
   return "unknown";
 }
 
-MarkOutcome MaintenancePlan::mark(MaintenanceMark const& mark) {
+ScheduleOutcome MaintenancePlan::mark(MaintenanceWindowSpec const& mark) {
   MaintenanceWindow wanted;
   wanted.id = 1;
   wanted.zone = mark.zone;
@@ -99,9 +99,9 @@
     if (!w.current()) continue;
     bool const same = w.opens_in == wanted.opens_in && w.lasts == wanted.lasts && w.lead == wanted.lead;
     bool const returning = w.phase == MaintenancePhase::returning;
-    if (w.zone == mark.zone && !returning) return same ? MarkOutcome::repeated : MarkOutcome::overlaps_own_zone;
+    if (w.zone == mark.zone && !returning) return same ? ScheduleOutcome::repeated : ScheduleOutcome::overlaps_own_zone;
     if (w.zone != mark.zone && !mark.allow_second && span_of(w).overlaps(span_of(wanted)))
-      return MarkOutcome::overlaps_other_zone;
+      return ScheduleOutcome::overlaps_other_zone;
   }
   // What is still returning of the zone's last window is cut short by the new one.
   for (MaintenanceWindow& w : windows)
@@ -112,7 +112,7 @@
   windows.push_back(std::move(wanted));
   advance(Duration::zero());
   forget_oldest();
-  return MarkOutcome::marked;
+  return ScheduleOutcome::marked;
 }
 
 EndOutcome MaintenancePlan::end(std::string const& zone) {
--- a/source/state/maintenance.hpp
+++ b/source/state/maintenance.hpp
@@ -50,7 +50,7 @@
 };
 
 /** An operator's wish for a window. */
-struct MaintenanceMark {
+struct MaintenanceWindowSpec {
   std::string zone;
   Duration opens_in{};
   Duration lasts{};
@@ -60,7 +60,7 @@
   bool allow_second = false;
 };
 
-enum class MarkOutcome : std::uint8_t { marked, repeated, overlaps_own_zone, overlaps_other_zone };
+enum class ScheduleOutcome : std::uint8_t { marked, repeated, overlaps_own_zone, overlaps_other_zone };
 enum class EndOutcome : std::uint8_t { ended, already, no_window };
 
 class MaintenancePlan {
@@ -69,7 +69,7 @@
   bool operator==(MaintenancePlan const&) const = default;
   BANKTIDE_FIELDS(windows)
 
-  MarkOutcome mark(MaintenanceMark const& mark);
+  ScheduleOutcome mark(MaintenanceWindowSpec const& mark);
   /** A window that had no effect yet is cancelled; one that had begins to return. */
   EndOutcome end(std::string const& zone);
   /** Counts down; true if a phase has changed. */
--- a/source/state/mishaps.hpp
+++ b/source/state/mishaps.hpp
@@ -8,28 +8,28 @@
 
 namespace banktide {
 
-struct Noted {
+struct ErrorRecord {
   std::int64_t at_ms = 0;
   std::string what, step, peer, reason;
 };
 
-class Mishaps {
+class RecentErrors {
  public:
   void note(Duration const since_start, std::string const& what, Error const& m) {
-    noted_.append(Noted{as_ms(since_start), what, m.step, m.peer, m.reason});
+    noted_.append(ErrorRecord{as_ms(since_start), what, m.step, m.peer, m.reason});
     log_warn(what, {{"step", m.step}, {"peer", m.peer}, {"reason", m.reason}});
   }
   std::uint64_t last() const { return noted_.last(); }
   Json json() const {
     Json j = Json::array();
-    std::optional<std::vector<Noted>> const all = noted_.since(noted_.trimmed());
-    for (Noted const& n : *all)
+    std::optional<std::vector<ErrorRecord>> const all = noted_.since(noted_.trimmed());
+    for (ErrorRecord const& n : *all)
       j.push_back({{"at_ms", n.at_ms}, {"what", n.what}, {"step", n.step}, {"peer", n.peer}, {"reason", n.reason}});
     return Json{{"mishaps", j}, {"trimmed", noted_.trimmed()}};
   }
 
  private:
-  Journal<Noted> noted_{256};
+  Journal<ErrorRecord> noted_{256};
 };
 
 }  // namespace banktide
--- a/source/state/slice_moves.hpp
+++ b/source/state/slice_moves.hpp
@@ -30,7 +30,7 @@
   for (Index s = 0; s < layout.services.size(); ++s) {
     Service const& service = layout.services[s];
     for (std::uint32_t i = 0; i < service.slices; ++i) {
-      Choice const choice = choose_cells(layout, catalogue, "", s, i, [&] { return offering[service.name]; });
+      ZoneChoice const choice = choose_zones(layout, catalogue, "", s, i, [&] { return offering[service.name]; });
       std::string const should = choice.others.empty() ? "" : choice.others.front();
       Json row = {
           {"service", service.name}, {"should", should}, {"by", choice.home ? "home" : "catalogue"}, {"in_flight", 0}};
--- a/source/state/sqlite_disk.hpp
+++ b/source/state/sqlite_disk.hpp
@@ -13,7 +13,7 @@
 namespace banktide {
 
 /// A voter's record as it was before the register of maintenance windows.
-struct VoterRecordOfFourRegisters {
+struct VoterRecordFormat2 {
   Phase phase = Phase::blank;
   std::uint64_t founding = 0;
   std::array<Slot, 4> slots;
@@ -23,7 +23,7 @@
   BANKTIDE_FIELDS(phase, founding, slots, set, active_epoch, disk)
 
   /// The same record, with nothing in the new register.
-  VoterRecord widened() const {
+  VoterRecord upgraded() const {
     VoterRecord record;
     record.phase = phase;
     record.founding = founding;
@@ -59,7 +59,7 @@
       return make_error("load_disk", "", sqlite3_errmsg(db_));
     int const rc = sqlite3_step(s);
     Result<VoterRecord> out = VoterRecord{};
-    if (rc == SQLITE_ROW && format() != record_format && format() != format_of_four_registers) {
+    if (rc == SQLITE_ROW && format() != record_format && format() != previous_record_format) {
       out = make_error("load_disk", "",
                        "record of format " + std::to_string(format()) + ", known is " + std::to_string(record_format));
     } else if (rc == SQLITE_ROW) {
@@ -76,7 +76,7 @@
     return out;
   }
 
-  Task<Result<bool>> keep(VoterRecord const& r) {
+  Task<Result<bool>> save(VoterRecord const& r) {
     if (format() == record_format) co_return write(r);
     // The format and the first record of it are there together, or neither is.
     std::string const number = "BEGIN IMMEDIATE; PRAGMA user_version=" + std::to_string(record_format);
@@ -95,12 +95,11 @@
 
  private:
   static constexpr int record_format = 3;
-  static constexpr int format_of_four_registers = 2;
+  static constexpr int previous_record_format = 2;
 
   Result<VoterRecord> read(Bytes const& raw) const {
     if (format() == record_format) return unpack<VoterRecord>(raw);
-    return unpack<VoterRecordOfFourRegisters>(raw).map(
-        [](VoterRecordOfFourRegisters const& old) { return old.widened(); });
+    return unpack<VoterRecordFormat2>(raw).map([](VoterRecordFormat2 const& old) { return old.upgraded(); });
   }
 
   Result<bool> execute(char const* const sql) {
--- a/source/state/view_json.hpp
+++ b/source/state/view_json.hpp
@@ -15,7 +15,7 @@
   return names[std::min<std::size_t>(static_cast<std::size_t>(r), 2)];
 }
 
-inline Json view_json(CellView const& v) {
+inline Json view_json(ZoneView const& v) {
   Json j = Json::object();
   j["members"] = Json::array();
   j["backends"] = Json::array();
--- a/tests/coordination/maintenance_keeper_test.cpp
+++ b/tests/coordination/maintenance_keeper_test.cpp
@@ -44,16 +44,16 @@
   void run_for(Duration const d) { sim.run_until(sim.now + d); }
 
   void mark(std::size_t const i, Duration const opens_in, Duration const lasts) {
-    MaintenanceMark wish;
+    MaintenanceWindowSpec wish;
     wish.zone = "z";
     wish.opens_in = opens_in;
     wish.lasts = lasts;
     wish.lead = 20s;
     wish.return_time = 10s;
     bool done = false;
-    spawn(*registries[i].process, [](Keeper& keeper, MaintenanceMark const wanted, bool& to) -> Task<void> {
+    spawn(*registries[i].process, [](Keeper& keeper, MaintenanceWindowSpec const wanted, bool& to) -> Task<void> {
       MaintenanceEdit const edit = [wanted](MaintenancePlan& plan) -> Result<bool> {
-        return plan.mark(wanted) == MarkOutcome::marked;
+        return plan.mark(wanted) == ScheduleOutcome::marked;
       };
       Result<MaintenancePlan> const plan = co_await keeper.change(edit);
       to = plan.has_value();
--- a/tests/coordination/register_test.cpp
+++ b/tests/coordination/register_test.cpp
@@ -63,7 +63,7 @@
     ASSERT_TRUE(t.put(0, Register::keys, n, std::to_string(n)));
     t.sim.heal();
     Instant const before = t.clients[1]->now();
-    Result<Confirmed> const seen = t.confirm(1, Register::keys, known, 2s);
+    Result<ConfirmedValue> const seen = t.confirm(1, Register::keys, known, 2s);
     if (!seen) continue;  // a voter may still hold an older ballot: not agreed
     EXPECT_EQ(seen->held.bytes, std::to_string(n));
     EXPECT_GE(seen->asked, before);
@@ -123,7 +123,7 @@
       ASSERT_TRUE(t.run_until([&] { return t.all_vote(core.voters); }, 30s)) << "adding";
     }
     ASSERT_TRUE(t.get(0, Register::routing)) << "a client that has learned the voters";
-    std::size_t const copies = quorum_of(core.voters, core.losses);
+    std::size_t const copies = quorum_size(core.voters, core.losses);
     for (std::size_t k = 0, away = core.voters - copies; k < core.voters && away > 0; ++k) {
       if ((wiped >> k & 1) != 0) continue;  // those to be wiped have a copy
       t.sim.cut("client-0", "core-" + std::to_string(k));
--- a/tests/coordination/shared_reading_test.cpp
+++ b/tests/coordination/shared_reading_test.cpp
@@ -29,7 +29,7 @@
   }
   Task<void> ask_once(Duration const patience) {
     Instant const came = process->now();
-    bool const good = co_await shared->read_anew(came + patience);
+    bool const good = co_await shared->read_fresh(came + patience);
     ++answered;
     served += good;
     stale += good && *shared->newest() < came;
--- a/tests/coordination/store_trial.hpp
+++ b/tests/coordination/store_trial.hpp
@@ -112,11 +112,12 @@
     run_until([&] { return done.has_value(); }, patience + 2s);
     return done ? *done : Result<Held>(make_error("get", "", "no end"));
   }
-  Result<Confirmed> confirm(std::size_t const client, Register const reg, Held const known, Duration const patience) {
-    std::optional<Result<Confirmed>> done;
+  Result<ConfirmedValue> confirm(std::size_t const client, Register const reg, Held const known,
+                                 Duration const patience) {
+    std::optional<Result<ConfirmedValue>> done;
     spawn(*clients[client], confirm_one(client, reg, known, patience, done));
     run_until([&] { return done.has_value(); }, patience + 2s);
-    return done ? *done : Result<Confirmed>(make_error("confirm", "", "no end"));
+    return done ? *done : Result<ConfirmedValue>(make_error("confirm", "", "no end"));
   }
 
   using Newest = std::optional<std::array<Revision, register_count>>;
@@ -141,7 +142,7 @@
     done = co_await registers[c]->read(reg, none, clients[c]->now() + patience);
   }
   Task<void> confirm_one(std::size_t const c, Register const reg, Held const known, Duration const patience,
-                         std::optional<Result<Confirmed>>& done) {
+                         std::optional<Result<ConfirmedValue>>& done) {
     done = co_await registers[c]->confirm(reg, known, clients[c]->now() + patience);
   }
 
--- a/tests/coordination/voter_replacement_test.cpp
+++ b/tests/coordination/voter_replacement_test.cpp
@@ -95,7 +95,7 @@
   t.run_for(1s);
   t.start(4, false);
   ASSERT_TRUE(t.run_until([&] { return t.acceptors[4]->voting(); }, 4s));
-  EXPECT_EQ(entry_of(t.acceptors[4]->set(), "store-1:1"), nullptr);
+  EXPECT_EQ(find_entry(t.acceptors[4]->set(), "store-1:1"), nullptr);
   ASSERT_TRUE(t.put(0, Register::routing, 2, "two"));
   std::uint64_t const old_disk = t.disks[1].durable.disk;
   t.net.dark.erase("core-1");
--- a/tests/coordination/voter_replacement_trial.hpp
+++ b/tests/coordination/voter_replacement_trial.hpp
@@ -183,7 +183,7 @@
     bool const all_vote = std::all_of(members_.begin(), members_.end(), [&](std::size_t const m) {
       return t_.acceptors[m]->voting() && t_.acceptors[m]->set() == set;
     });
-    bool const borne = members_.size() >= quorum_of(set) + losses_;
+    bool const borne = members_.size() >= quorum_size(set) + losses_;
     EXPECT_TRUE(all_vote && borne) << t_.described();
     return all_vote && borne;
   }
--- a/tests/coordination/voter_set_test.cpp
+++ b/tests/coordination/voter_set_test.cpp
@@ -12,8 +12,8 @@
     std::size_t voters, losses;
   };
   for (Core const core : {Core{3, 1}, Core{4, 1}, Core{5, 2}, Core{6, 2}, Core{7, 3}, Core{3, 2}}) {
-    std::size_t const quorum = quorum_of(core.voters, core.losses);
-    std::size_t const enough = recovery_quorum_of(core.voters, core.losses);
+    std::size_t const quorum = quorum_size(core.voters, core.losses);
+    std::size_t const enough = recovery_quorum_size(core.voters, core.losses);
     EXPECT_LE(enough, core.voters - core.losses);
     unsigned const subsets = 1u << core.voters;
     bool fewer_would_miss = false;
@@ -39,8 +39,8 @@
 // One voter by itself, asked directly.
 struct LoneVoter {
   LoneVoter() : trial(1, 3, 1), asker(*trial.clients[0]) {
-    before = first_set({"store-0:1", "a:1", "b:1"}, 1);
-    after = set_with(before, VoterEntry{"store-1:1", 77});
+    before = initial_set({"store-0:1", "a:1", "b:1"}, 1);
+    after = with_voter_added(before, VoterEntry{"store-1:1", 77});
     trial.disks[0].durable.phase = Phase::voting;
     trial.disks[0].durable.founding = 9;
     trial.disks[0].durable.set = before;
@@ -151,12 +151,12 @@
 // hold something newer of the epoch before.
 TEST(VoterSet, a_reading_does_not_rest_on_ballots_of_an_older_set) {
   StoreTrial t(8, 3, 1);
-  VoterSet const before = first_set({"store-0:1", "store-1:1"}, 0);
+  VoterSet const before = initial_set({"store-0:1", "store-1:1"}, 0);
   for (std::size_t i = 0; i < 3; ++i) {
     t.disks[i].durable.phase = Phase::voting;
     t.disks[i].durable.founding = 9;
     t.disks[i].durable.disk = i + 1;
-    t.disks[i].durable.set = set_with(before, VoterEntry{"store-2:1", 3});
+    t.disks[i].durable.set = with_voter_added(before, VoterEntry{"store-2:1", 3});
     t.disks[i].durable.active_epoch = 1;
     t.disks[i].durable.slots[2].accepted.round = 4;
     t.disks[i].durable.slots[2].held.revision = 4;
@@ -237,7 +237,7 @@
       }
       Revision const floor = acknowledged;
       Held const none{};
-      Result<Confirmed> const seen =
+      Result<ConfirmedValue> const seen =
           co_await t.registers[c]->confirm(Register::keys, none, t.clients[c]->now() + 100ms);
       if (seen) {
         EXPECT_GE(seen->held.revision, floor);
--- a/tests/coordination/zone_feed_test.cpp
+++ b/tests/coordination/zone_feed_test.cpp
@@ -119,7 +119,7 @@
   FollowReply const told = t.feed->follow(Follow{seen, "a"});
   ASSERT_EQ(told.changes.size(), 1u);
   EXPECT_LT(pack(told).size(), 250u);
-  CellView follower;
+  ZoneView follower;
   follower.fold(Change{0, std::nullopt, std::nullopt, entry});
   follower.fold(told.changes[0]);
   EXPECT_EQ(t.feed->view().cells.at("b"), entry);
@@ -183,7 +183,7 @@
 }
 
 TEST(ZoneFeed, the_roles_of_neighbours_follow_the_ring_as_members_come_and_go) {
-  CellView view;
+  ZoneView view;
   RingPlaces places("n3");
   std::uint64_t x = 5;
   for (int step = 0; step < 300; ++step) {
@@ -212,7 +212,7 @@
 }
 
 TEST(ZoneFeed, who_leaves_or_is_suspected_stands_last_in_the_relay_tree_and_stays_on_the_ring) {
-  CellView view;
+  ZoneView view;
   RingPlaces places("");
   auto const fold = [&](std::string const& id, Standing const standing) {
     view.fold(Change{0, Member{id, "a", id, Role::node, 1, standing}, std::nullopt, std::nullopt});
--- a/tests/coordination/zone_trial.hpp
+++ b/tests/coordination/zone_trial.hpp
@@ -118,7 +118,7 @@
   }
 
   Registry<SimProcess>& registry(std::string const& id) { return *controls.at(id).registry; }
-  CellView const& view(std::string const& node) { return nodes.at(node).follower->view(); }
+  ZoneView const& view(std::string const& node) { return nodes.at(node).follower->view(); }
   /// How many nodes the view of this node holds, itself among them.
   std::size_t nodes_seen(std::string const& node) {
     std::size_t n = 0;
--- a/tests/programs/maintenance_interface_test.cpp
+++ b/tests/programs/maintenance_interface_test.cpp
@@ -83,10 +83,10 @@
 
 TEST(MaintenanceCapacity, the_stores_elsewhere_must_make_a_quorum) {
   std::vector<RegistryEntry> const registries{{"a", "10.0.0.1:1", 0}, {"b", "10.0.0.2:1", 0}, {"c", "10.0.0.3:1", 0}};
-  VoterSet const voters = first_set({"10.0.0.1:2", "10.0.0.2:2", "10.0.0.3:2"}, 1);
+  VoterSet const voters = initial_set({"10.0.0.1:2", "10.0.0.2:2", "10.0.0.3:2"}, 1);
   EXPECT_FALSE(lack_of_quorum("a", voters, registries, {}));
   EXPECT_TRUE(lack_of_quorum("a", voters, registries, {"b"}));
-  VoterSet const crowded = first_set({"10.0.0.1:2", "10.0.0.1:3", "10.0.0.3:2"}, 1);
+  VoterSet const crowded = initial_set({"10.0.0.1:2", "10.0.0.1:3", "10.0.0.3:2"}, 1);
   EXPECT_TRUE(lack_of_quorum("a", crowded, registries, {}));
   EXPECT_FALSE(lack_of_quorum("b", crowded, registries, {}));
 }
@@ -123,7 +123,7 @@
 /** What the interface asks of a registry. */
 struct RegistryStandIn {
   struct Voters {
-    VoterSet voters = first_set({"10.0.0.1:2", "10.0.0.2:2", "10.0.0.3:2"}, 1);
+    VoterSet voters = initial_set({"10.0.0.1:2", "10.0.0.2:2", "10.0.0.3:2"}, 1);
     VoterSet const& set() const { return voters; }
   };
   Voters const& registers() const { return all; }
@@ -243,7 +243,7 @@
   EXPECT_EQ(trial.outcome(put("a", forced)), "scheduled");
   EXPECT_EQ(trial.outcome(put("a", evening)), "scheduled") << "a repeat is not judged again";
   InterfaceTrial crowded;
-  crowded.registry.all.voters = first_set({"10.0.0.1:2", "10.0.0.1:3", "10.0.0.3:2"}, 1);
+  crowded.registry.all.voters = initial_set({"10.0.0.1:2", "10.0.0.1:3", "10.0.0.3:2"}, 1);
   EXPECT_EQ(crowded.outcome(put("a", evening)), "409 no_quorum");
   EXPECT_EQ(crowded.outcome(put("a", forced)), "scheduled");
 }
--- a/tests/protocol/wire_format_test.cpp
+++ b/tests/protocol/wire_format_test.cpp
@@ -843,7 +843,7 @@
   expect_bytes(KeyHolderRecord{.instance = "s2", .node = "s3", .address = "s4", .zone = "s5"},
                "020000007332020000007333020000007334020000007335");
   expect_bytes(
-      VoterRecordOfFourRegisters{
+      VoterRecordFormat2{
           .phase = Phase::prepared,
           .founding = 10000000003u,
           .slots = {{Slot{.promised = Ballot{.epoch = 10000000007u, .round = 10000000008u, .coordinator = 10000000009u},
--- a/tests/state/cell_view_test.cpp
+++ b/tests/state/cell_view_test.cpp
@@ -6,12 +6,12 @@
 namespace banktide {
 namespace {
 
-TEST(CellView, folding_changes_and_taking_a_snapshot_come_to_the_same) {
+TEST(ZoneView, folding_changes_and_taking_a_snapshot_come_to_the_same) {
   std::uint64_t x = 7;
   auto const r = [&](std::uint64_t n) {
     return (x = x * 6364136223846793005ull + 1442695040888963407ull, (x >> 33) % n);
   };
-  CellView a;
+  ZoneView a;
   for (int i = 0; i < 3000; ++i) {
     Change c;
     if (r(3) == 0)
@@ -20,7 +20,7 @@
       c.backend =
           BackendRecord{"s", "i" + std::to_string(r(9)), "n" + std::to_string(r(5)), 1, 0, static_cast<Standing>(r(4))};
     a.fold(c);
-    CellView b;
+    ZoneView b;
     b.replace(a.snapshot({}));
     ASSERT_EQ(a.members, b.members);
     ASSERT_EQ(a.backends, b.backends);
--- a/tests/state/maintenance_test.cpp
+++ b/tests/state/maintenance_test.cpp
@@ -8,9 +8,9 @@
 namespace banktide {
 namespace {
 
-MaintenanceMark mark_of(std::string const& zone, Duration const opens_in, Duration const lasts,
-                        Duration const lead = 60s) {
-  MaintenanceMark mark;
+MaintenanceWindowSpec mark_of(std::string const& zone, Duration const opens_in, Duration const lasts,
+                              Duration const lead = 60s) {
+  MaintenanceWindowSpec mark;
   mark.zone = zone;
   mark.opens_in = opens_in;
   mark.lasts = lasts;
@@ -26,7 +26,7 @@
 
 /** What a window that was marked at 0 is at a moment, if nobody ends it. */
 struct Model {
-  MaintenanceMark mark;
+  MaintenanceWindowSpec mark;
   MaintenancePhase phase(Duration const at) const {
     if (at < mark.opens_in - mark.lead) return MaintenancePhase::scheduled;
     if (at < mark.opens_in) return MaintenancePhase::draining;
@@ -61,7 +61,7 @@
     Model model{mark_of("z", 1s + up_to(100000), 1s + up_to(100000), up_to(60000))};
     model.mark.lead = std::min(model.mark.lead, model.mark.opens_in);
     MaintenancePlan plan;
-    ASSERT_EQ(plan.mark(model.mark), MarkOutcome::marked);
+    ASSERT_EQ(plan.mark(model.mark), ScheduleOutcome::marked);
     Duration at{};
     while (phase_of(plan, "z") != MaintenancePhase::over) {
       MaintenancePhase const before = phase_of(plan, "z");
@@ -92,26 +92,26 @@
 
 TEST(Maintenance, a_repeat_changes_nothing_and_another_window_of_the_zone_is_refused) {
   MaintenancePlan plan;
-  ASSERT_EQ(plan.mark(mark_of("z", 100s, 50s)), MarkOutcome::marked);
+  ASSERT_EQ(plan.mark(mark_of("z", 100s, 50s)), ScheduleOutcome::marked);
   for (int i = 0; i < 3; ++i) {
     plan.advance(45s);
     MaintenancePlan const before = plan;
-    EXPECT_EQ(plan.mark(mark_of("z", 100s, 50s)), MarkOutcome::repeated);
-    EXPECT_EQ(plan.mark(mark_of("z", 100s, 60s)), MarkOutcome::overlaps_own_zone);
+    EXPECT_EQ(plan.mark(mark_of("z", 100s, 50s)), ScheduleOutcome::repeated);
+    EXPECT_EQ(plan.mark(mark_of("z", 100s, 60s)), ScheduleOutcome::overlaps_own_zone);
     EXPECT_EQ(plan, before);
   }
 }
 
 TEST(Maintenance, windows_of_two_zones_overlap_only_if_that_is_asked_for) {
   MaintenancePlan plan;
-  ASSERT_EQ(plan.mark(mark_of("a", 100s, 50s)), MarkOutcome::marked);
-  MaintenanceMark second = mark_of("b", 200s, 50s);
-  EXPECT_EQ(plan.mark(second), MarkOutcome::overlaps_other_zone);  // a is back at 180 s, b is left at 140 s
+  ASSERT_EQ(plan.mark(mark_of("a", 100s, 50s)), ScheduleOutcome::marked);
+  MaintenanceWindowSpec second = mark_of("b", 200s, 50s);
+  EXPECT_EQ(plan.mark(second), ScheduleOutcome::overlaps_other_zone);  // a is back at 180 s, b is left at 140 s
   second.allow_second = true;
-  EXPECT_EQ(plan.mark(second), MarkOutcome::marked);
+  EXPECT_EQ(plan.mark(second), ScheduleOutcome::marked);
   MaintenancePlan apart;
-  ASSERT_EQ(apart.mark(mark_of("a", 100s, 50s)), MarkOutcome::marked);
-  EXPECT_EQ(apart.mark(mark_of("b", 240s, 50s)), MarkOutcome::marked);
+  ASSERT_EQ(apart.mark(mark_of("a", 100s, 50s)), ScheduleOutcome::marked);
+  EXPECT_EQ(apart.mark(mark_of("b", 240s, 50s)), ScheduleOutcome::marked);
 }
 
 TEST(Maintenance, ended_early_it_is_cancelled_or_returns_and_a_repeat_changes_nothing) {
@@ -136,7 +136,7 @@
   plan.mark(mark_of("z", 100s, 50s));
   plan.advance(160s);
   ASSERT_EQ(phase_of(plan, "z"), MaintenancePhase::returning);
-  EXPECT_EQ(plan.mark(mark_of("z", 100s, 50s)), MarkOutcome::marked);
+  EXPECT_EQ(plan.mark(mark_of("z", 100s, 50s)), ScheduleOutcome::marked);
   EXPECT_EQ(phase_of(plan, "z"), MaintenancePhase::scheduled);
   EXPECT_FALSE(plan.zone_shares().contains("z"));
 }
@@ -144,7 +144,7 @@
 TEST(Maintenance, only_the_last_windows_that_are_over_are_remembered) {
   MaintenancePlan plan;
   for (int i = 0; i < 40; ++i) {
-    ASSERT_EQ(plan.mark(mark_of("z" + std::to_string(i), 100s, 50s)), MarkOutcome::marked);
+    ASSERT_EQ(plan.mark(mark_of("z" + std::to_string(i), 100s, 50s)), ScheduleOutcome::marked);
     plan.advance(1000s);
   }
   EXPECT_LE(plan.windows.size(), 17u);
--- a/tests/state/sqlite_disk_test.cpp
+++ b/tests/state/sqlite_disk_test.cpp
@@ -15,10 +15,10 @@
   }
   ~SqliteDiskFile() override { std::filesystem::remove_all(folder); }
 
-  Result<bool> keep(SqliteDisk& disk, VoterRecord const& record) {
+  Result<bool> save(SqliteDisk& disk, VoterRecord const& record) {
     Result<bool> out = make_error("keep", "", "no end");
     asio::io_context io;
-    asio::co_spawn(io, disk.keep(record), [&](std::exception_ptr, Result<bool> kept) { out = kept; });
+    asio::co_spawn(io, disk.save(record), [&](std::exception_ptr, Result<bool> kept) { out = kept; });
     io.run();
     return out;
   }
@@ -60,7 +60,7 @@
     std::unique_ptr<SqliteDisk> d = std::move(*SqliteDisk::open(file));
     EXPECT_EQ(d->load()->phase, Phase::blank);
     bool kept = false;
-    asio::co_spawn(io, d->keep(r), [&](std::exception_ptr, Result<bool> ok) { kept = ok.has_value(); });
+    asio::co_spawn(io, d->save(r), [&](std::exception_ptr, Result<bool> ok) { kept = ok.has_value(); });
     io.run();
     EXPECT_TRUE(kept);
   }
@@ -79,13 +79,13 @@
 TEST_F(SqliteDiskFile, the_set_of_voters_and_all_registers_are_there_after_reopening) {
   VoterRecord record;
   record.phase = Phase::voting;
-  record.set = first_set({"a:1", "b:1"}, 1);
+  record.set = initial_set({"a:1", "b:1"}, 1);
   record.set.epoch = record.active_epoch = 7;
   record.disk = 99;
   record.slots[static_cast<std::size_t>(Register::keys)].held.bytes = "keys";
   {
     std::unique_ptr<SqliteDisk> disk = std::move(*SqliteDisk::open(file));
-    ASSERT_TRUE(keep(*disk, record));
+    ASSERT_TRUE(save(*disk, record));
   }
   Result<VoterRecord> const back = (*SqliteDisk::open(file))->load();
   ASSERT_TRUE(back);
@@ -99,7 +99,7 @@
   {
     std::unique_ptr<SqliteDisk> disk = std::move(*SqliteDisk::open(file));
     VoterRecord const record;
-    ASSERT_TRUE(keep(*disk, record));
+    ASSERT_TRUE(save(*disk, record));
   }
   run("PRAGMA user_version=0");
   Result<VoterRecord> const old = (*SqliteDisk::open(file))->load();
@@ -109,10 +109,10 @@
 
 // Bytes as a store wrote them that knew four registers, put there by hand.
 TEST_F(SqliteDiskFile, a_record_of_four_registers_is_read_and_then_kept_as_one_of_five) {
-  VoterRecordOfFourRegisters before;
+  VoterRecordFormat2 before;
   before.phase = Phase::voting;
   before.founding = 5;
-  before.set = first_set({"a:1", "b:1"}, 1);
+  before.set = initial_set({"a:1", "b:1"}, 1);
   before.set.epoch = before.active_epoch = 7;
   before.disk = 99;
   for (std::size_t i = 0; i < before.slots.size(); ++i) {
@@ -134,7 +134,7 @@
   for (std::size_t i = 0; i < before.slots.size(); ++i) EXPECT_EQ(loaded->slots[i], before.slots[i]);
   EXPECT_EQ(loaded->slots[static_cast<std::size_t>(Register::maintenance)], Slot{});
   loaded->slots[static_cast<std::size_t>(Register::maintenance)].held.bytes = "window";
-  ASSERT_TRUE(keep(*disk, *loaded));
+  ASSERT_TRUE(save(*disk, *loaded));
   disk.reset();
   Result<VoterRecord> const again = (*SqliteDisk::open(file))->load();
   ASSERT_TRUE(again) << again.error().reason;
@@ -144,7 +144,7 @@
 // The new format must not be named before a record of it is there.
 TEST_F(SqliteDiskFile, a_first_write_that_is_refused_leaves_the_record_of_four_registers_readable) {
   (*SqliteDisk::open(file)).reset();
-  VoterRecordOfFourRegisters before;
+  VoterRecordFormat2 before;
   before.disk = 99;
   put_row(pack(before), 2);
   {
@@ -153,7 +153,7 @@
     ASSERT_TRUE(large);
     large->slots[0].held.bytes = std::string(300000, 'x');
     disk->limit_pages(20);
-    EXPECT_FALSE(keep(*disk, *large));
+    EXPECT_FALSE(save(*disk, *large));
   }
   Result<VoterRecord> const back = (*SqliteDisk::open(file))->load();
   ASSERT_TRUE(back) << back.error().reason;
@@ -164,11 +164,11 @@
   std::unique_ptr<SqliteDisk> disk = std::move(*SqliteDisk::open(file));
   VoterRecord small, large;
   large.slots[0].held.bytes = std::string(300000, 'x');
-  ASSERT_TRUE(keep(*disk, small));
+  ASSERT_TRUE(save(*disk, small));
   disk->limit_pages(20);
-  EXPECT_FALSE(keep(*disk, large));
+  EXPECT_FALSE(save(*disk, large));
   small.disk = 3;
-  EXPECT_TRUE(keep(*disk, small));
+  EXPECT_TRUE(save(*disk, small));
   EXPECT_EQ(disk->load()->disk, 3u);
 }
 
@@ -176,7 +176,7 @@
   std::unique_ptr<SqliteDisk> disk = std::move(*SqliteDisk::open(file));
   VoterRecord record;
   record.slots[0].held.bytes = std::string(20000, 'x');
-  for (int i = 0; i < 200; ++i) ASSERT_TRUE(keep(*disk, record));
+  for (int i = 0; i < 200; ++i) ASSERT_TRUE(save(*disk, record));
   std::uintmax_t bytes = 0;
   for (auto const& entry : std::filesystem::directory_iterator(folder)) bytes += entry.file_size();
   EXPECT_LT(bytes, 1000000u);
