--- a/source/coordination/caller_side.hpp
+++ b/source/coordination/caller_side.hpp
@@ -84,8 +84,7 @@
   }
 
   std::optional<Target> pick_target(std::string const& service, bool const keyed, std::uint32_t const slice,
-                                    ZoneChoice const& choice, std::set<std::string> const& tried,
-                                    bool const may_cross) {
+                                    Choice const& choice, std::set<std::string> const& tried, bool const may_cross) {
     Instant const now = env_.now();
     std::vector<Target> targets, ejected;
     std::vector<Candidate> candidates;
@@ -161,7 +160,7 @@
       }
     }
     Instant const now = env_.now();
-    TargetHistory& m = marks_.at(t.mark, now);
+    Mark& m = marks_.at(t.mark, now);
     if (m.in_flight > 0) --m.in_flight;
     if (r.outcome == Outcome::answered) {
       marks_.fine(t.mark, now);
@@ -280,7 +279,7 @@
   Env& env_;
   ProxySettings& s_;
   BackendSide<Env, B>& beside_;
-  TargetHistories marks_;
+  Marks marks_;
   RetryBudget budget_;
   DecisionLog journal_;
   std::string swapped_;
--- a/source/coordination/key_coordinator.hpp
+++ b/source/coordination/key_coordinator.hpp
@@ -5,7 +5,7 @@
 
 #include "protocol/digest.hpp"
 #include "state/key_planner.hpp"
-#include "transport/surroundings.hpp"
+#include "transport/environment.hpp"
 
 #include <functional>
 
--- a/source/coordination/lease_voter.hpp
+++ b/source/coordination/lease_voter.hpp
@@ -7,7 +7,7 @@
 #pragma once
 
 #include "protocol/messages.hpp"
-#include "transport/surroundings.hpp"
+#include "transport/environment.hpp"
 
 #include <map>
 
--- a/source/coordination/maintenance_view.hpp
+++ b/source/coordination/maintenance_view.hpp
@@ -6,7 +6,7 @@
 
 #include "state/maintenance.hpp"
 #include "transport/log.hpp"
-#include "transport/surroundings.hpp"
+#include "transport/environment.hpp"
 
 namespace banktide {
 
--- a/source/coordination/node_state.hpp
+++ b/source/coordination/node_state.hpp
@@ -7,7 +7,7 @@
 #include "state/layout.hpp"
 #include "state/mishaps.hpp"
 #include "transport/mutant.hpp"
-#include "transport/surroundings.hpp"
+#include "transport/environment.hpp"
 
 namespace banktide {
 
@@ -65,8 +65,8 @@
     return cells;
   }
 
-  ZoneChoice choose(Rules const& rules, Index const service, std::uint32_t const slice) const {
-    return choose_zones(rules.layout, rules.catalogue, s.cell, service, slice,
+  Choice choose(Rules const& rules, Index const service, std::uint32_t const slice) const {
+    return choose_cells(rules.layout, rules.catalogue, s.cell, service, slice,
                         [&] { return offering(rules.layout.services[service].name, env.now()); });
   }
 
@@ -119,7 +119,7 @@
   std::string const holder;
   Instant const started;
   ZoneFollower<Env> zone;
-  ZoneView const& view = zone.view();
+  CellView const& view = zone.view();
   std::shared_ptr<Rules const> rules = std::make_shared<Rules>();
   std::map<std::pair<std::string, std::string>, Local> local;
   std::map<std::pair<std::string, std::string>, Instant> drained;
--- a/source/coordination/register_client.hpp
+++ b/source/coordination/register_client.hpp
@@ -13,7 +13,7 @@
 #include "coordination/voter_set.hpp"
 #include "protocol/digest.hpp"
 #include "protocol/messages.hpp"
-#include "transport/surroundings.hpp"
+#include "transport/environment.hpp"
 
 #include <algorithm>
 #include <limits>
@@ -53,11 +53,9 @@
  public:
   /// Of a fixed list of voters: epoch 0, for good.
   RegisterClient(Env& env, std::vector<Address> voters)
-      : env_(env), set_(initial_set(voters, 0)), set_known_(true), nonce_(env.chance()()) {}
+      : env_(env), set_(first_set(voters, 0)), set_known_(true), nonce_(env.chance()()) {}
   /// Learns the voters from the stores named here and by `learn`.
-  RegisterClient(Env& env, StoreSeeds seeds) : env_(env), nonce_(env.chance()()) {
-    add_contacts(std::move(seeds.addresses));
-  }
+  RegisterClient(Env& env, StoreSeeds seeds) : env_(env), nonce_(env.chance()()) { learn(std::move(seeds.addresses)); }
 
   /// Further stores to ask for the set of voters.
   void add_contacts(std::vector<Address> const& stores) {
@@ -198,7 +196,7 @@
   /// A reading that a majority agrees on, with nothing written back: asked again
   /// until the deadline. Each change must have a greater revision than the one
   /// before, as `known` is taken to be current if the revision is the same.
-  Task<Result<ConfirmedValue>> confirm(Register const reg, Held const known, Instant const deadline) {
+  Task<Result<Confirmed>> confirm(Register const reg, Held const known, Instant const deadline) {
     for (std::uint64_t attempt = 0; env_.now() < deadline; ++attempt) {
       bool const ready = co_await ready_to_ask(attempt, deadline);
       if (!ready) continue;
--- a/source/coordination/shared_reading.hpp
+++ b/source/coordination/shared_reading.hpp
@@ -4,7 +4,7 @@
 // next one, so the number of readings is bounded however many ask.
 #pragma once
 
-#include "transport/surroundings.hpp"
+#include "transport/environment.hpp"
 
 #include <functional>
 #include <memory>
@@ -39,7 +39,7 @@
 
   /// Waits for a successful reading that began after this call; false if there was
   /// none until the deadline.
-  Task<bool> read_fresh(Instant const deadline) {
+  Task<bool> read_anew(Instant const deadline) {
     Instant const came = env_.now();
     Waiting mine(env_, waiting_);
     asked_for_.wake();
--- a/source/coordination/voter_set_change.hpp
+++ b/source/coordination/voter_set_change.hpp
@@ -96,7 +96,7 @@
     };
     Seal const question{set};
     auto const replies = co_await ask_all<Seal>(env_, peers, question, env_.now() + step_patience, enough);
-    adopt_newer_sets(replies);
+    follow_newer(replies);
     if (!enough(replies)) co_return std::nullopt;
     Activate next;
     next.set = set;
--- a/source/coordination/zone_feed.hpp
+++ b/source/coordination/zone_feed.hpp
@@ -8,7 +8,7 @@
 #include "coordination/ring_places.hpp"
 #include "state/journal.hpp"
 #include "state/view_json.hpp"
-#include "transport/surroundings.hpp"
+#include "transport/environment.hpp"
 
 namespace banktide {
 
--- a/source/data_path/endpoint_selector.hpp
+++ b/source/data_path/endpoint_selector.hpp
@@ -7,7 +7,7 @@
 #pragma once
 
 #include "protocol/forward_messages.hpp"
-#include "transport/surroundings.hpp"
+#include "transport/environment.hpp"
 
 #include <functional>
 #include <map>
--- a/source/data_path/local_backend.hpp
+++ b/source/data_path/local_backend.hpp
@@ -16,7 +16,7 @@
 #include "protocol/forward_messages.hpp"
 #include "protocol/http_words.hpp"
 #include "transport/backend_connections.hpp"
-#include "transport/surroundings.hpp"
+#include "transport/environment.hpp"
 
 #include <tsl/robin_map.h>
 
--- a/source/programs/hollow_fleet_world.hpp
+++ b/source/programs/hollow_fleet_world.hpp
@@ -5,7 +5,7 @@
 // code that an event runs. The code above it is the product's own.
 #pragma once
 
-#include "transport/surroundings.hpp"
+#include "transport/environment.hpp"
 
 #include <map>
 #include <queue>
--- a/source/programs/maintenance_interface.hpp
+++ b/source/programs/maintenance_interface.hpp
@@ -68,8 +68,8 @@
 template <Environment Env, class Registry, class Keeper>
 class MaintenanceInterface {
  public:
-  MaintenanceInterface(Env& w, Registry& registry, Keeper& keeper, MaintenanceSettings const& settings)
-      : env_(w), registry_(registry), keeper_(keeper), settings_(settings) {}
+  MaintenanceInterface(Env& env, Registry& registry, Keeper& keeper, MaintenanceSettings const& settings)
+      : env_(env), registry_(registry), keeper_(keeper), settings_(settings) {}
 
   /** Watches zones that traffic is kept away from, for as long as the process runs. */
   Task<void> run() {
--- a/source/programs/mesh_node.hpp
+++ b/source/programs/mesh_node.hpp
@@ -33,7 +33,7 @@
       : env_(env),
         s_(std::move(settings)),
         adapter_(adapter),
-        registers_(env, StoreSeeds{colocated_stores(s_.follower.seeds, s_.store_port)}),
+        registers_(env, StoreSeeds{stores_beside(s_.follower.seeds, s_.store_port)}),
         local_(env, local_settings(), adapter.headers, std::move(factory), local_events()),
         path_(env, path_settings(), adapter.headers, local_),
         follower_(env, s_.follower, follower_events()),
@@ -42,7 +42,7 @@
         grant_alarm_(env),
         report_alarm_(env),
         configuration_alarm_(env) {
-    // The simulated network has no pings.
+    // Only a real network pings its peers.
     if constexpr (requires { env.silence_of(Address{}); })
       path_.selector().set_silent([&env](Address const& peer) { return env.silence_of(peer) > silent_after; });
   }
@@ -72,14 +72,13 @@
   OwedWork owed() const {
     OwedWork owed;
     owed.requests = path_.in_flight() + local_.in_flight() + forwarded_;
-    // The simulated network has no send queues.
+    // Only a real network has queues to peers.
     if constexpr (requires { env_.queued(); }) owed.bytes = env_.queued().of_requests();
     return owed;
   }
-  /** Whether new requests are refused: it is shutting down, and clients and other nodes had time to notice. */
+  /** Clients and other nodes had time to notice that it leaves: new requests are refused, so that it empties. */
   bool refusing() const { return !departure_.takes_work(env_.now()); }
-  /** Whether the process may exit after the signal to shut down; `connections` is the number of busy client
-   * connections. */
+  /** Whether the process may end now that it was told to go; `connections` of clients are busy. */
   bool may_end(std::size_t const connections) {
     OwedWork all = owed();
     all.connections = connections;
@@ -321,7 +320,7 @@
     Instant const arrived = env_.now();
     Instant const until = arrived + s_.keys.answer_wait;
     std::uint64_t const number = ++beats_taken_;
-    // A node that has just started has no configuration yet and can't tell whether the service is keyed.
+    // A node that has just started doesn't know yet whether keys are to be granted.
     while (number == beats_taken_ && !path_.router() && !beat.leaving && env_.now() < until)
       co_await grant_alarm_.wait(until);
     if (number != beats_taken_ || !keyed(beat.service)) co_return answer;
@@ -371,8 +370,8 @@
     return k;
   }
 
-  // Right after its start a node gets no feed updates yet, so it reads the key table more often until its backend
-  // holds rows.
+  // Right after its start a node gets no news yet: it looks for a table more often
+  // until its backend has rows.
   bool awaits_first_rows() const { return keys_->grants_nothing() && env_.now() - started_ < news_come_after; }
 
   Duration confirm_period() const { return awaits_first_rows() ? first_confirm_every : s_.keys.confirm_every; }
@@ -494,7 +493,7 @@
                               {"reset", std::to_string(d.reset)},
                               {"outlived", std::to_string(d.outlived)},
                               {"outlived_ms", std::to_string(d.outlived_ms)}});
-    // The simulated network has no send queues.
+    // Only a real network has queues to peers.
     if constexpr (requires { env_.queued(); }) log_sent(env_.queued().sent);
   }
 
@@ -540,8 +539,8 @@
   Instant next_confirm_{};
   Duration confirm_pause_ = tick_period;
   bool confirm_soon_ = true;
-  std::uint64_t beats_taken_ = 0;    // only the reply to the latest heartbeat may wait
-  typename Env::Alarm grant_alarm_;  // has one waiter: the handler of the latest heartbeat
+  std::uint64_t beats_taken_ = 0;    // only the answer to the last beat may wait
+  typename Env::Alarm grant_alarm_;  // has one waiter: that beat
   typename Env::Alarm report_alarm_;
   typename Env::Alarm configuration_alarm_;
   double busy_ = 0;
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -72,11 +72,11 @@
   bool ready() const { return vouched() && warm() && !leaving_; }
   void leave() { leaving_ = true; }
   bool leaving() const { return leaving_; }
-  /// Whether its nodes had time to join it since it started.
+  /// Its nodes had time to join it since it started.
   bool warm() const { return env_.now() - started_ >= t_.warm_up; }
-  /// Whether there is a recent reading that a majority confirmed.
+  /// There is a recent reading of a majority.
   bool vouched() const { return reading_.newest() && env_.now() - *reading_.newest() < vouched_for; }
-  /// The time since the request of the latest reading was sent; none before the first reading.
+  /// How long ago the question of the latest reading was asked; none: there was no reading.
   std::optional<Duration> reading_age() const {
     if (!reading_.newest()) return std::nullopt;
     return env_.now() - *reading_.newest();
@@ -140,7 +140,7 @@
   }
 
   void note(std::string const& what, Error const& m) { mishaps_.note(env_.now() - started_, what, m); }
-  RecentErrors const& mishaps() const { return mishaps_; }
+  Mishaps const& mishaps() const { return mishaps_; }
 
   // ---- operator interface
 
@@ -224,7 +224,7 @@
 
   static RegisterClient<Env> client_of(Env& env, RegistrySettings const& s) {
     if (!s.voters.empty()) return RegisterClient<Env>(env, s.voters);
-    return RegisterClient<Env>(env, StoreSeeds{colocated_stores(s.seeds, s.store_port)});
+    return RegisterClient<Env>(env, StoreSeeds{stores_beside(s.seeds, s.store_port)});
   }
 
   // ---- register values
@@ -246,7 +246,7 @@
     if (r == Register::routing) routing_deltas_.add_or_clear(make_text_delta(before, after));
   }
 
-  // Large values are sent to a zone's nodes as deltas where the delta is known.
+  // To a zone's nodes goes what has changed of a large value, where that is known.
   void send_down(ZoneFeed<Env>& feed, Register const r) {
     Held const& newest = held(r);
     KeyDelta const* const of_keys = key_deltas_.newest();
@@ -261,7 +261,7 @@
   }
 
   Task<LayoutsReply> layouts(LayoutsAsk q) {
-    if (q.fresh || !vouched()) co_await reading_.read_fresh(env_.now() + fresh_patience);
+    if (q.fresh || !vouched()) co_await reading_.read_anew(env_.now() + fresh_patience);
     LayoutsReply reply;
     reply.known = vouched();
     if (reply.known) reply.reading_age_ms = static_cast<std::uint32_t>(as_ms(*reading_age()) + 1);  // rounded up
@@ -294,7 +294,7 @@
 
   Task<bool> read_all() {
     Instant const deadline = env_.now() + read_patience;
-    // Usually nothing has changed, and one request shows that for all registers.
+    // Mostly nothing has changed, and one question tells that of all registers.
     std::optional<Revisions> const newest = co_await register_.newest_revisions(deadline);
     bool all = true;
     for (Register const r : told_registers) {
@@ -331,8 +331,8 @@
 
   // Lease epochs start from a round number of the register that was never issued before, so they never repeat.
   Task<void> find_floor() {
-    while (!lease_.has_floor()) {
-      Result<std::uint64_t> const round = co_await register_.next_number(Register::routing, env_.now() + 2s);
+    while (!lease_.floored()) {
+      Result<std::uint64_t> const round = co_await register_.rise(Register::routing, env_.now() + 2s);
       if (round)
         lease_.set_floor(broken_on_purpose("epochs_start_again") ? 1 : *round << 20);
       else
@@ -373,7 +373,7 @@
       for (Address const& peer : peers) spawn(env_, meet_one(peer));
       directory_.forget_silent(env_.now());
       if (s_.voters.empty())
-        register_.add_contacts(colocated_stores(std::vector<Address>(peers.begin(), peers.end()), s_.store_port));
+        register_.learn(stores_beside(std::vector<Address>(peers.begin(), peers.end()), s_.store_port));
       co_await sleep_for(env_, directory_.entries().size() < 2 ? Duration(200ms) : t_.registry_meet_every);
     }
   }
@@ -448,7 +448,7 @@
       co_return reply;
     }
     std::shared_ptr<ZoneFeed<Env>> feed = feed_of(zone);
-    // Right after this registry's start the zone's own registry may still be starting.
+    // The zone's own registry may have started a moment later than this one.
     if (!feed && env_.now() - started_ < adopt_after) co_return reply;
     if (!feed) {
       feed = make_feed(zone);
--- a/source/programs/shell_main.cpp
+++ b/source/programs/shell_main.cpp
@@ -105,8 +105,8 @@
 
 class Shell {
  public:
-  Shell(Process& p, SocketWorld& w, std::vector<Address> doors, bool const json)
-      : process_(p), world_(w), caller_(w), doors_(std::move(doors)), json_(json) {}
+  Shell(Process& p, SocketWorld& env, std::vector<Address> doors, bool const json)
+      : process_(p), world_(env), caller_(env), doors_(std::move(doors)), json_(json) {}
 
   int run(std::vector<std::string> const& words) {
     if (words.empty()) return 0;
--- a/source/simulation/sim_world.hpp
+++ b/source/simulation/sim_world.hpp
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "coordination/acceptor.hpp"
-#include "transport/surroundings.hpp"
+#include "transport/environment.hpp"
 
 #include <map>
 #include <queue>
--- a/source/transport/backend_connections.hpp
+++ b/source/transport/backend_connections.hpp
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "protocol/messages.hpp"
-#include "transport/surroundings.hpp"
+#include "transport/environment.hpp"
 
 #include <memory>
 #include <string>
--- a/source/transport/http_codec.hpp
+++ b/source/transport/http_codec.hpp
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "protocol/messages.hpp"
-#include "transport/surroundings.hpp"
+#include "transport/environment.hpp"
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/beast/http/basic_parser.hpp>
--- a/source/transport/socket_world.hpp
+++ b/source/transport/socket_world.hpp
@@ -6,7 +6,7 @@
 
 #include "transport/frame.hpp"
 #include "transport/peer_limits.hpp"
-#include "transport/surroundings.hpp"
+#include "transport/environment.hpp"
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/redirect_error.hpp>
