--- a/source/coordination/acceptor.hpp
+++ b/source/coordination/acceptor.hpp
@@ -36,10 +36,11 @@
 class Acceptor {
  public:
   /// A voter of a fixed list: the set of epoch 0, for good.
-  Acceptor(Env& env, D& d, std::vector<Address> voters, std::size_t const own)
-      : env_(env), disk_(d), fixed_(std::move(voters)), own_(fixed_.at(own)), turn_(env) {}
+  Acceptor(Env& env, D& d, std::vector<Address> voters, std::size_t const own_address)
+      : env_(env), disk_(d), fixed_(std::move(voters)), own_address_(fixed_.at(own_address)), turn_(env) {}
   /// A store whose set is on its disk, or is still to be founded or joined.
-  Acceptor(Env& env, D& d, Address own) : env_(env), disk_(d), own_(std::move(own)), turn_(env) {}
+  Acceptor(Env& env, D& d, Address own_address)
+      : env_(env), disk_(d), own_address_(std::move(own_address)), turn_(env) {}
 
   Result<bool> load() {
     Result<VoterRecord> r = disk_.load();
@@ -74,7 +75,7 @@
   // Runs until this voter of a fixed list votes.
   Task<void> settle() {
     while (!voting()) {
-      co_await settle_once();
+      co_await found_or_rejoin();
       if (!voting()) co_await sleep_for(env_, 200ms + std::chrono::milliseconds(env_.chance()() % 100));
     }
     log_info("voting", {{"founding", std::to_string(record_.founding)},
@@ -87,7 +88,7 @@
     std::vector<Address> const others = other_voters(record_.set);
     Found request{Phase::blank, record_.founding};
     auto const replies =
-        co_await ask_all<Found>(env_, others, question, env_.now() + 1s, [](auto const&) { return false; });
+        co_await ask_all<Found>(env_, others, request, env_.now() + 1s, [](auto const&) { return false; });
     std::size_t heard = 0, voting = 0, same = 0;
     for (auto const& [i, r] : replies) {
       if (!r) continue;
@@ -141,7 +142,7 @@
   // hold up each round. Returns the newer set if one of them tells it.
   Task<std::optional<VoterSet>> rejoin(VoterSet const set) {
     std::vector<Address> const others = other_voters(set);
-    std::size_t const enough = recovery_quorum_of(set);
+    std::size_t const enough = recovery_quorum_size(set);
     std::uint64_t const nonce = env_.chance()();
     VoterRecord next;
     next.founding = co_await agreed_founding(others, enough);
@@ -192,9 +193,9 @@
     co_return saved;
   }
 
-  void disk_error(Error const& m) {
-    if (last_mishap_ && env_.now() - *last_mishap_ < log_interval) return;
-    last_mishap_ = env_.now();
+  void log_disk_error(Error const& m) {
+    if (last_error_logged_ && env_.now() - *last_error_logged_ < log_interval) return;
+    last_error_logged_ = env_.now();
     log_warn("disk_error", {{"step", m.step}, {"reason", m.reason}});
   }
 
@@ -355,7 +356,7 @@
     co_return FoundReply{record_.phase, record_.founding};
   }
 
-  Task<void> found_all(std::vector<Address> others) {
+  Task<void> found_with_all(std::vector<Address> others) {
     std::uint64_t const id = env_.chance()() | 1;
     bool const began = co_await change([&](VoterRecord& r) {
       r.phase = Phase::prepared;
@@ -390,11 +391,11 @@
       }
       return most;
     };
-    Found const question{};
-    auto const replies =
-        co_await ask_all<Found>(env_, others, question, env_.now() + 1s,
-                                [enough, most_named](auto const& heard) { return most_named(heard).second >= enough; });
-    std::pair<std::uint64_t, std::size_t> const most = most_named(replies);
+    Found const request{};
+    auto const replies = co_await ask_all<Found>(
+        env_, others, request, env_.now() + 1s,
+        [enough, most_frequent](auto const& heard) { return most_frequent(heard).second >= enough; });
+    std::pair<std::uint64_t, std::size_t> const most = most_frequent(replies);
     co_return most.second >= enough ? most.first : 0;
   }
 
@@ -405,12 +406,13 @@
     Ballot ballot{set.epoch, 1, nonce};
     for (int attempt = 0; attempt < recovery_attempts; ++attempt) {
       Prepare const asked{reg, ballot};
-      auto const got = co_await ask_all<Prepare>(env_, others, asked, env_.now() + 1s, [enough](auto const& replies) {
-        std::size_t n = 0;
-        for (auto const& [i, r] : replies) n += r && r->voting && r->promised;
-        return n >= enough || std::any_of(replies.begin(), replies.end(),
-                                          [](auto const& reply) { return reply.second && reply.second->newer; });
-      });
+      auto const promises =
+          co_await ask_all<Prepare>(env_, others, asked, env_.now() + 1s, [enough](auto const& replies) {
+            std::size_t n = 0;
+            for (auto const& [i, r] : replies) n += r && r->voting && r->promised;
+            return n >= enough || std::any_of(replies.begin(), replies.end(),
+                                              [](auto const& reply) { return reply.second && reply.second->newer; });
+          });
       std::size_t promised = 0;
       Ballot best;
       std::uint64_t top_round = ballot.round;
@@ -429,9 +431,9 @@
         }
       }
       if (promised >= enough) {
-        Accept const question{reg, ballot, held};
-        auto const taken =
-            co_await ask_all<Accept>(env_, others, question, env_.now() + 1s, [enough](auto const& replies) {
+        Accept const request{reg, ballot, held};
+        auto const acceptances =
+            co_await ask_all<Accept>(env_, others, request, env_.now() + 1s, [enough](auto const& replies) {
               std::size_t n = 0;
               for (auto const& [i, r] : replies) n += r && r->accepted;
               return n >= enough;
@@ -449,7 +451,7 @@
   Env& env_;
   D& disk_;
   std::vector<Address> const fixed_;
-  Address const own_;
+  Address const own_address_;
   Turn<Env> turn_;
   VoterRecord record_;
   std::uint64_t highest_seen_epoch_ = 0;
--- a/source/coordination/backend_side.hpp
+++ b/source/coordination/backend_side.hpp
@@ -21,7 +21,7 @@
 class BackendSide {
  public:
   BackendSide(NodeState<Env>& n, B& edge)
-      : n_(n), env_(n.env), s_(n.s), edge_(edge), leases_(n.env), tick_(n.env.now()) {}
+      : n_(n), env_(n.env), settings_(n.s), edge_(edge), leases_(n.env), tick_(n.env.now()) {}
 
   void start(Dispatcher& dispatcher) {
     dispatcher.on<Drain>([this](Drain q) { return drain(std::move(q)); });
@@ -55,20 +55,20 @@
     std::uint16_t const port = (*j)["port"].get<std::uint16_t>();
     bool const leaving = j->value("leaving", false);
     // A port speaks for one instance: the newest to beat from it.
-    std::erase_if(n_.local,
-                  [&](auto const& l) { return l.second.record.port == port && l.first != key && (n_.touch(), true); });
-    auto it = n_.local.find(key);
-    if (it == n_.local.end()) {
-      if (n_.local.size() >= 256)
+    std::erase_if(n_.local_backends,
+                  [&](auto const& l) { return l.second.record.port == port && l.first != key && (n_.rejoin(), true); });
+    auto it = n_.local_backends.find(key);
+    if (it == n_.local_backends.end()) {
+      if (n_.local_backends.size() >= 256)
         return json_reply(503, {{"error", "256 backends beat here already"}, {"step", "beat"}});
-      it = n_.local.emplace(key, Local{}).first;
-      it->second.record = BackendRecord{service, instance, s_.id, port, 0, Standing::fit};
-      n_.touch();
+      it = n_.local_backends.emplace(key, LocalBackendState{}).first;
+      it->second.record = BackendRecord{service, instance, settings_.id, port, 0, Standing::fit};
+      n_.rejoin();
     }
-    Local& l = it->second;
+    LocalBackendState& l = it->second;
     std::uint32_t const burden = j->value("burden", 0u);
     Standing const standing = leaving || l.record.standing == Standing::leaving ? Standing::leaving : Standing::fit;
-    if (standing != l.record.standing || port != l.record.port || burden / 4 != l.record.burden / 4) n_.touch();
+    if (standing != l.record.standing || port != l.record.port || burden / 4 != l.record.burden / 4) n_.rejoin();
     if (standing == Standing::leaving && l.record.standing != Standing::leaving) {
       l.record.standing = standing;
       spawn(env_, spread_drain(l.record));
@@ -77,8 +77,9 @@
     l.record.port = port;
     l.record.burden = burden;
     l.refused = false;
-    l.beaten = env_.now();
-    return json_reply(200, {{"known", true}, {"cell", s_.cell}, {"node", s_.id}, {"in_flight", l.in_flight}});
+    l.last_heartbeat = env_.now();
+    return json_reply(200,
+                      {{"known", true}, {"cell", settings_.cell}, {"node", settings_.id}, {"in_flight", l.in_flight}});
   }
 
   // The part of the node beside the backend.
@@ -88,28 +89,29 @@
     Instant const deadline = now + std::chrono::milliseconds(c.budget_ms);
     std::pair<std::string, std::string> const key{c.service, c.instance};
     Index const s = n_.rules->layout.service_names.find(c.service);
-    if (s == no_index) co_return not_run("backend", s_.id, "service is in no layout here");
+    if (s == no_index) co_return not_run("backend", settings_.id, "service is in no layout here");
     Service const& service = n_.rules->layout.services[s];
     std::string const named = service.keyed() ? header_of(c.request, service.key_header) : "";
     if (service.keyed() != c.keyed || (c.keyed && (named.empty() || service.slice_of(named) != c.slice)))
-      co_return not_run("slice", s_.id, "layouts differ on the key's slice");
+      co_return not_run("slice", settings_.id, "layouts differ on the key's slice");
     ZoneChoice const choice = n_.choose(*n_.rules, s, c.slice);
     if (!choice.stay && !choice.home && !broken_on_purpose("old_catalogue"))
-      co_return not_run("catalogue", s_.id, "the catalogue here has it elsewhere");
-    auto const it = n_.local.find(key);
-    if (it == n_.local.end() || !n_.usable(it->second, now))
-      co_return not_run("backend", s_.id, "backend is gone, leaving or silent");
-    if (it->second.beaten < woke_ + settling && !broken_on_purpose("trusts_thawed"))
-      co_return not_run("backend", s_.id, "backend has not beaten since this node was frozen");
-    if (it->second.in_flight >= s_.backend_limit) co_return not_run("backlog", s_.id, "backend has its fill");
+      co_return not_run("catalogue", settings_.id, "the catalogue here has it elsewhere");
+    auto const it = n_.local_backends.find(key);
+    if (it == n_.local_backends.end() || !n_.usable(it->second, now))
+      co_return not_run("backend", settings_.id, "backend is gone, leaving or silent");
+    if (it->second.last_heartbeat < woke_ + settling && !broken_on_purpose("trusts_thawed"))
+      co_return not_run("backend", settings_.id, "backend has not beaten since this node was frozen");
+    if (it->second.in_flight >= settings_.backend_limit)
+      co_return not_run("backlog", settings_.id, "backend has its fill");
     Slice const slice{c.service, service.mapping(), c.slice};
     std::uint64_t epoch = 0;
     if (c.keyed) {
       auto const lease = leases_.held().find(slice);
-      if (lease != leases_.held().end() && lease->second.in_flight >= s_.slice_limit)
-        co_return not_run("backlog", s_.id, "slice has its fill");
+      if (lease != leases_.held().end() && lease->second.in_flight >= settings_.slice_limit)
+        co_return not_run("backlog", settings_.id, "slice has its fill");
       Result<std::uint64_t> const admitted = leases_.admit(slice, c.instance, deadline);
-      if (!admitted) co_return not_run(admitted.error().step, s_.id, admitted.error().reason);
+      if (!admitted) co_return not_run(admitted.error().step, settings_.id, admitted.error().reason);
       epoch = *admitted;
     }
     ++it->second.in_flight;
@@ -126,32 +128,33 @@
     Result<HttpReply> reply = co_await edge_.run(port, std::move(q), deadline);
     bool const unknown = !reply && reply.error().proof == Proof::unknown;
     if (c.keyed) leases_.done(slice, unknown ? deadline : env_.now());
-    auto const after = n_.local.find(key);
-    if (after != n_.local.end()) {
+    auto const after = n_.local_backends.find(key);
+    if (after != n_.local_backends.end()) {
       if (after->second.in_flight > 0) --after->second.in_flight;
       if (!reply && reply.error().step == "connect") after->second.refused = true;
     }
     if (!reply)
       co_return CarryReply{
-          unknown ? Outcome::unknown : Outcome::not_run, {}, reply.error().step, s_.id, reply.error().reason};
+          unknown ? Outcome::unknown : Outcome::not_run, {}, reply.error().step, settings_.id, reply.error().reason};
     bool const marked = std::any_of(reply->headers.begin(), reply->headers.end(),
                                     [](Header const& h) { return h.name == "banktide-not-run"; });
-    if (marked) co_return not_run("backend_said", s_.id, "backend says it did not run");
+    if (marked) co_return not_run("backend_said", settings_.id, "backend says it did not run");
     strip_hop(reply->headers, false);
     co_return CarryReply{Outcome::answered, std::move(*reply), "", "", ""};
   }
 
   Json json() const {
     Json all = Json::array();
-    for (auto const& [key, l] : n_.local)
+    for (auto const& [key, l] : n_.local_backends)
       all.push_back({{"service", key.first},
                      {"instance", key.second},
                      {"port", l.record.port},
                      {"burden", l.record.burden},
                      {"in_flight", l.in_flight},
-                     {"standing", l.refused                                ? "refusing"
-                                  : env_.now() - l.beaten > s_.beat_expiry ? "silent"
-                                                                           : standing_name(l.record.standing)}});
+                     {"standing", l.refused ? "refusing"
+                                  : env_.now() - l.last_heartbeat > settings_.heartbeat_expiry
+                                      ? "silent"
+                                      : standing_name(l.record.standing)}});
     return all;
   }
 
@@ -173,15 +176,15 @@
   Task<void> spread_drain(BackendRecord const b) {
     log_info("drain", {{"service", b.service}, {"instance", b.instance}});
     std::pair<std::string, std::string> const key{b.service, b.instance};
-    for (int i = 0; i < 60 && n_.local.contains(key) && !broken_on_purpose("drain_unheard"); ++i) {
+    for (int i = 0; i < 60 && n_.local_backends.contains(key) && !broken_on_purpose("drain_unheard"); ++i) {
       for (auto const& [id, m] : n_.view.members)
-        if (id != s_.id && m.role != Role::registry) tell(env_, m.address, Drain{b});
+        if (id != settings_.id && m.role != Role::registry) tell(env_, m.address, Drain{b});
       co_await sleep_for(env_, 250ms);
     }
   }
 
   Task<Told> drain(Drain q) {
-    if (n_.drained.size() < 4096) n_.drained[{q.backend.service, q.backend.instance}] = env_.now() + 10s;
+    if (n_.drained_until.size() < 4096) n_.drained_until[{q.backend.service, q.backend.instance}] = env_.now() + 10s;
     co_return Told{};
   }
 
@@ -189,21 +192,21 @@
     while (true) {
       co_await sleep_for(env_, 200ms);
       expire(env_.now());
-      std::erase_if(n_.drained, [&](auto const& d) { return d.second < env_.now(); });
+      std::erase_if(n_.drained_until, [&](auto const& d) { return d.second < env_.now(); });
     }
   }
 
   void expire(Instant const now) {
-    std::erase_if(n_.local, [&](auto const& l) {
-      bool const silent = now - l.second.beaten > s_.beat_expiry && l.second.in_flight == 0;
+    std::erase_if(n_.local_backends, [&](auto const& l) {
+      bool const silent = now - l.second.last_heartbeat > settings_.heartbeat_expiry && l.second.in_flight == 0;
       if (silent) {
         log_info("backend_silent", {{"service", l.first.first}, {"instance", l.first.second}});
-        n_.touch();
+        n_.rejoin();
       }
       return silent;
     });
-    for (auto& [key, l] : n_.local)
-      if (l.refused) n_.touch();
+    for (auto& [key, l] : n_.local_backends)
+      if (l.refused) n_.rejoin();
   }
 
   // A port at which nobody listens has lost its backend: nothing goes there
@@ -221,23 +224,24 @@
     while (true) {
       co_await sleep_for(env_, 100ms);
       notice_freeze();
-      for (auto& [key, l] : n_.local) {
+      for (auto& [key, l] : n_.local_backends) {
         if (l.refused || l.probing || broken_on_purpose("no_probe")) continue;
         l.probing = true;
-        spawn(env_, probe(key, l.record.port, l.beaten));
+        spawn(env_, probe(key, l.record.port, l.last_heartbeat));
       }
     }
   }
 
-  Task<void> probe(std::pair<std::string, std::string> const key, std::uint16_t const port, Instant const beaten) {
+  Task<void> probe(std::pair<std::string, std::string> const key, std::uint16_t const port,
+                   Instant const last_heartbeat) {
     bool const listens = co_await edge_.listens(port);
-    auto const it = n_.local.find(key);
-    if (it == n_.local.end()) co_return;
+    auto const it = n_.local_backends.find(key);
+    if (it == n_.local_backends.end()) co_return;
     it->second.probing = false;
-    if (listens || it->second.refused || it->second.beaten != beaten) co_return;
+    if (listens || it->second.refused || it->second.last_heartbeat != last_heartbeat) co_return;
     it->second.refused = true;
     log_info("backend_refuses", {{"service", key.first}, {"instance", key.second}});
-    n_.touch();
+    n_.rejoin();
   }
 
   Task<void> keep_leases() {
@@ -252,7 +256,7 @@
         for (std::uint32_t slice = 0; slice < service.slices; ++slice) {
           if (!n_.choose(*rules, s, slice).stay) continue;
           BackendRecord const* const owner = n_.owner_of(service.name, slice, now);
-          if (owner != nullptr && owner->node == s_.id)
+          if (owner != nullptr && owner->node == settings_.id)
             wanted[Slice{service.name, service.mapping(), slice}] = owner->instance;
         }
       }
@@ -265,7 +269,7 @@
 
   NodeState<Env>& n_;
   Env& env_;
-  ProxySettings& s_;
+  ProxySettings& settings_;
   B& edge_;
   SliceLeases<Env> leases_;
   static constexpr Duration frozen_from = 300ms, settling = 100ms;
--- a/source/coordination/caller_side.hpp
+++ b/source/coordination/caller_side.hpp
@@ -22,7 +22,7 @@
 class CallerSide {
  public:
   CallerSide(NodeState<Env>& n, BackendSide<Env, B>& beside)
-      : n_(n), env_(n.env), s_(n.s), beside_(beside), journal_(n.s.id, n.life, n.s.decisions_kept) {}
+      : n_(n), env_(n.env), settings_(n.s), beside_(beside), journal_(n.s.id, n.incarnation, n.s.decisions_kept) {}
 
   void start(Dispatcher& dispatcher) {
     dispatcher.on<DecisionsAsk>([this](DecisionsAsk q) -> Task<DecisionsReply> { co_return journal_.since(q); });
@@ -40,13 +40,15 @@
     Instant const start = env_.now();
     std::shared_ptr<Rules const> const rules = n_.rules;
     if (!n_.ready())
-      co_return dropped(chart, id, *rules, "", 503,
-                        Error{"admit", s_.id, n_.leaving ? "node is leaving" : "node is not ready", Proof::not_run});
+      co_return dropped(
+          chart, id, *rules, "", 503,
+          Error{"admit", settings_.id, n_.leaving ? "node is leaving" : "node is not ready", Proof::not_run});
     if (calls_in_flight_ >= 4096)
-      co_return dropped(chart, id, *rules, "", 503, Error{"admit", s_.id, "backlog full", Proof::not_run});
+      co_return dropped(chart, id, *rules, "", 503, Error{"admit", settings_.id, "backlog full", Proof::not_run});
     Index const s = rules->layout.service_of_path(q.target);
     if (s == no_index)
-      co_return dropped(chart, id, *rules, "", 404, Error{"find_way", s_.id, "no way for this path", Proof::not_run});
+      co_return dropped(chart, id, *rules, "", 404,
+                        Error{"find_way", settings_.id, "no way for this path", Proof::not_run});
     Service const& service = rules->layout.services[s];
     Carry carry;
     carry.service = service.name;
@@ -55,7 +57,7 @@
       std::string const key = header_of(q, service.key_header);
       if (key.empty())
         co_return dropped(chart, id, *rules, service.name, 400,
-                          Error{"find_key", s_.id, "no key in header " + service.key_header, Proof::not_run});
+                          Error{"find_key", settings_.id, "no key in header " + service.key_header, Proof::not_run});
       carry.keyed = true;
       carry.slice = service.slice_of(key);
     }
@@ -64,15 +66,15 @@
     if (!asked.empty()) {
       if (asked.size() > 5 || asked.find_first_not_of("0123456789") != std::string::npos || std::stoul(asked) < 1)
         co_return dropped(chart, id, *rules, service.name, 400,
-                          Error{"find_deadline", s_.id, "banktide-timeout-ms must be 1..99999", Proof::not_run});
+                          Error{"find_deadline", settings_.id, "banktide-timeout-ms must be 1..99999", Proof::not_run});
       patience = std::min<Duration>(patience, std::chrono::milliseconds(std::stoul(asked)));
     }
     ZoneChoice const choice = n_.choose(*rules, s, carry.slice);
     if (broken_on_purpose("drops_all"))
-      co_return dropped(chart, id, *rules, service.name, 503, Error{"decide", s_.id, "", Proof::not_run});
+      co_return dropped(chart, id, *rules, service.name, 503, Error{"decide", settings_.id, "", Proof::not_run});
     if (!choice.dropped.empty())
-      co_return dropped(chart, id, *rules, service.name, 503, Error{"decide", s_.id, choice.dropped, Proof::not_run},
-                        &carry);
+      co_return dropped(chart, id, *rules, service.name, 503,
+                        Error{"decide", settings_.id, choice.dropped, Proof::not_run}, &carry);
     bool const repeatable = service.may_repeat(q.method);
     carry.request = std::move(q);
     strip_hop(carry.request.headers, true);
@@ -84,7 +86,8 @@
   }
 
   std::optional<Target> pick_target(std::string const& service, bool const keyed, std::uint32_t const slice,
-                                    Choice const& choice, std::set<std::string> const& tried, bool const may_cross) {
+                                    ZoneChoice const& choice, std::set<std::string> const& tried,
+                                    bool const may_cross) {
     Instant const now = env_.now();
     std::vector<Target> targets, ejected;
     std::vector<Candidate> candidates;
@@ -116,7 +119,7 @@
       for (auto const& [name, cell] : n_.view.cells) {
         if (choice.settled && std::find(choice.others.begin(), choice.others.end(), name) == choice.others.end())
           continue;
-        if (name == s_.cell || std::find(cell.offers.begin(), cell.offers.end(), service) == cell.offers.end())
+        if (name == settings_.cell || std::find(cell.offers.begin(), cell.offers.end(), service) == cell.offers.end())
           continue;
         if (tried.contains("c:" + name) || marks_.ejected("c:" + name + "/" + service, now)) continue;
         for (Member const& g : cell.gateways) {
@@ -141,12 +144,12 @@
   Task<CarryReply> carry_to(Target const& t, Carry const& c, Instant const deadline) {
     ++marks_.at(t.mark, env_.now()).in_flight;
     CarryReply r;
-    if (t.node == s_.address && !t.instance.empty()) {
+    if (t.node == settings_.address && !t.instance.empty()) {
       r = co_await beside_.execute(c);
     } else {
       Carry stamped = c;
       stamped.sender = n_.holder;
-      stamped.from = s_.address;
+      stamped.from = settings_.address;
       stamped.sent_us = std::chrono::duration_cast<std::chrono::microseconds>(env_.now().time_since_epoch()).count();
       Result<CarryReply> got = co_await ask(env_, t.node, std::move(stamped), deadline + 20ms);
       if (got) {
@@ -160,7 +163,7 @@
       }
     }
     Instant const now = env_.now();
-    Mark& m = marks_.at(t.mark, now);
+    TargetHistory& m = marks_.at(t.mark, now);
     if (m.in_flight > 0) --m.in_flight;
     if (r.outcome == Outcome::answered) {
       marks_.fine(t.mark, now);
@@ -199,7 +202,7 @@
     e.reason = m.reason;
     e.step = m.step;
     e.peer = m.peer;
-    e.cell = cell.empty() ? s_.cell : cell;
+    e.cell = cell.empty() ? settings_.cell : cell;
     e.keyed = c != nullptr && c->keyed;
     e.slice = e.keyed ? c->slice : 0;
     e.routing = rules.routing;
@@ -210,14 +213,14 @@
   Task<HttpReply> tries(CallChart& chart, std::uint64_t const id, Rules const& rules, ZoneChoice const& choice,
                         Carry carry, bool const repeatable, Instant const deadline) {
     std::set<std::string> tried;
-    Error last{"pick", s_.cell, "no usable backend", Proof::not_run};
+    Error last{"pick", settings_.cell, "no usable backend", Proof::not_run};
     bool maybe_ran = false;
     for (int n = 0; n < 4; ++n) {
       chart.step(CallState::picking);
       std::optional<Target> const t = pick_target(carry.service, carry.keyed, carry.slice, choice, tried, true);
       std::int64_t const left = as_ms(deadline - env_.now());
       if (!t || left <= 0) {
-        if (t) last = Error{"pick", s_.cell, "deadline", Proof::not_run};
+        if (t) last = Error{"pick", settings_.cell, "deadline", Proof::not_run};
         break;
       }
       if (n == 0 || broken_on_purpose("no_budget")) {
@@ -271,15 +274,15 @@
   }
 
   Target to_backend(BackendRecord const& b) const {
-    return Target{b.node == s_.id ? s_.address : n_.view.members.at(b.node).address, b.instance, s_.cell,
-                  "b:" + b.service + "/" + b.instance};
+    return Target{b.node == settings_.id ? settings_.address : n_.view.members.at(b.node).address, b.instance,
+                  settings_.cell, "b:" + b.service + "/" + b.instance};
   }
 
   NodeState<Env>& n_;
   Env& env_;
-  ProxySettings& s_;
+  ProxySettings& settings_;
   BackendSide<Env, B>& beside_;
-  Marks marks_;
+  TargetHistories marks_;
   RetryBudget budget_;
   DecisionLog journal_;
   std::string swapped_;
--- a/source/coordination/carried_side.hpp
+++ b/source/coordination/carried_side.hpp
@@ -12,7 +12,7 @@
 class CarriedSide {
  public:
   CarriedSide(NodeState<Env>& n, BackendSide<Env, B>& beside, CallerSide<Env, B>& out)
-      : n_(n), env_(n.env), s_(n.s), beside_(beside), out_(out) {}
+      : n_(n), env_(n.env), settings_(n.s), beside_(beside), out_(out) {}
 
   void start(Dispatcher& dispatcher) {
     dispatcher.on<Carry>([this](Carry q) { return carried(std::move(q)); });
@@ -39,13 +39,13 @@
     ClockAsk const question;
     Result<ClockReply> const r = co_await ask(env_, c.from, question, came + 400ms);
     if (!r || r->sender != c.sender) co_return std::nullopt;
-    co_return transit_.learn(c.sender, r->clock_us, came, env_.now(), c.sent_us, came) + (env_.now() - came);
+    co_return transit_.learn_clock(c.sender, r->clock_us, came, env_.now(), c.sent_us, came) + (env_.now() - came);
   }
 
   Task<CarryReply> carried(Carry c) {
-    if (!n_.fresh) co_return not_run("admit", s_.id, "node is not ready");
-    if (refusing()) co_return not_run("admit", s_.id, "node is leaving");
-    if (carried_in_flight_ >= 4096) co_return not_run("admit", s_.id, "backlog full");
+    if (!n_.fresh) co_return not_run("admit", settings_.id, "node is not ready");
+    if (refusing()) co_return not_run("admit", settings_.id, "node is leaving");
+    if (carried_in_flight_ >= 4096) co_return not_run("admit", settings_.id, "backlog full");
     ++carried_in_flight_;
     CarryReply r = co_await admitted(std::move(c));
     --carried_in_flight_;
@@ -57,9 +57,10 @@
   Task<CarryReply> admitted(Carry c) {
     if (!broken_on_purpose("runs_late")) {
       std::optional<Duration> const lost = co_await late(c);
-      if (!lost) co_return not_run("admit", s_.id, "its sender's clock is not known");
+      if (!lost) co_return not_run("admit", settings_.id, "its sender's clock is not known");
       std::int64_t const ms = as_ms(*lost);
-      if (ms >= static_cast<std::int64_t>(c.budget_ms)) co_return not_run("admit", s_.id, "came after its deadline");
+      if (ms >= static_cast<std::int64_t>(c.budget_ms))
+        co_return not_run("admit", settings_.id, "came after its deadline");
       c.budget_ms -= static_cast<std::uint32_t>(ms);
     }
     if (!c.instance.empty()) co_return co_await beside_.execute(std::move(c));
@@ -68,14 +69,14 @@
 
   // The gateway's part: to a local backend or nowhere, once.
   Task<CarryReply> pass_on(Carry c) {
-    if (!s_.gateway || !c.crossed) co_return not_run("gateway", s_.id, "not a crossing for a gateway");
+    if (!settings_.gateway || !c.crossed) co_return not_run("gateway", settings_.id, "not a crossing for a gateway");
     std::shared_ptr<Rules const> const rules = n_.rules;
     Index const s = rules->layout.service_names.find(c.service);
-    if (s == no_index) co_return not_run("gateway", s_.id, "service is in no layout here");
+    if (s == no_index) co_return not_run("gateway", settings_.id, "service is in no layout here");
     ZoneChoice const choice = n_.choose(*rules, s, c.slice);
-    if (!choice.stay) co_return not_run("gateway", s_.id, "the catalogue here has it elsewhere");
+    if (!choice.stay) co_return not_run("gateway", settings_.id, "the catalogue here has it elsewhere");
     std::optional<Target> const t = out_.pick_target(c.service, c.keyed, c.slice, choice, {}, false);
-    if (!t) co_return not_run("pick", s_.cell, "no usable backend");
+    if (!t) co_return not_run("pick", settings_.cell, "no usable backend");
     c.instance = t->instance;
     Instant const deadline = env_.now() + std::chrono::milliseconds(c.budget_ms);
     co_return co_await out_.carry_to(*t, c, deadline);
@@ -83,10 +84,10 @@
 
   NodeState<Env>& n_;
   Env& env_;
-  ProxySettings& s_;
+  ProxySettings& settings_;
   BackendSide<Env, B>& beside_;
   CallerSide<Env, B>& out_;
-  Transit transit_;
+  TransitDelay transit_;
   std::size_t carried_in_flight_ = 0;
 };
 
--- a/source/coordination/cell_follower.hpp
+++ b/source/coordination/cell_follower.hpp
@@ -7,9 +7,9 @@
 namespace banktide {
 
 template <Environment Env>
-class CellFollower {
+class ProxyZoneFollower {
  public:
-  explicit CellFollower(NodeState<Env>& n) : n_(n) {
+  explicit ProxyZoneFollower(NodeState<Env>& n) : n_(n) {
     FollowerEvents events;
     events.backends = [this] { return backends(); };
     events.value = [this](Register, Held const&) { take_layouts(); };
@@ -26,8 +26,8 @@
 
   std::vector<BackendRecord> backends() const {
     std::vector<BackendRecord> all;
-    for (auto const& [key, l] : n_.local) {
-      if (n_.env.now() - l.beaten > n_.s.beat_expiry || l.refused) continue;
+    for (auto const& [key, l] : n_.local_backends) {
+      if (n_.env.now() - l.last_heartbeat > n_.s.heartbeat_expiry || l.refused) continue;
       all.push_back(l.record);
       all.back().burden = l.record.burden / burden_step * burden_step;
     }
@@ -38,7 +38,7 @@
     n_.directory = n_.zone.directory();
     n_.cores = n_.zone.cores();
     n_.fresh = n_.zone.fresh();
-    n_.viewed = n_.zone.viewed();
+    n_.has_view = n_.zone.has_view();
   }
 
   // Several values may have come at once: the first of their events takes all.
--- a/source/coordination/held_values.cpp
+++ b/source/coordination/held_values.cpp
@@ -16,7 +16,7 @@
   return all;
 }
 
-bool HeldValues::lack(Revisions const& told) const {
+bool HeldValues::is_behind(Revisions const& told) const {
   for (std::size_t i = 0; i < told.size(); ++i)
     if (told[i] > held_[i].revision) return true;
   return false;
@@ -29,54 +29,54 @@
     if (i >= held_.size()) continue;
     if (h.revision <= held_[i].revision || digest_of(h.bytes) != h.digest) continue;
     held_[i] = h;
-    doubtful_[i] = false;
+    refetch_whole_[i] = false;
     taken.push_back(r);
   }
   return taken;
 }
 
 template <class Delta>
-bool HeldValues::begins_here(Register const r, std::vector<Delta> const& deltas) const {
+bool HeldValues::starts_at_held_revision(Register const r, std::vector<Delta> const& deltas) const {
   return std::any_of(deltas.begin(), deltas.end(),
                      [here = of(r).revision](Delta const& delta) { return delta.from == here; });
 }
 
-std::vector<Register> HeldValues::take_key_deltas(std::vector<KeyDelta> const& deltas) {
+std::vector<Register> HeldValues::accept_key_deltas(std::vector<KeyDelta> const& deltas) {
   if (deltas.empty() || deltas.back().to <= of(Register::keys).revision) return {};
   Result<Held> next = apply_key_deltas(of(Register::keys), deltas);
   if (next) return take({{Register::keys, std::move(*next)}});
-  if (!begins_here(Register::keys, deltas)) return {};
+  if (!starts_at_held_revision(Register::keys, deltas)) return {};
   log_warn("key_delta_refused", {{"reason", next.error().reason}});
-  doubtful_[static_cast<std::size_t>(Register::keys)] = true;
+  refetch_whole_[static_cast<std::size_t>(Register::keys)] = true;
   return {};
 }
 
-std::vector<Register> HeldValues::take_routing_deltas(std::vector<TextDelta> const& deltas) {
+std::vector<Register> HeldValues::accept_routing_deltas(std::vector<TextDelta> const& deltas) {
   if (deltas.empty() || deltas.back().to <= of(Register::routing).revision) return {};
   Result<Held> next = apply_text_deltas(of(Register::routing), deltas);
   if (next) {
     slot(Register::routing) = std::move(*next);
     return {Register::routing};
   }
-  if (!begins_here(Register::routing, deltas)) return {};
+  if (!starts_at_held_revision(Register::routing, deltas)) return {};
   log_warn("configuration_delta_refused", {{"reason", next.error().reason}});
-  doubtful_[static_cast<std::size_t>(Register::routing)] = true;
+  refetch_whole_[static_cast<std::size_t>(Register::routing)] = true;
   return {};
 }
 
-LayoutsAsk HeldValues::question_for(Register const r) const {
-  LayoutsAsk question;
-  question.have.fill(std::numeric_limits<Revision>::max());
-  question.have[static_cast<std::size_t>(r)] = this->question().have[static_cast<std::size_t>(r)];
-  return question;
+LayoutsAsk HeldValues::request_for(Register const r) const {
+  LayoutsAsk request;
+  request.have.fill(std::numeric_limits<Revision>::max());
+  request.have[static_cast<std::size_t>(r)] = this->request().have[static_cast<std::size_t>(r)];
+  return request;
 }
 
-LayoutsAsk HeldValues::question() const {
-  LayoutsAsk question;
-  question.have = revisions();
+LayoutsAsk HeldValues::request() const {
+  LayoutsAsk request;
+  request.have = revisions();
   for (std::size_t i = 0; i < held_.size(); ++i)
-    if (doubtful_[i]) question.have[i] = 0;
-  return question;
+    if (refetch_whole_[i]) request.have[i] = 0;
+  return request;
 }
 
 }  // namespace banktide
--- a/source/coordination/held_values.hpp
+++ b/source/coordination/held_values.hpp
@@ -11,30 +11,30 @@
   Held const& of(Register const r) const { return held_.at(static_cast<std::size_t>(r)); }
   Revisions revisions() const;
   /// Whether one of these revisions is newer than what is here.
-  bool lack(Revisions const& told) const;
+  bool is_behind(Revisions const& told) const;
 
   /// Takes up those that are newer and whose digest is right; says which.
   std::vector<Register> take(std::vector<std::pair<Register, Held>> const& newer);
   /// The table of keys after these deltas, if they begin at the one here. After deltas that should fit
   /// and don't the whole table is asked for.
-  std::vector<Register> take_key_deltas(std::vector<KeyDelta> const& deltas);
+  std::vector<Register> accept_key_deltas(std::vector<KeyDelta> const& deltas);
 
   /// The same of the configuration.
-  std::vector<Register> take_routing_deltas(std::vector<TextDelta> const& deltas);
+  std::vector<Register> accept_routing_deltas(std::vector<TextDelta> const& deltas);
 
   /// For all that is newer than here.
-  LayoutsAsk question() const;
+  LayoutsAsk request() const;
   /// For this register's value alone.
-  LayoutsAsk question_for(Register r) const;
+  LayoutsAsk request_for(Register r) const;
 
  private:
   Held& slot(Register const r) { return held_[static_cast<std::size_t>(r)]; }
   /// Whether a delta begins at the value here, so that it should have fitted.
   template <class Delta>
-  bool begins_here(Register r, std::vector<Delta> const& deltas) const;
+  bool starts_at_held_revision(Register r, std::vector<Delta> const& deltas) const;
 
   std::array<Held, register_count> held_;
-  std::array<bool, register_count> doubtful_{};  // a delta from this very version didn't fit
+  std::array<bool, register_count> refetch_whole_{};  // a delta from this very version didn't fit
 };
 
 }  // namespace banktide
--- a/source/coordination/lease_voter.hpp
+++ b/source/coordination/lease_voter.hpp
@@ -20,34 +20,35 @@
 template <Clock Env>
 class LeaseVoter {
  public:
-  explicit LeaseVoter(Env& env) : env_(env), from_(env.now() + lease_term) {}
+  explicit LeaseVoter(Env& env) : env_(env), abstains_until_(env.now() + lease_term) {}
 
   void set_floor(std::uint64_t const epoch) { floor_ = epoch; }
   bool has_floor() const { return floor_ > 0; }
 
-  LeaseReply ask(LeaseAsk const& q) {
+  LeaseReply ask(LeaseAsk const& request) {
     Instant const now = env_.now();
     LeaseReply reply;
-    for (SliceClaim const& c : q.release) {
+    for (SliceClaim const& c : request.release) {
       auto const it = grants_.find(c.slice);
-      if (it != grants_.end() && it->second.holder == q.holder && it->second.epoch == c.epoch) it->second.until = now;
+      if (it != grants_.end() && it->second.holder == request.holder && it->second.epoch == c.epoch)
+        it->second.until = now;
     }
-    if (now < from_ || !has_floor() || q.want.size() > 4096) return reply;
+    if (now < abstains_until_ || !has_floor() || request.want.size() > 4096) return reply;
     reply.voting = true;
-    for (SliceClaim const& c : q.want) {
+    for (SliceClaim const& c : request.want) {
       Grant& g = grants_[c.slice];
-      bool const free = g.until <= now || g.holder == q.holder;
-      bool const newer = g.holder == q.holder ? c.epoch >= g.epoch : c.epoch > g.epoch;
-      std::uint64_t const least = std::max(floor_, top_elsewhere(c.slice));
-      bool const ok =
-          broken_on_purpose("lease_to_all") || (free && newer && c.epoch > least && !other_mapping(c.slice, now));
+      bool const free = g.until <= now || g.holder == request.holder;
+      bool const newer = g.holder == request.holder ? c.epoch >= g.epoch : c.epoch > g.epoch;
+      std::uint64_t const least = std::max(floor_, highest_epoch_of_other_mappings(c.slice));
+      bool const ok = broken_on_purpose("lease_to_all") ||
+                      (free && newer && c.epoch > least && !other_mapping_in_force(c.slice, now));
       if (ok) {
-        g.holder = q.holder;
+        g.holder = request.holder;
         g.epoch = c.epoch;
         g.until = now + lease_term;
         Mapping& m = mappings_[{c.slice.service, c.slice.mapping}];
-        m.last = std::max(m.last, g.until);
-        m.top = std::max(m.top, g.epoch);
+        m.last_expiry = std::max(m.last_expiry, g.until);
+        m.highest_epoch = std::max(m.highest_epoch, g.epoch);
       }
       reply.granted.push_back(ok);
       reply.epochs.push_back(std::max(g.epoch, least));
@@ -63,31 +64,31 @@
   std::map<Slice, Grant> const& grants() const { return grants_; }
 
  private:
-  bool other_mapping(Slice const& s, Instant const now) {
+  bool other_mapping_in_force(Slice const& s, Instant const now) {
     for (auto it = mappings_.lower_bound({s.service, 0}); it != mappings_.end() && it->first.first == s.service; ++it) {
-      if (it->first.second == s.mapping || it->second.last <= now) continue;
+      if (it->first.second == s.mapping || it->second.last_expiry <= now) continue;
       for (auto g = grants_.lower_bound(Slice{s.service, it->first.second, 0});
            g != grants_.end() && g->first.service == s.service && g->first.mapping == it->first.second; ++g)
         if (g->second.until > now) return true;
-      it->second.last = now;
+      it->second.last_expiry = now;
     }
     return false;
   }
 
-  std::uint64_t top_elsewhere(Slice const& s) const {
-    std::uint64_t top = 0;
+  std::uint64_t highest_epoch_of_other_mappings(Slice const& s) const {
+    std::uint64_t highest_epoch = 0;
     for (auto it = mappings_.lower_bound({s.service, 0}); it != mappings_.end() && it->first.first == s.service; ++it)
-      if (it->first.second != s.mapping) top = std::max(top, it->second.top);
-    return top;
+      if (it->first.second != s.mapping) highest_epoch = std::max(highest_epoch, it->second.highest_epoch);
+    return highest_epoch;
   }
 
   Env& env_;
-  Instant const from_;
+  Instant const abstains_until_;
   std::uint64_t floor_ = 0;
   std::map<Slice, Grant> grants_;
   struct Mapping {
-    Instant last{};         // latest end of its grants
-    std::uint64_t top = 0;  // greatest epoch granted
+    Instant last_expiry{};            // latest end of its grants
+    std::uint64_t highest_epoch = 0;  // greatest epoch granted
   };
   std::map<std::pair<std::string, std::uint64_t>, Mapping> mappings_;
 };
--- a/source/coordination/maintenance_keeper.hpp
+++ b/source/coordination/maintenance_keeper.hpp
@@ -30,9 +30,9 @@
 
   Task<void> run() {
     while (true) {
-      co_await sleep_for(env_, step_every);
+      co_await sleep_for(env_, step_interval);
       if (known) view_.take(known(), env_.now());
-      if (acting_() && due()) co_await write_count();
+      if (acting_() && write_due()) co_await write_countdown();
       view_.log_phases(env_.now());
     }
   }
@@ -40,7 +40,7 @@
   /** Has an edit made over the newest plan; it may run more than once. */
   Task<Result<MaintenancePlan>> change(MaintenanceEdit const edit) {
     Instant counted_at{};
-    auto const over_newest = [&](Held const& newest) -> Result<Held> {
+    auto const edit_newest = [&](Held const& newest) -> Result<Held> {
       Result<MaintenancePlan> plan = unpack_maintenance(newest.bytes);
       if (!plan) return tl::unexpected<Error>(plan.error());
       counted_at = env_.now();
@@ -51,35 +51,35 @@
       return *changed ? next_value(newest, *plan) : newest;
     };
     Result<Held> const done =
-        co_await store_.change(Register::maintenance, "", env_.now() + register_patience, over_newest);
+        co_await store_.change(Register::maintenance, "", env_.now() + register_timeout, edit_newest);
     if (!done) co_return tl::unexpected<Error>(done.error());
-    take_written(*done, counted_at);
+    adopt_written(*done, counted_at);
     co_return plan();
   }
 
  private:
-  static constexpr Duration step_every = 100ms;
-  static constexpr Duration write_every = 5s;
-  static constexpr Duration register_patience = 900ms;
+  static constexpr Duration step_interval = 100ms;
+  static constexpr Duration write_interval = 5s;
+  static constexpr Duration register_timeout = 900ms;
 
-  bool due() const {
+  bool write_due() const {
     if (!view_.written().current()) return false;
     Duration const elapsed = env_.now() - view_.counted_at();
     MaintenancePlan plan = view_.written();
-    return plan.advance(elapsed) || elapsed >= write_every;
+    return plan.advance(elapsed) || elapsed >= write_interval;
   }
 
-  Task<void> write_count() {
+  Task<void> write_countdown() {
     Revision const revision = view_.revision();
     Instant const counted_at = env_.now();
     MaintenancePlan const plan = view_.at(counted_at);
-    auto const over_own = [&](Held const& newest) -> Result<Held> {
+    auto const write_over_own = [&](Held const& newest) -> Result<Held> {
       if (newest.revision != revision) return make_error("maintenance", "", "another change came first");
       return next_value(newest, plan);
     };
     Result<Held> const done =
-        co_await store_.change(Register::maintenance, "", env_.now() + register_patience, over_own);
-    if (done) take_written(*done, counted_at);
+        co_await store_.change(Register::maintenance, "", env_.now() + register_timeout, write_over_own);
+    if (done) adopt_written(*done, counted_at);
   }
 
   static Held next_value(Held const& newest, MaintenancePlan const& plan) {
@@ -90,7 +90,7 @@
     return next;
   }
 
-  void take_written(Held const& held, Instant const counted_at) {
+  void adopt_written(Held const& held, Instant const counted_at) {
     view_.take(held, counted_at);
     view_.log_phases(env_.now());
     if (on_written) on_written(held);
--- a/source/coordination/maintenance_view.hpp
+++ b/source/coordination/maintenance_view.hpp
@@ -38,14 +38,14 @@
 
   /** One line for each window whose phase is another than when this was last called. */
   void log_phases(Instant const now) {
-    for (MaintenanceWindow const& w : at(now).windows) {
-      MaintenancePhase& known = logged_.try_emplace(w.id, MaintenancePhase::cancelled).first->second;
-      if (known == w.phase) continue;
-      known = w.phase;
-      log_info("maintenance", {{"zone", w.zone},
-                               {"phase", std::string(phase_name(w.phase))},
-                               {"window", std::to_string(w.id)},
-                               {"left_s", std::to_string(w.left / 1000)}});
+    for (MaintenanceWindow const& window : at(now).windows) {
+      MaintenancePhase& known = logged_.try_emplace(window.id, MaintenancePhase::cancelled).first->second;
+      if (known == window.phase) continue;
+      known = window.phase;
+      log_info("maintenance", {{"zone", window.zone},
+                               {"phase", std::string(phase_name(window.phase))},
+                               {"window", std::to_string(window.id)},
+                               {"left_s", std::to_string(window.left / 1000)}});
     }
   }
 
--- a/source/coordination/membership.hpp
+++ b/source/coordination/membership.hpp
@@ -33,7 +33,7 @@
         settings_(std::move(settings)),
         client_(env, StoreSeeds{settings_.seeds}),
         change_(env, client_) {
-    if (acceptor_.phase() == Phase::voting) client_.follow(acceptor_.set());
+    if (acceptor_.phase() == Phase::voting) client_.adopt_if_newer(acceptor_.set());
   }
 
   void attach(Dispatcher& dispatcher) {
@@ -65,9 +65,9 @@
   /// losses with a voter that is gone. It votes until then.
   Task<void> leave(Duration const timeout) {
     leaving_ = true;
-    Instant const deadline = env_.now() + patience;
-    while (env_.now() < deadline && acceptor_.voting() && better_without_leaver(acceptor_.set())) {
-      bool const removed = co_await ask_to_be_removed(deadline);
+    Instant const deadline = env_.now() + timeout;
+    while (env_.now() < deadline && acceptor_.voting() && should_remove_leaver(acceptor_.set())) {
+      bool const removed = co_await request_removal(deadline);
       if (removed) break;
       co_await sleep_for(env_, join_interval);
     }
@@ -122,10 +122,10 @@
 
   // Only a set that a voter tells counts; what this store's own disk says is of
   // no use while nobody votes. Who told an old one is corrected by the voters asked next.
-  Task<bool> find_newest() {
-    if (acceptor_.phase() == Phase::voting) client_.follow(acceptor_.set());
-    if (!acceptor_.last_asker().empty()) client_.learn({acceptor_.last_asker()});
-    co_return co_await client_.discover(env_.now() + look_patience, true);
+  Task<bool> discover_newest_set() {
+    if (acceptor_.phase() == Phase::voting) client_.adopt_if_newer(acceptor_.set());
+    if (!acceptor_.last_requester().empty()) client_.add_contacts({acceptor_.last_requester()});
+    co_return co_await client_.discover(env_.now() + probe_timeout, true);
   }
 
   Task<void> request_addition(VoterSet const set) {
@@ -136,10 +136,10 @@
       bool const empty = co_await acceptor_.reset_record();
       if (!empty) co_return;
     }
-    AddVoter question;
-    question.entry = VoterEntry{acceptor_.own(), acceptor_.disk_name()};
-    Address const peer = one_of(active);
-    Result<SetReply> const reply = co_await ask<AddVoter>(env_, peer, question, env_.now() + change_patience);
+    AddVoter request;
+    request.entry = VoterEntry{acceptor_.own_address(), acceptor_.disk_id()};
+    Address const peer = pick_random(active);
+    Result<SetReply> const reply = co_await ask<AddVoter>(env_, peer, request, env_.now() + change_timeout);
     if (!reply) co_return;
     client_.adopt_if_newer(reply->set);
     if (reply->done) log_info("added", {{"epoch", std::to_string(reply->set.epoch)}, {"by", peer}});
@@ -150,10 +150,10 @@
     std::vector<Address> others = co_await active_voters(set);
     std::erase(others, acceptor_.own_address());
     if (others.empty()) co_return false;
-    RemoveVoter question;
-    question.address = acceptor_.own();
-    Address const peer = one_of(others);
-    Result<SetReply> const reply = co_await ask<RemoveVoter>(env_, peer, question, deadline);
+    RemoveVoter request;
+    request.address = acceptor_.own_address();
+    Address const peer = pick_random(others);
+    Result<SetReply> const reply = co_await ask<RemoveVoter>(env_, peer, request, deadline);
     if (reply && reply->done) log_info("removed_itself", {{"epoch", std::to_string(reply->set.epoch)}, {"by", peer}});
     co_return reply && reply->done;
   }
@@ -165,7 +165,7 @@
     auto const votes_in_set = [&set](Result<VotersReply> const& r) { return r && r->active && r->set == set; };
     VotersAsk const request{};
     auto const replies =
-        co_await ask_all<VotersAsk>(env_, voters, question, env_.now() + look_patience, [&](auto const& heard) {
+        co_await ask_all<VotersAsk>(env_, voters, request, env_.now() + probe_timeout, [&](auto const& heard) {
           std::size_t n = 0;
           for (auto const& [at, r] : heard) n += votes_in_set(r);
           return n >= needed;
@@ -178,7 +178,7 @@
     co_return active;
   }
 
-  Address one_of(std::vector<Address> const& peers) { return peers[env_.chance()() % peers.size()]; }
+  Address pick_random(std::vector<Address> const& peers) { return peers[env_.chance()() % peers.size()]; }
 
   // ---- changes that others ask for
 
@@ -189,7 +189,7 @@
       std::optional<VoterSet> const next = set_for_newcomer(now, request.entry);
       if (next && acceptor_.set() == now) co_await change_.run(now, *next);
     }
-    SetReply reply = own_set();
+    SetReply reply = current_set_reply();
     VoterEntry const* const entry = find_entry(reply.set, request.entry.address);
     reply.done = entry != nullptr && *entry == request.entry;
     co_return reply;
@@ -198,11 +198,11 @@
   // While it isn't sure that a voter which doesn't answer is gone, there is none: the
   // newcomer asks again in a moment. To be added beside it, the set would bear less.
   std::optional<VoterSet> set_for_newcomer(VoterSet const& now, VoterEntry const& newcomer) const {
-    if (!last_look_over_ || env_.now() - *last_look_over_ > look_holds_for) return std::nullopt;
-    std::optional<Address> const silent = watch_.most_silent();
-    if (!silent) return set_with(now, newcomer);
-    if (watch_.missed(*silent) < missed_looks_of_the_silent) return std::nullopt;
-    return set_with_replacement(now, *silent, newcomer);
+    if (!last_probe_finished_ || env_.now() - *last_probe_finished_ > probe_validity) return std::nullopt;
+    std::optional<Address> const silent = monitor_.least_responsive();
+    if (!silent) return with_voter_added(now, newcomer);
+    if (monitor_.missed(*silent) < missed_probes_before_replacement) return std::nullopt;
+    return with_voter_replaced(now, *silent, newcomer);
   }
 
   Task<SetReply> remove(RemoveVoter request) {
@@ -210,12 +210,12 @@
     bool const possible = can_remove_voter(now) && request.address != acceptor_.own_address();
     if (acceptor_.voting() && possible && find_entry(now, request.address) != nullptr)
       co_await change_.run(now, with_voter_removed(now, request.address));
-    SetReply reply = own_set();
+    SetReply reply = current_set_reply();
     reply.done = !reply.set.voters.empty() && find_entry(reply.set, request.address) == nullptr;
     co_return reply;
   }
 
-  SetReply own_set() const {
+  SetReply current_set_reply() const {
     SetReply reply;
     if (acceptor_.phase() == Phase::voting) reply.set = acceptor_.set();
     return reply;
@@ -247,19 +247,19 @@
   // The newest set that any of them tells.
   Task<VoterSet> probe_others() {
     VoterSet newest = acceptor_.set();
-    if (last_look_ && env_.now() - *last_look_ < least_look_interval) co_return newest;
-    last_look_ = env_.now();
+    if (last_probe_started_ && env_.now() - *last_probe_started_ < min_probe_interval) co_return newest;
+    last_probe_started_ = env_.now();
     VoterSet const now = newest;
     std::vector<Address> monitored = addresses_of(now);
     std::erase(monitored, acceptor_.own_address());
     std::vector<Address> peers = monitored;
     // It may be a voter of a newer set none of whose other voters is known here.
-    if (!acceptor_.last_asker().empty() && entry_of(now, acceptor_.last_asker()) == nullptr)
-      peers.push_back(acceptor_.last_asker());
-    VotersAsk const question{acceptor_.own()};
-    auto const replies = co_await ask_all<VotersAsk>(env_, peers, question, env_.now() + look_patience,
+    if (!acceptor_.last_requester().empty() && find_entry(now, acceptor_.last_requester()) == nullptr)
+      peers.push_back(acceptor_.last_requester());
+    VotersAsk const request{acceptor_.own_address()};
+    auto const replies = co_await ask_all<VotersAsk>(env_, peers, request, env_.now() + probe_timeout,
                                                      [](auto const&) { return false; });
-    std::vector<bool> answered(watched.size(), false);
+    std::vector<bool> answered(monitored.size(), false);
     std::size_t voting = acceptor_.voting() ? 1 : 0;
     for (auto const& [at, r] : replies) {
       if (!r) continue;
@@ -267,9 +267,9 @@
       if (at < monitored.size()) voting += r->active && r->set == now;
       if (r->member && r->set.epoch > newest.epoch) newest = r->set;
     }
-    watch_.note(watched, answered);
-    last_look_over_ = env_.now();
-    tell_health(health_of(now, voting));
+    monitor_.record_probe(monitored, answered);
+    last_probe_finished_ = env_.now();
+    report_health(health_of(now, voting));
     co_return newest;
   }
 
@@ -294,7 +294,7 @@
   MembershipSettings const settings_;
   RegisterClient<Env> client_;
   VoterSetChange<Env> change_;
-  VoterWatch watch_;
+  VoterMonitor monitor_;
   VoterSetHealth health_;
   std::optional<Instant> last_probe_started_, last_probe_finished_;
   bool leaving_ = false, left_ = false;
--- a/source/coordination/node_state.hpp
+++ b/source/coordination/node_state.hpp
@@ -17,7 +17,7 @@
   Address address;
   bool gateway = false;
   std::vector<Address> seeds;
-  std::chrono::milliseconds beat_expiry{3000};
+  std::chrono::milliseconds heartbeat_expiry{3000};
   std::uint32_t backend_limit = 128;
   std::uint32_t slice_limit = 32;
   std::size_t decisions_kept = 8192;
@@ -31,9 +31,9 @@
 };
 
 // A backend that beats to this node.
-struct Local {
+struct LocalBackendState {
   BackendRecord record;
-  Instant beaten{};
+  Instant last_heartbeat{};
   std::uint32_t in_flight = 0;
   bool refused = false;  // connections were refused since its last beat
   bool probing = false;
@@ -45,12 +45,12 @@
   NodeState(Env& world, ProxySettings settings)
       : env(world),
         s(std::move(settings)),
-        life(env.chance()()),
-        holder(s.id + "#" + std::to_string(life)),
+        incarnation(env.chance()()),
+        holder(s.id + "#" + std::to_string(incarnation)),
         started(env.now()),
         zone(env, FollowerSettings{s.id, s.cell, s.address, s.gateway, s.seeds, FeedTiming{}}) {}
 
-  bool ready() const { return fresh && viewed && !leaving; }
+  bool ready() const { return fresh && has_view && !leaving; }
 
   // The cells that have a backend of the service, by this view.
   std::set<std::string> offering(std::string const& service, Instant const now) const {
@@ -65,26 +65,26 @@
     return cells;
   }
 
-  Choice choose(Rules const& rules, Index const service, std::uint32_t const slice) const {
-    return choose_cells(rules.layout, rules.catalogue, s.cell, service, slice,
+  ZoneChoice choose(Rules const& rules, Index const service, std::uint32_t const slice) const {
+    return choose_zones(rules.layout, rules.catalogue, s.cell, service, slice,
                         [&] { return offering(rules.layout.services[service].name, env.now()); });
   }
 
   bool fit(BackendRecord const& b, Instant const now) const {
     if (broken_on_purpose("drain_unheard")) return view.usable_node(b.node);
     if (b.standing != Standing::fit || !view.usable_node(b.node)) return false;
-    auto const d = drained.find({b.service, b.instance});
-    if (d != drained.end() && now < d->second) return false;
+    auto const d = drained_until.find({b.service, b.instance});
+    if (d != drained_until.end() && now < d->second) return false;
     if (b.node == s.id) {
-      auto const l = local.find({b.service, b.instance});
-      return l != local.end() && usable(l->second, now);
+      auto const l = local_backends.find({b.service, b.instance});
+      return l != local_backends.end() && usable(l->second, now);
     }
     return true;
   }
 
-  bool usable(Local const& l, Instant const now) const {
+  bool usable(LocalBackendState const& l, Instant const now) const {
     return (l.record.standing == Standing::fit || broken_on_purpose("drain_unheard")) && !l.refused &&
-           now - l.beaten <= s.beat_expiry;
+           now - l.last_heartbeat <= s.heartbeat_expiry;
   }
 
   // The one backend of the cell that should have the slice, by this view.
@@ -104,31 +104,31 @@
   }
 
   // The registry is to be told anew what this node has.
-  void touch() {
+  void rejoin() {
     if (leaving)
       zone.leave();
     else
-      zone.touch();
+      zone.rejoin();
   }
 
   void note(std::string const& what, Error const& m) { mishaps.note(env.now() - started, what, m); }
 
   Env& env;
   ProxySettings s;
-  std::uint64_t const life;
+  std::uint64_t const incarnation;
   std::string const holder;
   Instant const started;
   ZoneFollower<Env> zone;
-  CellView const& view = zone.view();
+  ZoneView const& view = zone.view();
   std::shared_ptr<Rules const> rules = std::make_shared<Rules>();
-  std::map<std::pair<std::string, std::string>, Local> local;
-  std::map<std::pair<std::string, std::string>, Instant> drained;
+  std::map<std::pair<std::string, std::string>, LocalBackendState> local_backends;
+  std::map<std::pair<std::string, std::string>, Instant> drained_until;
   // As the follower of the zone last said.
   std::vector<RegistryEntry> directory;
   std::uint32_t cores = 0;
   RecentErrors mishaps;
   Instant left_at{};
-  bool fresh = false, viewed = false, leaving = false;
+  bool fresh = false, has_view = false, leaving = false;
 };
 
 }  // namespace banktide
--- a/source/coordination/register_client.hpp
+++ b/source/coordination/register_client.hpp
@@ -38,14 +38,14 @@
 /// completed before that.
 struct ConfirmedValue {
   Held held;
-  Instant asked{};
+  Instant as_of{};
 };
 
 /// The same without the value: no greater revision was chosen before `asked`.
 /// It may itself belong to a round that is still under way.
 struct ConfirmedRevision {
   Revision revision = 0;
-  Instant asked{};
+  Instant as_of{};
 };
 
 template <Environment Env>
@@ -53,21 +53,23 @@
  public:
   /// Of a fixed list of voters: epoch 0, for good.
   RegisterClient(Env& env, std::vector<Address> voters)
-      : env_(env), set_(first_set(voters, 0)), set_known_(true), nonce_(env.chance()()) {}
+      : env_(env), set_(initial_set(voters, 0)), set_known_(true), nonce_(env.chance()()) {}
   /// Learns the voters from the stores named here and by `learn`.
-  RegisterClient(Env& env, StoreSeeds seeds) : env_(env), nonce_(env.chance()()) { learn(std::move(seeds.addresses)); }
+  RegisterClient(Env& env, StoreSeeds seeds) : env_(env), nonce_(env.chance()()) {
+    add_contacts(std::move(seeds.addresses));
+  }
 
   /// Further stores to ask for the set of voters.
   void add_contacts(std::vector<Address> const& stores) {
     for (Address const& a : stores)
-      if (contacts_.size() < most_contacts && std::find(contacts_.begin(), contacts_.end(), a) == contacts_.end())
+      if (contacts_.size() < max_contacts && std::find(contacts_.begin(), contacts_.end(), a) == contacts_.end())
         contacts_.push_back(a);
   }
 
   /// Takes up a set that a voter has told, if it is newer.
-  void adopt_if_newer(VoterSet const& told) {
-    if (told.voters.empty() || (set_known_ && told.epoch <= set_.epoch)) return;
-    set_ = told;
+  void adopt_if_newer(VoterSet const& reported) {
+    if (reported.voters.empty() || (set_known_ && reported.epoch <= set_.epoch)) return;
+    set_ = reported;
     set_known_ = true;
   }
   VoterSet const& set() const { return set_; }
@@ -77,17 +79,18 @@
   /// is known then.
   /// With `first_will_do` it returns at the first voter's answer: a newer set is
   /// told by whoever is asked next in an older one.
-  Task<bool> discover(Instant const deadline, bool const first_will_do = false) {
+  Task<bool> discover(Instant const deadline, bool const stop_at_first_voter = false) {
     std::vector<Address> peers = contacts_;
     for (VoterEntry const& e : set_.voters)
       if (std::find(peers.begin(), peers.end(), e.address) == peers.end()) peers.push_back(e.address);
-    VotersAsk const question{};
-    auto const replies = co_await ask_all<VotersAsk>(
-        env_, peers, question, std::min(deadline, env_.now() + round_patience), [first_will_do](auto const& heard) {
-          bool told = false;
-          for (auto const& [at, r] : heard) told = told || (r && r->member);
-          return first_will_do && told;
-        });
+    VotersAsk const query{};
+    auto const replies = co_await ask_all<VotersAsk>(env_, peers, query, std::min(deadline, env_.now() + round_timeout),
+                                                     [stop_at_first_voter](auto const& heard) {
+                                                       bool reported = false;
+                                                       for (auto const& [at, r] : heard)
+                                                         reported = reported || (r && r->member);
+                                                       return stop_at_first_voter && reported;
+                                                     });
     for (auto const& [i, r] : replies)
       if (r && r->member) adopt_if_newer(r->set);
     co_return set_known_;
@@ -97,15 +100,15 @@
   // is handed on untouched). A mishap of a round is `unknown` once any voter
   // may hold the new value.
   template <class F>
-  Task<Result<Held>> change(Register const reg, std::string request, Instant const deadline, F step,
+  Task<Result<Held>> change(Register const reg, std::string request, Instant const deadline, F edit,
                             std::uint64_t* const round = nullptr) {
-    bool offered = false;
-    std::string last = "no majority";
+    bool proposed = false;
+    std::string last_failure = "no majority";
     for (std::uint64_t attempt = 0; env_.now() < deadline; ++attempt) {
-      if (attempt > 0) co_await sleep_for(env_, pause_before(attempt));
+      if (attempt > 0) co_await sleep_for(env_, backoff_before(attempt));
       bool const known = co_await find_voters(attempt, deadline);
       if (!known) {
-        last = "no voter has told the set of voters";
+        last_failure = "no voter has told the set of voters";
         continue;
       }
       std::vector<Address> const voters = addresses_of(set_);
@@ -113,8 +116,8 @@
       Ballot const ballot{set_.epoch, ++round_, nonce_};
       Prepare const first{reg, ballot};
       auto const prepared = co_await ask_all<Prepare>(
-          env_, voters, first, std::min(deadline, env_.now() + round_patience), [needed](auto const& replies) {
-            return count(replies, &PrepareReply::promised) >= needed || newer_told(replies);
+          env_, voters, first, std::min(deadline, env_.now() + round_timeout), [needed](auto const& replies) {
+            return count(replies, &PrepareReply::promised) >= needed || newer_set_reported(replies);
           });
       adopt_newer_sets(prepared);
       Ballot best;
@@ -128,15 +131,15 @@
         }
       }
       if (count(prepared, &PrepareReply::promised) < needed) {
-        last = "prepare had no majority";
+        last_failure = "prepare had no majority";
         continue;
       }
       bool const repeat = !request.empty() && std::any_of(held.requests.begin(), held.requests.end(),
                                                           [&](auto const& p) { return p.first == request; });
       if (!repeat) {
-        Result<Held> next = step(held);
+        Result<Held> next = edit(held);
         if (!next) {
-          next.error().proof = offered ? Proof::unknown : Proof::not_run;
+          next.error().proof = proposed ? Proof::unknown : Proof::not_run;
           co_return next;
         }
         held = std::move(*next);
@@ -145,11 +148,11 @@
           if (held.requests.size() > max_remembered_requests) held.requests.erase(held.requests.begin());
         }
       }
-      offered = true;
+      proposed = true;
       Accept const second{reg, ballot, held};
       auto const accepted = co_await ask_all<Accept>(
-          env_, voters, second, std::min(deadline, env_.now() + round_patience), [needed](auto const& replies) {
-            return count(replies, &AcceptReply::accepted) >= needed || newer_told(replies);
+          env_, voters, second, std::min(deadline, env_.now() + round_timeout), [needed](auto const& replies) {
+            return count(replies, &AcceptReply::accepted) >= needed || newer_set_reported(replies);
           });
       adopt_newer_sets(accepted);
       for (auto const& [i, r] : accepted)
@@ -158,9 +161,9 @@
         if (round != nullptr) *round = ballot.round;
         co_return held;
       }
-      last = "accept had no majority";
+      last_failure = "accept had no majority";
     }
-    co_return make_error("register", register_name(reg), last, offered ? Proof::unknown : Proof::not_run);
+    co_return make_error("register", register_name(reg), last_failure, proposed ? Proof::unknown : Proof::not_run);
   }
 
   // The newest chosen value, vouched for by a majority as of this call.
@@ -179,10 +182,10 @@
     bool const ready = co_await find_voters(0, deadline);
     if (!ready) co_return std::nullopt;
     std::size_t const needed = quorum_size(set_);
-    PeekRevisions const question{set_.epoch};
+    PeekRevisions const query{set_.epoch};
     auto const replies = co_await ask_all<PeekRevisions>(
-        env_, addresses_of(set_), question, std::min(deadline, env_.now() + round_patience),
-        [needed](auto const& heard) { return voting(heard) >= needed || newer_told(heard); });
+        env_, addresses_of(set_), query, std::min(deadline, env_.now() + round_timeout),
+        [needed](auto const& heard) { return voting(heard) >= needed || newer_set_reported(heard); });
     adopt_newer_sets(replies);
     if (voting(replies) < needed) co_return std::nullopt;
     std::array<Revision, register_count> newest{};
@@ -196,16 +199,16 @@
   /// A reading that a majority agrees on, with nothing written back: asked again
   /// until the deadline. Each change must have a greater revision than the one
   /// before, as `known` is taken to be current if the revision is the same.
-  Task<Result<Confirmed>> confirm(Register const reg, Held const known, Instant const deadline) {
+  Task<Result<ConfirmedValue>> confirm(Register const reg, Held const known, Instant const deadline) {
     for (std::uint64_t attempt = 0; env_.now() < deadline; ++attempt) {
-      bool const ready = co_await ready_to_ask(attempt, deadline);
+      bool const ready = co_await begin_attempt(attempt, deadline);
       if (!ready) continue;
-      Instant const asked = env_.now();
+      Instant const as_of = env_.now();
       std::optional<Held> agreed = co_await peek(reg, known, deadline);
       if (!agreed) continue;
       ConfirmedValue out;
       out.held = std::move(*agreed);
-      out.asked = asked;
+      out.as_of = as_of;
       co_return out;
     }
     co_return not_confirmed(reg);
@@ -215,11 +218,11 @@
   /// is the revision of the chosen value that the caller knows.
   Task<Result<ConfirmedRevision>> confirm_revision(Register const reg, Revision const have, Instant const deadline) {
     for (std::uint64_t attempt = 0; env_.now() < deadline; ++attempt) {
-      bool const ready = co_await ready_to_ask(attempt, deadline);
+      bool const ready = co_await begin_attempt(attempt, deadline);
       if (!ready) continue;
-      Instant const asked = env_.now();
-      std::optional<Reading> const reading = co_await read_revision(reg, have, deadline);
-      if (reading) co_return ConfirmedRevision{reading->agreed ? reading->agreed->revision : reading->bound, asked};
+      Instant const as_of = env_.now();
+      std::optional<QuorumReading> const reading = co_await read_revision(reg, have, deadline);
+      if (reading) co_return ConfirmedRevision{reading->agreed ? reading->agreed->revision : reading->bound, as_of};
     }
     co_return not_confirmed(reg);
   }
@@ -229,9 +232,9 @@
     bool const ready = co_await find_voters(0, deadline);
     std::size_t heard = 0;
     if (ready) {
-      Peek const question{reg, std::numeric_limits<Revision>::max(), set_.epoch};
+      Peek const query{reg, std::numeric_limits<Revision>::max(), set_.epoch};
       auto const replies =
-          co_await ask_all<Peek>(env_, addresses_of(set_), question, std::min(deadline, env_.now() + round_patience),
+          co_await ask_all<Peek>(env_, addresses_of(set_), query, std::min(deadline, env_.now() + round_timeout),
                                  [](auto const&) { return false; });
       adopt_newer_sets(replies);
       for (auto const& [i, r] : replies) {
@@ -252,12 +255,12 @@
   std::size_t majority() const { return quorum_size(set_); }
 
  private:
-  static constexpr Duration round_patience = 600ms;
-  static constexpr Duration fetch_patience = 300ms;
-  static constexpr std::size_t most_contacts = 16;
-  static constexpr std::uint64_t attempts_before_asking_again = 3;
-  static constexpr std::uint64_t first_pause_ms = 20;
-  static constexpr std::uint64_t pause_doublings = 4;
+  static constexpr Duration round_timeout = 600ms;
+  static constexpr Duration fetch_timeout = 300ms;
+  static constexpr std::size_t max_contacts = 16;
+  static constexpr std::uint64_t attempts_before_rediscovery = 3;
+  static constexpr std::uint64_t initial_backoff_ms = 20;
+  static constexpr std::uint64_t max_backoff_doublings = 4;
 
   template <class Replies, class Field>
   static std::size_t count(Replies const& replies, Field const field) {
@@ -269,7 +272,7 @@
   // A newer set makes it useless to wait for more answers: a voter of the older one
   // that is gone never gives any.
   template <class Replies>
-  static bool newer_told(Replies const& replies) {
+  static bool newer_set_reported(Replies const& replies) {
     return std::any_of(replies.begin(), replies.end(), [](auto const& r) { return r.second && r.second->newer; });
   }
   template <class Replies>
@@ -280,20 +283,20 @@
 
   // Asks when no set is known, and again when rounds keep failing.
   Task<bool> find_voters(std::uint64_t const attempt, Instant const deadline) {
-    bool const again = attempt > 0 && attempt % attempts_before_asking_again == 0 && !contacts_.empty();
+    bool const again = attempt > 0 && attempt % attempts_before_rediscovery == 0 && !contacts_.empty();
     if (set_known_ && !again) co_return true;
     co_return co_await discover(deadline, true);
   }
 
-  Task<bool> ready_to_ask(std::uint64_t const attempt, Instant const deadline) {
-    if (attempt > 0) co_await sleep_for(env_, pause_before(attempt));
+  Task<bool> begin_attempt(std::uint64_t const attempt, Instant const deadline) {
+    if (attempt > 0) co_await sleep_for(env_, backoff_before(attempt));
     co_return co_await find_voters(attempt, deadline);
   }
   // Pauses double: many clients that ask again at once would keep the voters too busy
   // to complete the very round that they wait for.
-  Duration pause_before(std::uint64_t const attempt) {
-    std::uint64_t const longest = first_pause_ms << std::min(attempt, pause_doublings);
-    return std::chrono::milliseconds(2 + env_.chance()() % longest);
+  Duration backoff_before(std::uint64_t const attempt) {
+    std::uint64_t const longest_ms = initial_backoff_ms << std::min(attempt, max_backoff_doublings);
+    return std::chrono::milliseconds(2 + env_.chance()() % longest_ms);
   }
   tl::unexpected<Error> not_confirmed(Register const reg) const {
     return make_error("confirm", register_name(reg), set_known_ ? "no majority agrees" : "no voters known",
@@ -308,7 +311,7 @@
   };
 
   // What a quorum says of a register's revisions.
-  struct Reading {
+  struct QuorumReading {
     // No greater revision was chosen before the question: each chosen value is held by
     // one of any quorum, or was taken up by every voter as it became active in this epoch.
     Revision bound = 0;
@@ -322,11 +325,11 @@
     if (value_is_large(reg)) co_return co_await peek_and_fetch(reg, known, deadline);
     std::uint64_t const epoch = set_.epoch;
     std::size_t const needed = quorum_size(set_);
-    Peek const question{reg, known.revision, epoch};
+    Peek const query{reg, known.revision, epoch};
     auto const replies = co_await ask_all<Peek>(
-        env_, addresses_of(set_), question, std::min(deadline, env_.now() + round_patience),
+        env_, addresses_of(set_), query, std::min(deadline, env_.now() + round_timeout),
         [epoch, needed, &known](auto const& r) {
-          return agreeing(r, epoch).second >= needed || none_newer(r, needed, known.revision) || newer_told(r);
+          return agreeing(r, epoch).second >= needed || none_newer(r, needed, known.revision) || newer_set_reported(r);
         });
     adopt_newer_sets(replies);
     if (none_newer(replies, needed, known.revision)) co_return known;
@@ -339,18 +342,18 @@
   // Only one voter's answer is to carry such a value.
   static bool value_is_large(Register const reg) { return reg == Register::keys; }
 
-  Task<std::optional<Reading>> read_revision(Register const reg, Revision const have, Instant const deadline) {
+  Task<std::optional<QuorumReading>> read_revision(Register const reg, Revision const have, Instant const deadline) {
     std::uint64_t const epoch = set_.epoch;
     std::size_t const needed = quorum_size(set_);
     std::vector<Address> const voters = addresses_of(set_);
-    Peek const question{reg, 0, epoch, false};
+    Peek const query{reg, 0, epoch, false};
     auto const replies = co_await ask_all<Peek>(
-        env_, voters, question, std::min(deadline, env_.now() + round_patience), [epoch, needed, have](auto const& r) {
-          return agreeing(r, epoch).second >= needed || none_newer(r, needed, have) || newer_told(r);
+        env_, voters, query, std::min(deadline, env_.now() + round_timeout), [epoch, needed, have](auto const& r) {
+          return agreeing(r, epoch).second >= needed || none_newer(r, needed, have) || newer_set_reported(r);
         });
     adopt_newer_sets(replies);
     if (voting(replies) < needed) co_return std::nullopt;
-    Reading reading;
+    QuorumReading reading;
     reading.bound = newest_revision(replies);
     auto const [at, n] = agreeing(replies, epoch);
     if (n < needed) co_return reading;
@@ -367,15 +370,15 @@
   // chosen, so only a value under the ballot of the agreement counts.
   Task<std::optional<Held>> peek_and_fetch(Register const reg, Held const known, Instant const deadline) {
     std::uint64_t const epoch = set_.epoch;
-    std::optional<Reading> const reading = co_await read_revision(reg, known.revision, deadline);
+    std::optional<QuorumReading> const reading = co_await read_revision(reg, known.revision, deadline);
     if (!reading) co_return std::nullopt;
     if (reading->bound <= known.revision) co_return known;
     std::optional<Agreement> const& agreed = reading->agreed;
     if (!agreed) co_return std::nullopt;
     if (agreed->revision <= known.revision) co_return known;
     for (Address const& voter : agreed->voters) {
-      Peek const question{reg, known.revision, epoch};
-      Result<PeekReply> const r = co_await ask(env_, voter, question, std::min(deadline, env_.now() + fetch_patience));
+      Peek const query{reg, known.revision, epoch};
+      Result<PeekReply> const r = co_await ask(env_, voter, query, std::min(deadline, env_.now() + fetch_timeout));
       if (r && r->voting && r->accepted == agreed->accepted) co_return r->held;
     }
     co_return std::nullopt;
--- a/source/coordination/registry_directory.cpp
+++ b/source/coordination/registry_directory.cpp
@@ -27,23 +27,23 @@
   }
 }
 
-void RegistryDirectory::learn_names(std::vector<RegistryEntry> const& told, Instant const now) {
+void RegistryDirectory::learn_addresses(std::vector<RegistryEntry> const& told, Instant const now) {
   for (RegistryEntry const& e : told)
     if (std::chrono::milliseconds(e.age_ms) < kept_for && find(e.address) == nullptr) add(e, now - usable_for);
 }
 
 void RegistryDirectory::heard(Address const& address, Instant const now) {
-  auto const it = heard_.find(address);
-  if (it != heard_.end()) it->second = std::max(it->second, now);
+  auto const it = last_heard_.find(address);
+  if (it != last_heard_.end()) it->second = std::max(it->second, now);
 }
 
 void RegistryDirectory::heard(RegistryEntry const& entry, Instant const now) { add(entry, now); }
 
 void RegistryDirectory::forget_silent(Instant const now) {
   std::erase_if(entries_, [&](RegistryEntry const& e) {
-    if (e.address == own_ || now - heard_.at(e.address) < kept_for) return false;
+    if (e.address == own_ || now - last_heard_.at(e.address) < kept_for) return false;
     if (std::find(seeds_.begin(), seeds_.end(), e.address) != seeds_.end()) return false;
-    heard_.erase(e.address);
+    last_heard_.erase(e.address);
     return true;
   });
 }
@@ -51,7 +51,7 @@
 std::vector<RegistryEntry> RegistryDirectory::told(Instant const now) const {
   std::vector<RegistryEntry> out = entries_;
   for (RegistryEntry& e : out) {
-    Duration const age = e.address == own_ ? Duration::zero() : now - heard_.at(e.address);
+    Duration const age = e.address == own_ ? Duration::zero() : now - last_heard_.at(e.address);
     std::int64_t const capped = std::clamp<std::int64_t>(as_ms(age), 0, as_ms(kept_for));
     e.age_ms = static_cast<std::uint32_t>(capped);
   }
@@ -60,8 +60,8 @@
 
 bool RegistryDirectory::alive(Address const& address, Instant const now, Duration const within) const {
   if (address == own_ && !own_.empty()) return true;
-  auto const it = heard_.find(address);
-  return it != heard_.end() && now - it->second < within;
+  auto const it = last_heard_.find(address);
+  return it != last_heard_.end() && now - it->second < within;
 }
 
 std::vector<Address> RegistryDirectory::live(Instant const now, Duration const within) const {
@@ -97,12 +97,12 @@
   if (entry.address.empty()) return false;
   RegistryEntry* const known = find(entry.address);
   if (known == nullptr) {
-    if (entries_.size() >= most_entries) return false;
+    if (entries_.size() >= entry_limit) return false;
     entries_.insert(std::upper_bound(entries_.begin(), entries_.end(), entry, by_address), entry);
-    heard_[entry.address] = heard_at;
+    last_heard_[entry.address] = heard_at;
     return true;
   }
-  Instant& last = heard_[entry.address];
+  Instant& last = last_heard_[entry.address];
   if (heard_at <= last || entry.address == own_) return false;
   last = heard_at;
   known->cell = entry.cell;
--- a/source/coordination/registry_directory.hpp
+++ b/source/coordination/registry_directory.hpp
@@ -18,7 +18,7 @@
   static constexpr Duration usable_for = 8s;
   /// Registries not heard for so long are forgotten, unless their address is a seed's.
   static constexpr Duration kept_for = 60s;
-  static constexpr std::size_t most_entries = 256;
+  static constexpr std::size_t entry_limit = 256;
 
   explicit RegistryDirectory(std::vector<Address> seeds);
 
@@ -27,7 +27,7 @@
   /// What the answer to a question sent at `asked` told.
   void learn_answer(std::vector<RegistryEntry> const& told, Instant asked, Instant now);
   /// What came unasked: only names count, as it may have been long on its way.
-  void learn_names(std::vector<RegistryEntry> const& told, Instant now);
+  void learn_addresses(std::vector<RegistryEntry> const& told, Instant now);
   /// A registry was heard itself.
   void heard(Address const& address, Instant now);
   void heard(RegistryEntry const& entry, Instant now);
@@ -56,7 +56,7 @@
   std::vector<Address> const seeds_;
   Address own_;
   std::vector<RegistryEntry> entries_;  // by address
-  std::map<Address, Instant> heard_;
+  std::map<Address, Instant> last_heard_;
 };
 
 }  // namespace banktide
--- a/source/coordination/ring_places.hpp
+++ b/source/coordination/ring_places.hpp
@@ -10,9 +10,9 @@
 
 /// The places around one member (or registry) of a zone. Who leaves or is suspected stands last in the relay tree: it
 /// still gets the news, and nobody depends on it for them.
-class RingPlaces {
+class RingNeighbours {
  public:
-  explicit RingPlaces(std::string id) : id_(std::move(id)) {}
+  explicit RingNeighbours(std::string id) : id_(std::move(id)) {}
 
   /// To be called before the others; costs nothing if no member came or went.
   void follow(ZoneView const& view) {
--- a/source/coordination/shared_reading.hpp
+++ b/source/coordination/shared_reading.hpp
@@ -14,8 +14,8 @@
 namespace banktide {
 
 struct SharedReadingSettings {
-  Duration every = 200ms;       // from one reading's end to the next, while nobody asks
-  Duration least_pause = 10ms;  // the same, while somebody asks
+  Duration interval = 200ms;  // from one reading's end to the next, while nobody asks
+  Duration min_pause = 10ms;  // the same, while somebody asks
 };
 
 template <Environment Env>
@@ -23,54 +23,54 @@
  public:
   /// `read` reads once and says whether that succeeded.
   SharedReading(Env& env, SharedReadingSettings settings, std::function<Task<bool>()> read)
-      : env_(env), settings_(settings), read_(std::move(read)), asked_for_(env) {}
+      : env_(env), settings_(settings), read_(std::move(read)), requested_(env) {}
 
   /// Reads for as long as the process runs.
   Task<void> run() {
     while (true) {
-      Instant const began = env_.now();
-      bool const good = co_await read_();
-      if (good) newest_ = began;
-      for (typename Env::Alarm* const waiting : *waiting_) waiting->wake();
-      co_await sleep_for(env_, settings_.least_pause);
-      co_await asked_for_.wait(env_.now() + settings_.every - settings_.least_pause);
+      Instant const started_at = env_.now();
+      bool const succeeded = co_await read_();
+      if (succeeded) latest_start_ = started_at;
+      for (typename Env::Alarm* const waiting : *waiters_) waiting->wake();
+      co_await sleep_for(env_, settings_.min_pause);
+      co_await requested_.wait(env_.now() + settings_.interval - settings_.min_pause);
     }
   }
 
   /// Waits for a successful reading that began after this call; false if there was
   /// none until the deadline.
-  Task<bool> read_anew(Instant const deadline) {
-    Instant const came = env_.now();
-    Waiting mine(env_, waiting_);
-    asked_for_.wake();
-    while (!began_since(came) && env_.now() < deadline) co_await mine.alarm.wait(deadline);
-    co_return began_since(came);
+  Task<bool> read_fresh(Instant const deadline) {
+    Instant const called_at = env_.now();
+    Waiter waiter(env_, waiters_);
+    requested_.wake();
+    while (!started_since(called_at) && env_.now() < deadline) co_await waiter.alarm.wait(deadline);
+    co_return started_since(called_at);
   }
 
   /// When the newest successful reading began, if there was one.
-  std::optional<Instant> newest() const { return newest_; }
+  std::optional<Instant> latest_start() const { return latest_start_; }
 
  private:
   using Alarms = std::vector<typename Env::Alarm*>;  // in the order of asking
 
   // Takes its alarm off the list also when its coroutine is destroyed.
-  struct Waiting {
-    Waiting(Env& env, std::shared_ptr<Alarms> all) : alarm(env), list(std::move(all)) { list->push_back(&alarm); }
-    ~Waiting() { std::erase(*list, &alarm); }
-    Waiting(Waiting const&) = delete;
-    Waiting& operator=(Waiting const&) = delete;
+  struct Waiter {
+    Waiter(Env& env, std::shared_ptr<Alarms> all) : alarm(env), list(std::move(all)) { list->push_back(&alarm); }
+    ~Waiter() { std::erase(*list, &alarm); }
+    Waiter(Waiter const&) = delete;
+    Waiter& operator=(Waiter const&) = delete;
     typename Env::Alarm alarm;
     std::shared_ptr<Alarms> const list;
   };
 
-  bool began_since(Instant const came) const { return newest_ && *newest_ >= came; }
+  bool started_since(Instant const called_at) const { return latest_start_ && *latest_start_ >= called_at; }
 
   Env& env_;
   SharedReadingSettings const settings_;
   std::function<Task<bool>()> const read_;
-  typename Env::Alarm asked_for_;
-  std::shared_ptr<Alarms> const waiting_ = std::make_shared<Alarms>();
-  std::optional<Instant> newest_;
+  typename Env::Alarm requested_;
+  std::shared_ptr<Alarms> const waiters_ = std::make_shared<Alarms>();
+  std::optional<Instant> latest_start_;
 };
 
 }  // namespace banktide
--- a/source/coordination/transit.hpp
+++ b/source/coordination/transit.hpp
@@ -13,42 +13,43 @@
 
 namespace banktide {
 
-class Transit {
+class TransitDelay {
  public:
-  static constexpr Duration window = 10s, quiet = 60s, quick = 20ms;
+  static constexpr Duration window = 10s, sender_timeout = 60s, quick_answer = 20ms;
 
   // None: the sender's clock isn't known.
   std::optional<Duration> late(std::string const& sender, std::int64_t const sent_us, Instant const now) {
-    auto const it = senders_.find(sender);
-    if (it == senders_.end() || now - it->second.last > quiet) return std::nullopt;
-    Least& l = it->second;
-    std::int64_t const apart = us(now) - sent_us;
-    if (now - l.from > window) l = Least{now, now, apart, l.least};
+    auto const it = offsets_.find(sender);
+    if (it == offsets_.end() || now - it->second.last > sender_timeout) return std::nullopt;
+    ClockOffset& l = it->second;
+    std::int64_t const offset = microseconds_of(now) - sent_us;
+    if (now - l.from > window) l = ClockOffset{now, now, offset, l.smallest};
     l.last = now;
-    l.least = std::min(l.least, apart);
-    return std::chrono::microseconds(apart - std::min(l.least, l.before));
+    l.smallest = std::min(l.smallest, offset);
+    return std::chrono::microseconds(offset - std::min(l.smallest, l.previous_smallest));
   }
 
   // The same for a message that came when its sender's clock wasn't known. Asked
   // for it from `asked` until `now`, the sender read `clock_us`; the message is
   // taken to be as late as that allows. Only a quick answer is kept.
-  Duration learn(std::string const& sender, std::int64_t const clock_us, Instant const asked, Instant const now,
-                 std::int64_t const sent_us, Instant const came) {
-    if (senders_.size() > 1024) std::erase_if(senders_, [&](auto const& s) { return now - s.second.last > quiet; });
-    std::int64_t const apart = us(asked) - clock_us;
-    if (now - asked < quick) senders_[sender] = Least{now, now, apart, apart};
-    return std::chrono::microseconds(std::max<std::int64_t>(0, us(came) - sent_us - apart));
+  Duration learn_clock(std::string const& sender, std::int64_t const clock_us, Instant const asked, Instant const now,
+                       std::int64_t const sent_us, Instant const came) {
+    if (offsets_.size() > 1024)
+      std::erase_if(offsets_, [&](auto const& s) { return now - s.second.last > sender_timeout; });
+    std::int64_t const offset = microseconds_of(asked) - clock_us;
+    if (now - asked < quick_answer) offsets_[sender] = ClockOffset{now, now, offset, offset};
+    return std::chrono::microseconds(std::max<std::int64_t>(0, microseconds_of(came) - sent_us - offset));
   }
 
  private:
-  static std::int64_t us(Instant const t) {
+  static std::int64_t microseconds_of(Instant const t) {
     return std::chrono::duration_cast<std::chrono::microseconds>(t.time_since_epoch()).count();
   }
-  struct Least {
+  struct ClockOffset {
     Instant from{}, last{};
-    std::int64_t least = 0, before = 0;
+    std::int64_t smallest = 0, previous_smallest = 0;
   };
-  std::map<std::string, Least> senders_;
+  std::map<std::string, ClockOffset> offsets_;
 };
 
 }  // namespace banktide
--- a/source/coordination/voter_set_change.hpp
+++ b/source/coordination/voter_set_change.hpp
@@ -48,24 +48,24 @@
     if (!next) co_return;
     std::size_t const needed = quorum_size(set);
     auto const replies =
-        co_await ask_all<Activate>(env_, addresses_of(set), *next, env_.now() + step_patience,
+        co_await ask_all<Activate>(env_, addresses_of(set), *next, env_.now() + step_timeout,
                                    [needed](auto const& heard) { return count_active(heard) >= needed; });
     adopt_newer_sets(replies);
     if (count_active(replies) < needed) co_return;
     client_.adopt_if_newer(set);
     for (Register const reg : kept_registers) {
       Held const none{};
-      co_await client_.read(reg, none, env_.now() + step_patience);
+      co_await client_.read(reg, none, env_.now() + step_timeout);
     }
   }
 
  private:
-  static constexpr Duration decide_patience = 3s;
-  static constexpr Duration step_patience = 1s;
+  static constexpr Duration decide_timeout = 3s;
+  static constexpr Duration step_timeout = 1s;
 
   Task<Result<VoterSet>> decide(VoterSet const now, VoterSet const next) {
     Result<Held> const held =
-        co_await client_.change(Register::voters, "", env_.now() + decide_patience, [&](Held const& h) -> Result<Held> {
+        co_await client_.change(Register::voters, "", env_.now() + decide_timeout, [&](Held const& h) -> Result<Held> {
           if (client_.set().epoch != now.epoch) return make_error("decide_set", "", "the set has changed meanwhile");
           bool const decided = h.revision > now.epoch;  // only ever written again
           if (decided || next == now) return h;
@@ -94,9 +94,9 @@
       }
       return sealed >= needed;
     };
-    Seal const question{set};
-    auto const replies = co_await ask_all<Seal>(env_, peers, question, env_.now() + step_patience, enough);
-    follow_newer(replies);
+    Seal const request{set};
+    auto const replies = co_await ask_all<Seal>(env_, peers, request, env_.now() + step_timeout, enough);
+    adopt_newer_sets(replies);
     if (!enough(replies)) co_return std::nullopt;
     Activate next;
     next.set = set;
--- a/source/coordination/zone_entries.hpp
+++ b/source/coordination/zone_entries.hpp
@@ -9,7 +9,7 @@
 
 class ZoneEntries {
  public:
-  explicit ZoneEntries(FeedTiming const& timing) : t_(timing) {}
+  explicit ZoneEntries(FeedTiming const& timing) : timing_(timing) {}
 
   /// The entry of a zone kept here, if it is to be told now. `make` is called
   /// only if its feed has moved. The caller fills in the sender.
@@ -18,14 +18,14 @@
     Outgoing& out = outgoing_[zone];
     if (!(out.at == at)) {
       CellEntry entry = make();
-      if (!(entry == out.entry)) out.copies_left = copies;
+      if (!(entry == out.entry)) out.repeats_left = repeats;
       out.entry = std::move(entry);
       out.at = at;
     }
-    Duration const pause = out.copies_left > 0 ? t_.entry_every : t_.entry_repeat;
+    Duration const pause = out.repeats_left > 0 ? timing_.entry_every : timing_.entry_repeat;
     if (now - out.sent_at < pause) return std::nullopt;
     out.sent_at = now;
-    if (out.copies_left > 0) --out.copies_left;
+    if (out.repeats_left > 0) --out.repeats_left;
     CellTold told;
     told.entry = out.entry;
     told.at = at;
@@ -41,7 +41,7 @@
     Incoming& known = incoming_[told.entry.cell];
     bool const same = told.sender == known.sender;
     bool const overtaken = same && told.at.epoch == known.at.epoch && told.at.seq < known.at.seq;
-    bool const rivals = !same && now - known.heard < fresh_for;
+    bool const rivals = !same && now - known.heard < rival_timeout;
     if (overtaken || (rivals && told.entry.gateways.size() <= known.entry.gateways.size())) return nullptr;
     known = Incoming{std::move(told.entry), std::move(told.sender), told.at, now};
     return &known.entry;
@@ -65,14 +65,14 @@
   }
 
  private:
-  static constexpr Duration fresh_for = 3s;
-  static constexpr unsigned copies = 3;  // of a changed entry, as one-way messages may be lost
+  static constexpr Duration rival_timeout = 3s;
+  static constexpr unsigned repeats = 3;  // of a changed entry, as one-way messages may be lost
 
   struct Outgoing {
     Position at;
     CellEntry entry;
     Instant sent_at{};
-    unsigned copies_left = 0;
+    unsigned repeats_left = 0;
   };
   struct Incoming {
     CellEntry entry;
@@ -81,7 +81,7 @@
     Instant heard{};
   };
 
-  FeedTiming const& t_;
+  FeedTiming const& timing_;
   std::map<std::string, Outgoing> outgoing_;
   std::map<std::string, Incoming> incoming_;
 };
--- a/source/coordination/zone_feed.hpp
+++ b/source/coordination/zone_feed.hpp
@@ -32,20 +32,21 @@
  public:
   ZoneFeed(Env& env, FeedSettings settings, FeedSources sources)
       : env_(env),
-        s_(std::move(settings)),
-        t_(s_.timing),
+        settings_(std::move(settings)),
+        timing_(settings_.timing),
         sources_(std::move(sources)),
         epoch_(env.chance()() | 1),
         started_(env.now()),
         watched_at_(env.now()),
-        warm_at_(env.now() + t_.warm_up),
+        warm_at_(env.now() + timing_.warm_up),
         last_node_at_(env.now()),
-        places_(s_.registry_id) {
-    Member const self{s_.registry_id, s_.zone, s_.registry_address, Role::registry, 1, Standing::fit};
-    journal_and_fold(Change{0, self, std::nullopt, std::nullopt});
+        neighbours_(settings_.registry_id) {
+    Member const self{settings_.registry_id, settings_.zone, settings_.registry_address, Role::registry, 1,
+                      Standing::fit};
+    record_change(Change{0, self, std::nullopt, std::nullopt});
   }
 
-  std::string const& zone() const { return s_.zone; }
+  std::string const& zone() const { return settings_.zone; }
   ZoneView const& view() const { return view_; }
   std::uint64_t epoch() const { return epoch_; }
   Position position() const { return Position{epoch_, journal_.last()}; }
@@ -61,7 +62,7 @@
   JoinReply join(Join q) {
     JoinReply reply;
     reply.epoch = epoch_;
-    if (!acceptable(q)) return reply;
+    if (!is_valid(q)) return reply;
     auto const it = view_.members.find(q.self.id);
     bool const suspected = it != view_.members.end() && it->second.standing == Standing::suspected;
     if (suspected && q.self.standing == Standing::fit && q.self.incarnation <= it->second.incarnation) {
@@ -69,16 +70,16 @@
       return reply;
     }
     if (!has_nodes()) begin_warm_up();
-    heard_[q.self.id] = env_.now();
+    last_heard_[q.self.id] = env_.now();
     joined_[q.self.id] = env_.now();
     if (it == view_.members.end() || !(it->second == q.self)) {
       log_info("member", {{"id", q.self.id},
-                          {"zone", s_.zone},
+                          {"zone", settings_.zone},
                           {"standing", standing_name(q.self.standing)},
                           {"incarnation", std::to_string(q.self.incarnation)}});
       publish_member(q.self);
     }
-    take_backends(q.self.id, std::move(q.backends));
+    update_backends(q.self.id, std::move(q.backends));
     reply.taken = true;
     reply.incarnation = q.self.incarnation;
     return reply;
@@ -87,7 +88,7 @@
   FollowReply follow(Follow const& q) const {
     FollowReply reply;
     // A feed without nodes has nothing to tell those that are about to join it.
-    reply.known = warm() && (has_nodes() || q.zone != s_.zone);
+    reply.known = warm() && (has_nodes() || q.zone != settings_.zone);
     if (!reply.known) return reply;
     reply.at = position();
     std::optional<std::vector<Change>> changes;
@@ -99,7 +100,7 @@
     return reply;
   }
 
-  void beat(Beat const& q) { heard_[q.id] = env_.now(); }
+  void beat(Beat const& q) { last_heard_[q.id] = env_.now(); }
 
   void suspect(Suspect const& q) {
     auto const it = view_.members.find(q.id);
@@ -109,38 +110,38 @@
     Member m = it->second;
     m.standing = Standing::suspected;
     suspected_[m.id] = env_.now();
-    log_info("member", {{"id", m.id}, {"zone", s_.zone}, {"standing", "suspected"}, {"by", q.by}});
+    log_info("member", {{"id", m.id}, {"zone", settings_.zone}, {"standing", "suspected"}, {"by", q.by}});
     publish_member(m);
   }
 
   // ---- what is told to them
 
   /// To be called every `pulse_every`; what isn't urgent goes along.
-  void pulse() { send_down(next_news()); }
+  void pulse() { send_down(next_update()); }
 
   /// A newer value of a register, at once.
   void send_value(Register const reg, Held const& held) {
-    News n = next_news();
+    News n = next_update();
     n.layouts.emplace_back(reg, held);
     send_down(n);
   }
   /// A newer table of keys, by what has changed.
   void send_key_delta(KeyDelta const& delta) {
-    News n = next_news();
+    News n = next_update();
     n.key_deltas.push_back(delta);
     send_down(n);
   }
 
   /// A newer configuration, by what has changed.
   void send_routing_delta(TextDelta const& delta) {
-    News n = next_news();
+    News n = next_update();
     n.routing_deltas.push_back(delta);
     send_down(n);
   }
 
   /// What another zone offers.
-  void take_entry(CellEntry const& entry) {
-    if (entry.cell == s_.zone) return;
+  void update_zone_entry(CellEntry const& entry) {
+    if (entry.cell == settings_.zone) return;
     auto const it = view_.cells.find(entry.cell);
     if (it == view_.cells.end()) return publish(Change{0, std::nullopt, std::nullopt, entry}, Urgency::at_once);
     if (it->second == entry) return;
@@ -155,28 +156,28 @@
   /// looks for members that are silent.
   void watch() {
     Instant const now = env_.now();
-    bool const overslept = now - watched_at_ > 4 * t_.beat_every;  // we were frozen: nobody else was silent
+    bool const was_suspended = now - watched_at_ > 4 * timing_.beat_every;  // we were frozen: nobody else was silent
     watched_at_ = now;
-    places_.follow(view_);
-    tell_watchers();
+    neighbours_.follow(view_);
+    send_heartbeats();
     std::vector<Member> dead;
     std::vector<Suspect> silent;
     for (auto const& [id, m] : view_.members) {
       if (m.role == Role::registry) continue;
-      bool const watched = places_.watched().contains(id);
-      Instant const heard = take_silence(id, watched, overslept);
-      if (watched && now - heard > t_.suspect_after && m.standing == Standing::fit)
-        silent.push_back(Suspect{id, m.incarnation, s_.registry_id, s_.zone});
+      bool const watched = neighbours_.watched().contains(id);
+      Instant const heard = effective_last_heard(id, watched, was_suspended);
+      if (watched && now - heard > timing_.suspect_after && m.standing == Standing::fit)
+        silent.push_back(Suspect{id, m.incarnation, settings_.registry_id, settings_.zone});
       if (is_dead(m, watched)) dead.push_back(m);
     }
     for (Suspect const& q : silent) suspect(q);
-    for (Member& m : dead) bury(m);
+    for (Member& m : dead) remove_dead(m);
   }
 
   /// The zone as others see it.
   CellEntry entry() const {
     CellEntry e;
-    e.cell = s_.zone;
+    e.cell = settings_.zone;
     for (auto const& [id, m] : view_.members)
       if (m.role == Role::gateway && m.standing == Standing::fit) e.gateways.push_back(m);
     std::map<std::pair<std::string, std::string>, ServiceOffer> by_node;
@@ -194,41 +195,41 @@
       o.waiting += b.slots > 0 ? b.waiting : 0;
     }
     for (auto& [key, o] : by_node) {
-      o.burden = rounded(o.burden, o.slots);
-      o.waiting = rounded(o.waiting, o.slots);
+      o.burden = round_up_load(o.burden, o.slots);
+      o.waiting = round_up_load(o.waiting, o.slots);
       e.services.push_back(std::move(o));
     }
     return e;
   }
 
  private:
-  static constexpr std::size_t most_backends = 1000;
+  static constexpr std::size_t backend_limit = 1000;
   static constexpr std::size_t journal_length = 512;
-  static constexpr Duration flush_after = 2ms;
-  static constexpr std::uint32_t load_steps = 8;  // in which an offer's load is told
+  static constexpr Duration batching_delay = 2ms;
+  static constexpr std::uint32_t load_rounding_steps = 8;  // in which an offer's load is told
 
-  bool acceptable(Join const& q) const {
-    bool const named = !q.self.id.empty() && q.self.id != s_.registry_id && q.self.cell == s_.zone;
+  bool is_valid(Join const& q) const {
+    bool const named = !q.self.id.empty() && q.self.id != settings_.registry_id && q.self.cell == settings_.zone;
     bool const node = q.self.role == Role::node || q.self.role == Role::gateway;
     bool const present = q.self.standing == Standing::fit || q.self.standing == Standing::leaving;
-    return named && node && present && q.backends.size() <= most_backends;
+    return named && node && present && q.backends.size() <= backend_limit;
   }
 
   // Rounded up, so that 0 means that there is nothing.
-  static std::uint32_t rounded(std::uint32_t const load, std::uint32_t const slots) {
-    std::uint32_t const step = std::max<std::uint32_t>(1, slots / load_steps);
+  static std::uint32_t round_up_load(std::uint32_t const load, std::uint32_t const slots) {
+    std::uint32_t const step = std::max<std::uint32_t>(1, slots / load_rounding_steps);
     return (load + step - 1) / step * step;
   }
 
   // Nodes that come to a feed that has none come one after the other: from their
   // start, or from another registry that has kept them until now.
   void begin_warm_up() {
-    bool const moved = env_.now() - started_ > t_.warm_up;
-    warm_at_ = std::max(warm_at_, env_.now() + (moved ? t_.moved_warm_up : t_.warm_up));
+    bool const moved = env_.now() - started_ > timing_.warm_up;
+    warm_at_ = std::max(warm_at_, env_.now() + (moved ? timing_.moved_warm_up : timing_.warm_up));
     unsent_.clear();
   }
 
-  void take_backends(std::string const& node, std::vector<BackendRecord> told) {
+  void update_backends(std::string const& node, std::vector<BackendRecord> told) {
     std::set<std::pair<std::string, std::string>> named;
     for (BackendRecord& b : told) {
       b.node = node;
@@ -255,7 +256,7 @@
 
   // ---- news
 
-  void journal_and_fold(Change c) {
+  void record_change(Change c) {
     c.seq = journal_.last() + 1;
     journal_.append(c);
     view_.fold(c);
@@ -275,7 +276,7 @@
 
   void publish(Change c, Urgency const urgency) {
     if (has_nodes()) last_node_at_ = env_.now();
-    journal_and_fold(std::move(c));
+    record_change(std::move(c));
     if (urgency == Urgency::with_next_pulse || unsent_.empty() || flushing_) return;
     flushing_ = true;
     spawn(env_, flush_soon(this->shared_from_this()));
@@ -284,85 +285,86 @@
 
   // Changes of one moment go in one piece of news.
   static Task<void> flush_soon(std::shared_ptr<ZoneFeed> const feed) {
-    co_await sleep_for(feed->env_, flush_after);
+    co_await sleep_for(feed->env_, batching_delay);
     feed->flushing_ = false;
-    if (!feed->unsent_.empty()) feed->send_down(feed->next_news());
+    if (!feed->unsent_.empty()) feed->send_down(feed->next_update());
   }
 
   // With all changes that weren't sent yet: whoever gets it has everything up to its position.
-  News next_news() {
+  News next_update() {
     News n;
     n.changes = std::exchange(unsent_, {});
     n.at = position();
-    told_ = n.at;
+    announced_ = n.at;
     n.pulse = ++pulse_;
     n.vouched = sources_.vouched();
-    n.root = s_.registry_address;
+    n.root = settings_.registry_address;
     n.revisions = sources_.revisions();
     return n;
   }
 
   void send_down(News const& n) {
     if (!warm() || !has_nodes()) return;
-    places_.follow(view_);
+    neighbours_.follow(view_);
     SharedBytes const raw = pack_shared(n);
-    for (std::string const& id : places_.first_relays()) env_.tell_raw(view_.members.at(id).address, News::kind, raw);
+    for (std::string const& id : neighbours_.first_relays())
+      env_.tell_raw(view_.members.at(id).address, News::kind, raw);
   }
 
   // ---- watching
 
-  void tell_watchers() {
-    if (places_.watchers().empty()) return;
-    Position const at = warm() ? told_ : Position{};
-    SharedBytes const raw =
-        pack_shared(Beat{s_.registry_id, s_.registry_address, 1, at, s_.zone, sources_.revisions()});
-    for (std::string const& id : places_.watchers()) env_.tell_raw(view_.members.at(id).address, Beat::kind, raw);
+  void send_heartbeats() {
+    if (neighbours_.watchers().empty()) return;
+    Position const at = warm() ? announced_ : Position{};
+    SharedBytes const raw = pack_shared(
+        Beat{settings_.registry_id, settings_.registry_address, 1, at, settings_.zone, sources_.revisions()});
+    for (std::string const& id : neighbours_.watchers()) env_.tell_raw(view_.members.at(id).address, Beat::kind, raw);
   }
 
   // When the member was last heard, as far as silence counts against it: one
   // that isn't watched here, or while we were frozen, isn't silent.
-  Instant take_silence(std::string const& id, bool const watched, bool const overslept) {
+  Instant effective_last_heard(std::string const& id, bool const watched, bool const was_suspended) {
     Instant const now = env_.now();
-    Instant& heard = heard_.try_emplace(id, watched ? now : Instant{}).first->second;
-    if (overslept) heard = now;
-    if (!watched) heard = std::max(heard, now - t_.suspect_after / 2);
+    Instant& heard = last_heard_.try_emplace(id, watched ? now : Instant{}).first->second;
+    if (was_suspended) heard = now;
+    if (!watched) heard = std::max(heard, now - timing_.suspect_after / 2);
     return heard;
   }
 
   bool is_dead(Member const& m, bool const watched) const {
     Instant const now = env_.now();
-    if (m.standing == Standing::suspected) return now - suspected_.at(m.id) > t_.dead_after;
+    if (m.standing == Standing::suspected) return now - suspected_.at(m.id) > timing_.dead_after;
     if (m.standing != Standing::leaving) return false;
-    if (watched && now - heard_.at(m.id) > t_.suspect_after) return true;
+    if (watched && now - last_heard_.at(m.id) > timing_.suspect_after) return true;
     auto const joined = joined_.find(m.id);
-    return joined != joined_.end() && now - joined->second > t_.leave_after;
+    return joined != joined_.end() && now - joined->second > timing_.leave_after;
   }
 
-  void bury(Member& m) {
+  void remove_dead(Member& m) {
     m.standing = Standing::dead;
-    log_info("member", {{"id", m.id}, {"zone", s_.zone}, {"standing", "dead"}});
+    log_info("member", {{"id", m.id}, {"zone", settings_.zone}, {"standing", "dead"}});
     publish_member(m);
-    heard_.erase(m.id);
+    last_heard_.erase(m.id);
     suspected_.erase(m.id);
     joined_.erase(m.id);
   }
 
   Env& env_;
-  FeedSettings const s_;
-  FeedTiming const& t_;
+  FeedSettings const settings_;
+  FeedTiming const& timing_;
   FeedSources const sources_;
   std::uint64_t const epoch_;
   Instant const started_;
   Instant watched_at_, warm_at_, last_node_at_;
   Journal<Change> journal_{journal_length};
   ZoneView view_;
-  RingPlaces places_;
+  RingNeighbours neighbours_;
   std::size_t nodes_ = 0;
   std::uint64_t pulse_ = 0;
   bool flushing_ = false, had_nodes_ = false;
   std::vector<Change> unsent_;
-  Position told_{};  // by the latest news
-  std::map<std::string, Instant> heard_, suspected_, joined_;
+  Position announced_{};  // by the latest news
+  std::map<std::string, Instant> last_heard_, suspected_, joined_;
 };
 
 }  // namespace banktide
--- a/source/coordination/zone_follower.hpp
+++ b/source/coordination/zone_follower.hpp
@@ -44,13 +44,13 @@
  public:
   ZoneFollower(Env& env, FollowerSettings settings, FollowerEvents events = {})
       : env_(env),
-        s_(std::move(settings)),
-        t_(s_.timing),
+        settings_(std::move(settings)),
+        timing_(settings_.timing),
         events_(std::move(events)),
-        directory_(s_.seeds),
-        places_(s_.id),
+        directory_(settings_.seeds),
+        neighbours_(settings_.id),
         join_alarm_(env),
-        fresh_alarm_(env),
+        refresh_alarm_(env),
         started_(env.now()),
         last_contact_(env.now()) {}
 
@@ -61,44 +61,45 @@
     dispatcher.on<Meet>([this](Meet q) { return meet(std::move(q)); });
     dispatcher.on<News>([this](News q) { return news(std::move(q)); });
     dispatcher.on<Follow>([this](Follow q) { return follow(q); });
-    dispatcher.on<Beat>([this](Beat q) { return beaten(std::move(q)); });
-    spawn(env_, keep_meeting());
-    spawn(env_, keep_joined());
-    spawn(env_, keep_fresh());
-    spawn(env_, keep_beating());
+    dispatcher.on<Beat>([this](Beat q) { return on_heartbeat(std::move(q)); });
+    spawn(env_, meet_loop());
+    spawn(env_, join_loop());
+    spawn(env_, refresh_loop());
+    spawn(env_, heartbeat_loop());
   }
 
   ZoneView const& view() const { return view_; }
   std::vector<RegistryEntry> const& directory() const { return directory_.entries(); }
   /// Registries that were heard of lately.
   std::vector<Address> live_registries() const { return directory_.live(env_.now()); }
-  Address own_registry() const { return directory_.registry_of(s_.zone, env_.now()); }
+  Address own_registry() const { return directory_.registry_of(settings_.zone, env_.now()); }
   /// How many registries there are, as they say themselves.
   std::uint32_t cores() const { return cores_; }
   Held const& held(Register const r) const { return values_.of(r); }
   /// There was a reading that a majority vouched for.
   bool fresh() const { return fresh_; }
   /// There was a view of the zone.
-  bool viewed() const { return viewed_; }
-  Position at() const { return at_; }
+  bool has_view() const { return has_view_; }
+  Position at() const { return position_; }
   std::uint64_t incarnation() const { return incarnation_; }
   /// How long ago any registry or member was last heard.
   Duration since_contact() const { return env_.now() - last_contact_; }
 
   /// Takes up a chosen value that the owner has from elsewhere.
-  void take(Register const r, Held const& held) { take_values({{r, held}}); }
+  void take(Register const r, Held const& held) { accept_values({{r, held}}); }
   /// Asks registries for a table of keys of at least this revision, which was chosen
   /// a moment ago: the own one, again for a while as it may be about to learn of it,
   /// then another. True if the table is here then, also by news.
-  Task<bool> fetch_keys(Revision const wanted) {
-    Instant const own_until = env_.now() + own_keys_patience;
+  Task<bool> fetch_key_table(Revision const wanted) {
+    Instant const own_until = env_.now() + own_registry_keys_timeout;
     while (env_.now() < own_until && keys().revision < wanted && !own_registry().empty()) {
-      co_await ask_for_keys(own_registry(), own_until);
-      if (keys().revision < wanted) co_await sleep_for(env_, ask_keys_again);
+      co_await request_key_table_from(own_registry(), own_until);
+      if (keys().revision < wanted) co_await sleep_for(env_, keys_retry_pause);
     }
-    std::vector<Address> const others = live_others(own_registry());
+    std::vector<Address> const others = other_live_registries(own_registry());
     if (keys().revision < wanted && !others.empty())
-      co_await ask_for_keys(others[env_.chance()() % others.size()], env_.now() + other_keys_patience);
+      co_await request_key_table_from(others[env_.chance()() % others.size()],
+                                      env_.now() + other_registry_keys_timeout);
     co_return keys().revision >= wanted;
   }
 
@@ -110,14 +111,14 @@
   }
 
   /// The registry is to be told anew what this node has.
-  void touch() {
-    dirty_ = true;
+  void rejoin() {
+    join_due_ = true;
     join_alarm_.wake();
   }
   /// From now on the node is leaving.
   void leave() {
     leaving_ = true;
-    touch();
+    rejoin();
   }
   /// The registry knows that this node is leaving.
   bool left() const { return left_; }
@@ -139,7 +140,7 @@
   // ---- the registries
 
   Task<MeetReply> meet(Meet q) {
-    directory_.learn_names(q.registries, env_.now());
+    directory_.learn_addresses(q.registries, env_.now());
     status_changed();
     MeetReply reply;
     reply.registries = directory_.told(env_.now());
@@ -149,8 +150,8 @@
 
   Task<void> meet_one(Address const peer) {
     Instant const asked = env_.now();
-    Meet const question{directory_.told(asked)};
-    Result<MeetReply> const r = co_await ask(env_, peer, question, asked + meet_patience);
+    Meet const request{directory_.told(asked)};
+    Result<MeetReply> const r = co_await ask(env_, peer, request, asked + meet_timeout);
     if (!r) co_return;
     heard(peer);
     directory_.learn_answer(r->registries, asked, env_.now());
@@ -160,7 +161,7 @@
 
   // The seeds, and one other, should all seeds be gone.
   std::vector<Address> peers_to_meet() {
-    std::vector<Address> peers = s_.seeds;
+    std::vector<Address> peers = settings_.seeds;
     std::vector<RegistryEntry> const& known = directory_.entries();
     if (known.empty()) return peers;
     Address const& other = known[env_.chance()() % known.size()].address;
@@ -168,74 +169,74 @@
     return peers;
   }
 
-  Task<void> keep_meeting() {
+  Task<void> meet_loop() {
     while (true) {
       std::vector<Address> const peers = peers_to_meet();
       for (Address const& peer : peers) spawn(env_, meet_one(peer));
       directory_.forget_silent(env_.now());
-      bool const young = env_.now() - started_ < meet_often_for;
-      bool const settled = !young && !own_registry().empty() && directory_.entries().size() >= 2;
-      co_await sleep_for(env_, settled ? t_.node_meet_every : Duration(200ms));
+      bool const starting = env_.now() - started_ < frequent_meet_period;
+      bool const settled = !starting && !own_registry().empty() && directory_.entries().size() >= 2;
+      co_await sleep_for(env_, settled ? timing_.node_meet_every : Duration(200ms));
     }
   }
 
   Join join_question() {
     Join q;
-    q.self = Member{s_.id,        s_.zone,
-                    s_.address,   s_.gateway ? Role::gateway : Role::node,
-                    incarnation_, leaving_ ? Standing::leaving : Standing::fit};
+    q.self = Member{settings_.id,      settings_.zone,
+                    settings_.address, settings_.gateway ? Role::gateway : Role::node,
+                    incarnation_,      leaving_ ? Standing::leaving : Standing::fit};
     if (events_.backends) q.backends = events_.backends();
     return q;
   }
 
-  Task<void> keep_joined() {
+  Task<void> join_loop() {
     Instant last{};
     while (true) {
-      bool const due = dirty_ || env_.now() - last >= t_.join_every;
-      if (!due) co_await join_alarm_.wait(std::min(env_.now() + 250ms, last + t_.join_every));
-      if (!dirty_ && env_.now() - last < t_.join_every) continue;
+      bool const due = join_due_ || env_.now() - last >= timing_.join_every;
+      if (!due) co_await join_alarm_.wait(std::min(env_.now() + 250ms, last + timing_.join_every));
+      if (!join_due_ && env_.now() - last < timing_.join_every) continue;
       Address const registry = own_registry();
       if (registry.empty()) {
         co_await sleep_for(env_, 100ms);
         continue;
       }
-      dirty_ = false;
+      join_due_ = false;
       last = env_.now();
       Join const q = join_question();
       Result<JoinReply> const r = co_await ask(env_, registry, q, env_.now() + 800ms);
-      if (r) take_join_reply(q, *r, registry);
+      if (r) handle_join_reply(q, *r, registry);
       bool const refutes = r && r->incarnation > q.self.incarnation;
       bool const not_yet = r && !r->taken && !refutes;
-      if (not_yet) dirty_ = true;
+      if (not_yet) join_due_ = true;
       co_await sleep_for(env_, r && !not_yet ? Duration(10ms) : Duration(150ms));
     }
   }
 
-  void take_join_reply(Join const& q, JoinReply const& r, Address const& registry) {
+  void handle_join_reply(Join const& q, JoinReply const& r, Address const& registry) {
     heard(registry);
     if (r.taken && q.self.standing == Standing::leaving) left_ = true;
     if (!r.taken && r.incarnation > incarnation_) {
       incarnation_ = r.incarnation;
-      dirty_ = true;
+      join_due_ = true;
     }
     if (r.taken || r.registry.empty() || directory_.alive(r.registry, env_.now())) return;
     directory_.heard(RegistryEntry{r.registry_zone, r.registry}, env_.now());
     status_changed();
-    if (own_registry() != registry) dirty_ = true;
+    if (own_registry() != registry) join_due_ = true;
   }
 
   // ---- values of the registers
 
-  void take_values(std::vector<std::pair<Register, Held>> newer) {
+  void accept_values(std::vector<std::pair<Register, Held>> newer) {
     if (broken_on_purpose("old_catalogue") && held(Register::catalogue).revision > 0)
       std::erase_if(newer, [](auto const& value) { return value.first == Register::catalogue; });
-    tell_taken(values_.take(newer));
+    notify_accepted(values_.take(newer));
   }
-  void take_deltas(std::vector<KeyDelta> const& of_keys, std::vector<TextDelta> const& of_routing) {
-    tell_taken(values_.take_key_deltas(of_keys));
-    tell_taken(values_.take_routing_deltas(of_routing));
+  void accept_deltas(std::vector<KeyDelta> const& of_keys, std::vector<TextDelta> const& of_routing) {
+    notify_accepted(values_.accept_key_deltas(of_keys));
+    notify_accepted(values_.accept_routing_deltas(of_routing));
   }
-  void tell_taken(std::vector<Register> const& taken) {
+  void notify_accepted(std::vector<Register> const& taken) {
     if (!events_.value) return;
     for (Register const r : taken) events_.value(r, held(r));
   }
@@ -248,11 +249,11 @@
     last_contact_ = env_.now();
     bool const current = is_current(q);
     if (current) pass_on(q);
-    take_values(std::move(q.layouts));
-    take_deltas(q.key_deltas, q.routing_deltas);
+    accept_values(std::move(q.layouts));
+    accept_deltas(q.key_deltas, q.routing_deltas);
     if (!current) co_return Told{};
-    fold(q.at, q.changes);
-    if (!q.vouched || !(q.at == at_) || values_.lack(q.revisions)) behind();
+    apply_changes(q.at, q.changes);
+    if (!q.vouched || !(q.at == position_) || values_.is_behind(q.revisions)) mark_behind();
     co_return Told{};
   }
 
@@ -261,81 +262,81 @@
   bool is_current(News const& q) {
     Address const own = own_registry();
     if (!own.empty() && q.root != own) return false;
-    directory_.heard(q.root, env_.now() - news_may_be_late);
+    directory_.heard(q.root, env_.now() - max_update_delay);
     if (q.at.epoch == pulse_epoch_ && q.pulse <= pulse_) return false;
     pulse_epoch_ = q.at.epoch;
     pulse_ = q.pulse;
-    if (q.vouched) vouched_ = env_.now();
+    if (q.vouched) confirmed_at_ = env_.now();
     return true;
   }
 
   void pass_on(News const& q) {
-    places_.follow(view_);
-    std::vector<std::string> const below = places_.relays();
+    neighbours_.follow(view_);
+    std::vector<std::string> const below = neighbours_.relays();
     if (below.empty()) return;
     SharedBytes const raw = pack_shared(q);
     for (std::string const& id : below) env_.tell_raw(view_.members.at(id).address, News::kind, raw);
   }
 
-  void fold(Position const at, std::vector<Change> const& changes) {
-    if (at.epoch != at_.epoch) return;
+  void apply_changes(Position const at, std::vector<Change> const& changes) {
+    if (at.epoch != position_.epoch) return;
     bool changed = false;
     for (Change const& c : changes) {
-      if (c.seq != at_.seq + 1) continue;
-      at_.seq = c.seq;
-      view_.fold(c);
+      if (c.seq != position_.seq + 1) continue;
+      position_.seq = c.seq;
+      view_.apply_changes(c);
       changed = true;
     }
-    check_own();
+    check_own_entry();
     if (changed) view_changed();
   }
 
   // If the zone's view has us wrong, say so.
-  void check_own() {
-    auto const me = view_.members.find(s_.id);
-    if (me == view_.members.end() || me->second.standing != (leaving_ ? Standing::leaving : Standing::fit)) touch();
+  void check_own_entry() {
+    auto const me = view_.members.find(settings_.id);
+    if (me == view_.members.end() || me->second.standing != (leaving_ ? Standing::leaving : Standing::fit)) rejoin();
   }
 
-  void behind() {
+  void mark_behind() {
     is_behind_ = true;
-    fresh_alarm_.wake();
+    refresh_alarm_.wake();
   }
 
-  enum class Followed : std::uint8_t { no_answer, not_kept_there, followed };
+  enum class FollowOutcome : std::uint8_t { no_answer, not_kept_there, followed };
 
-  Task<Followed> catch_up_view(Address const from) {
-    if (from.empty()) co_return Followed::no_answer;
-    Follow const question{at_, s_.zone};
-    Result<FollowReply> const r = co_await ask(env_, from, question, env_.now() + 250ms);
-    if (!r) co_return Followed::no_answer;
+  Task<FollowOutcome> catch_up_view(Address const from) {
+    if (from.empty()) co_return FollowOutcome::no_answer;
+    Follow const request{position_, settings_.zone};
+    Result<FollowReply> const r = co_await ask(env_, from, request, env_.now() + 250ms);
+    if (!r) co_return FollowOutcome::no_answer;
     heard(from);
-    if (!r->known) co_return Followed::not_kept_there;
+    if (!r->known) co_return FollowOutcome::not_kept_there;
     if (r->snapshot) {
       view_.replace(*r->snapshot);
-      at_ = r->snapshot->at;
-      heard_.clear();  // members that had lost sight of this node owe it no beats from before
-      check_own();
+      position_ = r->snapshot->at;
+      last_heard_.clear();  // members that had lost sight of this node owe it no beats from before
+      check_own_entry();
       view_changed();
     } else {
-      fold(r->at, r->changes);
+      apply_changes(r->at, r->changes);
     }
-    if (!viewed_) {
-      viewed_ = true;
+    if (!has_view_) {
+      has_view_ = true;
       status_changed();
     }
-    co_return Followed::followed;
+    co_return FollowOutcome::followed;
   }
 
-  Duration values_patience() const { return fresh_ ? Duration(400ms) : Duration(1000ms); }
+  Duration values_timeout() const { return fresh_ ? Duration(400ms) : Duration(1000ms); }
 
   // The newest values that a quorum vouches for: from the registry named, if it answers and vouches for its own, else
   // from others. False if nobody vouched.
   Task<bool> catch_up_values(Address const first) {
-    if (!first.empty() && co_await ask_for_values(first, env_.now() + values_patience())) co_return true;
+    if (!first.empty() && co_await ask_for_values(first, env_.now() + values_timeout())) co_return true;
     if (broken_on_purpose("own_registry_only")) co_return false;
-    std::vector<Address> others = live_others(first);
+    std::vector<Address> others = other_live_registries(first);
     std::shuffle(others.begin(), others.end(), env_.chance());
-    std::size_t const few = std::min(asked_at_first, others.size());
+    std::size_t const few = std::min(first_registries_asked, others.size());
     std::vector<Address> const rest(others.begin() + static_cast<std::ptrdiff_t>(few), others.end());
     others.resize(few);
     if (co_await catch_up_from_one_of(others)) co_return true;
@@ -346,55 +347,54 @@
   // are newer: whole values of many registries would fill the links.
   Task<bool> catch_up_from_one_of(std::vector<Address> const from) {
     if (from.empty()) co_return false;
-    LayoutsAsk question = values_.question();
-    question.fresh = !fresh_;
-    question.revisions_only = true;
+    LayoutsAsk request = values_.request();
+    request.fresh = !fresh_;
+    request.revisions_only = true;
     Instant const asked = env_.now();
-    auto const vouches = [](auto const& reply) { return reply.second && reply.second->known; };
-    auto const one_vouches = [vouches](auto const& replies) { return vouches(replies.back()); };
-    auto const replies = co_await ask_all<LayoutsAsk>(env_, from, question, asked + values_patience(), one_vouches);
+    auto const confirms = [](auto const& reply) { return reply.second && reply.second->known; };
+    auto const one_confirms = [confirms](auto const& replies) { return confirms(replies.back()); };
+    auto const replies = co_await ask_all<LayoutsAsk>(env_, from, request, asked + values_timeout(), one_confirms);
     for (auto const& [i, r] : replies)
       if (r) heard(from[i]);
-    auto const vouching = std::find_if(replies.begin(), replies.end(), vouches);
-    if (vouching == replies.end()) co_return false;
-    LayoutsReply const& told = *vouching->second;
-    if (!values_.lack(told.revisions)) {
-      take_vouched_reply(told, asked);
+    auto const confirming = std::find_if(replies.begin(), replies.end(), confirms);
+    if (confirming == replies.end()) co_return false;
+    LayoutsReply const& told = *confirming->second;
+    if (!values_.is_behind(told.revisions)) {
+      accept_confirmed_reply(told, asked);
       co_return true;
     }
-    Address const newest = from[vouching->first];
-    co_return co_await ask_for_values(newest, env_.now() + values_patience());
+    Address const newest = from[confirming->first];
+    co_return co_await ask_for_values(newest, env_.now() + values_timeout());
   }
 
   // Takes whatever newer values that registry has. Whether it vouches for them.
   Task<bool> ask_for_values(Address const from, Instant const deadline) {
-    LayoutsAsk question = values_.question();
-    question.fresh = !fresh_;
+    LayoutsAsk request = values_.request();
+    request.fresh = !fresh_;
     Instant const asked = env_.now();
-    std::optional<LayoutsReply> const reply = co_await ask_registry(from, question, deadline);
-    if (reply && reply->known) take_vouched_reply(*reply, asked);
+    std::optional<LayoutsReply> const reply = co_await ask_registry(from, request, deadline);
+    if (reply && reply->known) accept_confirmed_reply(*reply, asked);
     co_return reply && reply->known;
   }
 
-  Task<void> ask_for_keys(Address const from, Instant const deadline) {
-    LayoutsAsk const question = values_.question_for(Register::keys);
-    co_await ask_registry(from, question, deadline);
+  Task<void> request_key_table_from(Address const from, Instant const deadline) {
+    LayoutsAsk const request = values_.request_for(Register::keys);
+    co_await ask_registry(from, request, deadline);
   }
 
   // What one registry has is chosen even if it can't vouch that it's the newest.
-  Task<std::optional<LayoutsReply>> ask_registry(Address const from, LayoutsAsk const question,
-                                                 Instant const deadline) {
-    Result<LayoutsReply> const r = co_await ask(env_, from, question, deadline);
+  Task<std::optional<LayoutsReply>> ask_registry(Address const from, LayoutsAsk const request, Instant const deadline) {
+    Result<LayoutsReply> const r = co_await ask(env_, from, request, deadline);
     if (!r) co_return std::nullopt;
     heard(from);
-    take_values(r->newer);
-    take_deltas(r->key_deltas, r->routing_deltas);
+    accept_values(r->newer);
+    accept_deltas(r->key_deltas, r->routing_deltas);
     co_return *r;
   }
 
   // The reply was made after the question was sent, and its reading was begun at most its age before that.
-  void take_vouched_reply(LayoutsReply const& reply, Instant const asked) {
-    vouched_ = env_.now();
+  void accept_confirmed_reply(LayoutsReply const& reply, Instant const asked) {
+    confirmed_at_ = env_.now();
     bool const here = held(Register::routing).revision >= reply.revisions[static_cast<std::size_t>(Register::routing)];
     if (here && events_.routing_confirmed)
       events_.routing_confirmed(asked - std::chrono::milliseconds(reply.reading_age_ms));
@@ -404,7 +404,7 @@
   }
 
   // Registries of any zone that were heard lately, or all that are known if none was.
-  std::vector<Address> live_others(Address const& but) const {
+  std::vector<Address> other_live_registries(Address const& but) const {
     std::vector<Address> all = directory_.live(env_.now());
     if (all.empty())
       for (RegistryEntry const& e : directory_.entries()) all.push_back(e.address);
@@ -415,20 +415,20 @@
   // Behind or without a pulse that is vouched for, a node asks its registry. While that is gone, or
   // has no majority to vouch for its values, it asks another zone's for
   // them too: the one way in which zones lean on each other's control planes.
-  Task<void> keep_fresh() {
+  Task<void> refresh_loop() {
     while (true) {
-      if (!is_behind_) co_await fresh_alarm_.wait(env_.now() + t_.pulse_every);
-      bool const unvouched = env_.now() - vouched_ > t_.pulse_missed;
-      if (!is_behind_ && !unvouched && fresh_ && viewed_) continue;
+      if (!is_behind_) co_await refresh_alarm_.wait(env_.now() + timing_.pulse_every);
+      bool const unconfirmed = env_.now() - confirmed_at_ > timing_.pulse_missed;
+      if (!is_behind_ && !unconfirmed && fresh_ && has_view_) continue;
       is_behind_ = false;
       Address const own = own_registry();
-      Followed const view = co_await catch_up_view(own);
-      Address const first = view == Followed::no_answer ? Address() : own;
+      FollowOutcome const view = co_await catch_up_view(own);
+      Address const first = view == FollowOutcome::no_answer ? Address() : own;
       bool const values = co_await catch_up_values(first);
-      bool const followed = view == Followed::followed;
-      std::vector<Address> const others = live_others(own);
-      if (!followed && !viewed_ && !others.empty() && env_.now() - started_ > 3s)
-        co_await borrow_view(others[env_.chance()() % others.size()]);
+      bool const followed = view == FollowOutcome::followed;
+      std::vector<Address> const others = other_live_registries(own);
+      if (!followed && !has_view_ && !others.empty() && env_.now() - started_ > 3s)
+        co_await fetch_foreign_view(others[env_.chance()() % others.size()]);
       if (values) ask_pause_ = shortest_ask_pause;
       co_await sleep_for(env_, followed && values ? Duration(20ms) : jittered(ask_pause_));
       if (!values) ask_pause_ = std::min(2 * ask_pause_, longest_ask_pause);
@@ -437,115 +437,117 @@
 
   // A node that starts while its registry is gone knows no zone mates; it can
   // still cross by what another zone's registry knows.
-  Task<void> borrow_view(Address const from) {
-    Follow const question{};
-    Result<FollowReply> const r = co_await ask(env_, from, question, env_.now() + 400ms);
-    if (!r || !r->known || !r->snapshot || viewed_) co_return;
+  Task<void> fetch_foreign_view(Address const from) {
+    Follow const request{};
+    Result<FollowReply> const r = co_await ask(env_, from, request, env_.now() + 400ms);
+    if (!r || !r->known || !r->snapshot || has_view_) co_return;
     for (CellEntry const& c : r->snapshot->cells)
-      if (c.cell != s_.zone) view_.cells[c.cell] = c;
-    viewed_ = true;
+      if (c.cell != settings_.zone) view_.cells[c.cell] = c;
+    has_view_ = true;
     view_changed();
     status_changed();
   }
 
   Task<FollowReply> follow(Follow) {
     FollowReply reply;
-    reply.known = viewed_ && at_.epoch != 0;
-    if (reply.known) reply.snapshot = view_.snapshot(at_);
-    reply.at = at_;
+    reply.known = has_view_ && position_.epoch != 0;
+    if (reply.known) reply.snapshot = view_.snapshot(position_);
+    reply.at = position_;
     co_return reply;
   }
 
   // ---- beats
 
-  Task<Told> beaten(Beat q) {
+  Task<Told> on_heartbeat(Beat q) {
     last_contact_ = env_.now();
-    heard_[q.id] = env_.now();
-    if (is_ahead(q.at, q.revisions) && !checking_) {
-      checking_ = true;
-      spawn(env_, ask_if_still_behind(q.at, q.revisions));
+    last_heard_[q.id] = env_.now();
+    if (is_ahead(q.at, q.revisions) && !recheck_pending_) {
+      recheck_pending_ = true;
+      spawn(env_, recheck_behind(q.at, q.revisions));
     }
     co_return Told{};
   }
 
   bool is_ahead(Position const at, Revisions const& revisions) const {
-    return (at.epoch == at_.epoch && at.seq > at_.seq) || values_.lack(revisions);
+    return (at.epoch == position_.epoch && at.seq > position_.seq) || values_.is_behind(revisions);
   }
 
   // The news that the sender has already may be on their way here.
-  Task<void> ask_if_still_behind(Position const at, Revisions const revisions) {
-    co_await sleep_for(env_, news_are_on_their_way);
-    checking_ = false;
-    if (is_ahead(at, revisions)) behind();
+  Task<void> recheck_behind(Position const at, Revisions const revisions) {
+    co_await sleep_for(env_, in_transit_allowance);
+    recheck_pending_ = false;
+    if (is_ahead(at, revisions)) mark_behind();
   }
 
-  Task<void> keep_beating() {
+  Task<void> heartbeat_loop() {
     Instant last = env_.now();
     while (true) {
-      co_await sleep_for(env_, t_.beat_every);
+      co_await sleep_for(env_, timing_.beat_every);
       Instant const now = env_.now();
-      bool const overslept = now - last > 4 * t_.beat_every;  // we were frozen: nobody else was silent
+      bool const was_suspended = now - last > 4 * timing_.beat_every;  // we were frozen: nobody else was silent
       last = now;
-      places_.follow(view_);
-      tell_watchers();
-      look_at_watched(overslept);
+      neighbours_.follow(view_);
+      send_heartbeats();
+      check_watched(was_suspended);
     }
   }
 
-  void tell_watchers() {
-    if (places_.watchers().empty()) return;
-    SharedBytes const raw = pack_shared(Beat{s_.id, s_.address, incarnation_, at_, s_.zone, values_.revisions()});
-    for (std::string const& id : places_.watchers()) env_.tell_raw(view_.members.at(id).address, Beat::kind, raw);
+  void send_heartbeats() {
+    if (neighbours_.watchers().empty()) return;
+    SharedBytes const raw = pack_shared(
+        Beat{settings_.id, settings_.address, incarnation_, position_, settings_.zone, values_.revisions()});
+    for (std::string const& id : neighbours_.watchers()) env_.tell_raw(view_.members.at(id).address, Beat::kind, raw);
   }
 
-  void look_at_watched(bool const overslept) {
+  void check_watched(bool const was_suspended) {
     Instant const now = env_.now();
     Address const registry = own_registry();
-    std::erase_if(heard_, [&](auto const& h) { return !places_.watched().contains(h.first); });
-    for (std::string const& id : places_.watched()) {
+    std::erase_if(last_heard_, [&](auto const& h) { return !neighbours_.watched().contains(h.first); });
+    for (std::string const& id : neighbours_.watched()) {
       Member const& m = view_.members.at(id);
-      Instant& at = heard_.try_emplace(id, now).first->second;
-      if (overslept) at = now;
-      if (now - at > t_.suspect_after && m.standing == Standing::fit && m.role != Role::registry && !registry.empty())
-        tell(env_, registry, Suspect{id, m.incarnation, s_.id, s_.zone});
+      Instant& at = last_heard_.try_emplace(id, now).first->second;
+      if (was_suspended) at = now;
+      if (now - at > timing_.suspect_after && m.standing == Standing::fit && m.role != Role::registry &&
+          !registry.empty())
+        tell(env_, registry, Suspect{id, m.incarnation, settings_.id, settings_.zone});
     }
   }
 
   // Nodes that fail together don't ask again together.
   Duration jittered(Duration const pause) { return pause * 3 / 4 + Duration(env_.chance()() % (pause.count() / 2)); }
 
-  static constexpr Duration meet_patience = 500ms;
+  static constexpr Duration meet_timeout = 500ms;
   static constexpr Duration shortest_ask_pause = 150ms;
   static constexpr Duration longest_ask_pause = 600ms;
-  static constexpr Duration own_keys_patience = 150ms;
-  static constexpr Duration other_keys_patience = 300ms;
-  static constexpr Duration ask_keys_again = 25ms;
-  static constexpr Duration news_are_on_their_way = 60ms;
-  static constexpr std::size_t asked_at_first = 3;  // registries, when the own one doesn't vouch
-  static constexpr Duration meet_often_for = 3s;    // from the start, until all registries had time to be heard of
+  static constexpr Duration own_registry_keys_timeout = 150ms;
+  static constexpr Duration other_registry_keys_timeout = 300ms;
+  static constexpr Duration keys_retry_pause = 25ms;
+  static constexpr Duration in_transit_allowance = 60ms;
+  static constexpr std::size_t first_registries_asked = 3;  // registries, when the own one doesn't vouch
+  static constexpr Duration frequent_meet_period = 3s;  // from the start, until all registries had time to be heard of
   // Frames between processes are given up long before they are this old.
-  static constexpr Duration news_may_be_late = 3s;
+  static constexpr Duration max_update_delay = 3s;
 
   Env& env_;
-  FollowerSettings const s_;
-  FeedTiming const& t_;
+  FollowerSettings const settings_;
+  FeedTiming const& timing_;
   FollowerEvents events_;
   RegistryDirectory directory_;
-  RingPlaces places_;
+  RingNeighbours neighbours_;
   typename Env::Alarm join_alarm_;
-  typename Env::Alarm fresh_alarm_;
+  typename Env::Alarm refresh_alarm_;
   Instant const started_;
   Instant last_contact_;
   ZoneView view_;
   HeldValues values_;
-  Position at_;
-  std::map<std::string, Instant> heard_;
+  Position position_;
+  std::map<std::string, Instant> last_heard_;
   Duration ask_pause_ = shortest_ask_pause;  // doubles while nobody vouches for values
   std::uint32_t cores_ = 0;
   std::uint64_t incarnation_ = 1, pulse_ = 0, pulse_epoch_ = 0;
-  Instant vouched_{};
-  bool fresh_ = false, viewed_ = false, leaving_ = false, left_ = false, dirty_ = true, is_behind_ = false;
-  bool checking_ = false;  // whether this node is behind one that it heard a beat of
+  Instant confirmed_at_{};
+  bool fresh_ = false, has_view_ = false, leaving_ = false, left_ = false, join_due_ = true, is_behind_ = false;
+  bool recheck_pending_ = false;  // whether this node is behind one that it heard a beat of
 };
 
 }  // namespace banktide
--- a/source/programs/backend_main.cpp
+++ b/source/programs/backend_main.cpp
@@ -30,10 +30,10 @@
   s.text("record", "", "file for the record of runs");
   s.number("work-ms", 5, 0, 60000, "how long a run takes");
   s.number("beat-ms", 500, 10, 60000, "time between beats");
-  s.need_name("service");
-  s.need_name("instance");
-  s.need_address("address");
-  s.need_address("node");
+  s.require_name("service");
+  s.require_name("instance");
+  s.require_address("address");
+  s.require_address("node");
   if (std::optional<int> const code = s.read(argc, argv)) return *code;
   start_logging(s.text("log-level"), "banktide-backend", s.text("instance"));
   int const record =
@@ -96,12 +96,12 @@
       co_await sleep_for(world, leaving && told == Instant{} ? 20ms : every);
     }
   };
-  process.on_thread([&]() {
+  process.run_on_thread([&]() {
     spawn(world, keep_beating());
     return true;
   });
   log_info("started", {{"address", s.text("address")}});
-  process.until_told_to_go([&] { leaving = true; },
-                           [&] { return told != Instant{} && world.now() - told > 2s && running == 0; }, [] {}, 6s);
+  process.run_until_shutdown([&] { leaving = true; },
+                             [&] { return told != Instant{} && world.now() - told > 2s && running == 0; }, [] {}, 6s);
   std::_Exit(0);
 }
--- a/source/programs/caller_main.cpp
+++ b/source/programs/caller_main.cpp
@@ -23,7 +23,7 @@
   s.text("record", "", "file for the record of answers");
   s.number("seconds", 10, 1, 86400, "how long to call");
   s.number("seed", 1, 0, UINT64_MAX, "seed of keys and nodes");
-  s.need_addresses("node", 1);
+  s.require_addresses("node", 1);
   if (std::optional<int> const code = s.read(argc, argv)) return *code;
   start_logging(s.text("log-level"), "banktide-caller", "caller");
   std::vector<Line> lines;
@@ -95,14 +95,14 @@
     }
     ended = true;
   };
-  process.on_thread([&]() {
+  process.run_on_thread([&]() {
     for (Line const& line : lines) spawn(world, keep_calling(line));
     return true;
   });
   bool over = false;
   while (!over) {
     std::this_thread::sleep_for(50ms);
-    over = process.on_thread([&]() { return ended && world.now() > end && open == 0; });
+    over = process.run_on_thread([&]() { return ended && world.now() > end && open == 0; });
   }
   record.flush();
   std::_Exit(record.good() ? 0 : 1);
--- a/source/programs/control_status.hpp
+++ b/source/programs/control_status.hpp
@@ -35,15 +35,15 @@
   }
 
  private:
-  static constexpr Duration voter_patience = 400ms;
+  static constexpr Duration voter_timeout = 400ms;
 
   Task<Json> collect() {
     RegisterClient<Env>& registers = registry_.registers();
-    co_await registers.discover(env_.now() + voter_patience, true);
+    co_await registers.discover(env_.now() + voter_timeout, true);
     VoterSet const set = registers.set();
     std::vector<Address> const voters = addresses_of(set);
     VotersAsk const question{};
-    auto const replies = co_await ask_all<VotersAsk>(env_, voters, question, env_.now() + voter_patience,
+    auto const replies = co_await ask_all<VotersAsk>(env_, voters, question, env_.now() + voter_timeout,
                                                      [](auto const&) { return false; });
     std::vector<std::string> conditions(voters.size(), "silent");
     std::size_t voting = 0;
@@ -53,10 +53,10 @@
       conditions[at] = votes ? "votes" : "doesn't vote";
       voting += votes;
     }
-    co_return described(set, conditions, voting);
+    co_return to_json(set, conditions, voting);
   }
 
-  Json described(VoterSet const& set, std::vector<std::string> const& conditions, std::size_t const voting) const {
+  Json to_json(VoterSet const& set, std::vector<std::string> const& conditions, std::size_t const voting) const {
     VoterSetHealth const health = health_of(set, voting);
     Json status = {{"registry", registry_.settings().id},
                    {"epoch", health.epoch},
@@ -64,7 +64,7 @@
                    {"voting", health.voting},
                    {"losses_to_bear", health.tolerable_losses},
                    {"losses_wanted", set.losses},
-                   {"vouched", registry_.vouched()},
+                   {"vouched", registry_.has_quorum_reading()},
                    {"configuration", registry_.held(Register::routing).revision},
                    {"key_table", registry_.held(Register::keys).revision},
                    {"voters", Json::array()}};
--- a/source/programs/fleet_main.cpp
+++ b/source/programs/fleet_main.cpp
@@ -103,7 +103,7 @@
                          std::string const& body = "", std::vector<Header> headers = {}) {
     std::promise<Result<HttpReply>> p;
     HttpRequest q{method, target, std::move(headers), body};
-    process_.on_thread([&]() {
+    process_.run_on_thread([&]() {
       asio::co_spawn(world_.executor(), caller_.run_at(peer, q, world_.now() + 8s),
                      [&](std::exception_ptr e, Result<HttpReply> r) {
                        p.set_value(e ? Result<HttpReply>(make_error("http", peer, "exception")) : std::move(r));
--- a/source/programs/hollow_fleet_control.cpp
+++ b/source/programs/hollow_fleet_control.cpp
@@ -74,7 +74,7 @@
   }
 
   Task<void> write(HttpRequest question, Written done) {
-    HttpReply const reply = co_await mesh.interface_call(std::move(question));
+    HttpReply const reply = co_await mesh.handle_interface_request(std::move(question));
     done(reply.status == 200);
   }
 
@@ -114,7 +114,7 @@
 }
 
 bool HollowControl::alive() const { return life_ != nullptr; }
-bool HollowControl::vouched() const { return life_ && life_->registry.vouched(); }
+bool HollowControl::has_quorum_reading() const { return life_ && life_->registry.has_quorum_reading(); }
 std::size_t HollowControl::voters() const { return life_ ? life_->acceptor.set().voters.size() : 0; }
 
 void HollowControl::write_configuration(HollowConfiguration const& configuration, Written done) {
--- a/source/programs/hollow_fleet_control.hpp
+++ b/source/programs/hollow_fleet_control.hpp
@@ -28,7 +28,7 @@
   void kill();
   bool alive() const;
   /// Whether its registry has a recent reading of a majority.
-  bool vouched() const;
+  bool has_quorum_reading() const;
   /// How many voters the register has, as this store knows.
   std::size_t voters() const;
 
--- a/source/programs/hollow_fleet_node.cpp
+++ b/source/programs/hollow_fleet_node.cpp
@@ -49,7 +49,7 @@
     while (true) {
       Instant const begun = process->now();
       HttpRequest question = node.interface_.request(HeartbeatOperation{next_beat()});
-      HttpReply const reply = co_await mesh.interface_call(std::move(question));
+      HttpReply const reply = co_await mesh.handle_interface_request(std::move(question));
       take(HollowInterface::grant_of(reply));
       co_await sleep_for(*process, std::max(beat_period - (process->now() - begun), shortest_pause));
     }
--- a/source/programs/hollow_fleet_objects.cpp
+++ b/source/programs/hollow_fleet_objects.cpp
@@ -209,11 +209,11 @@
   });
   Result<Address> const address = server.listen("127.0.0.1:0");
   if (!address) return;
-  process.on_thread([&] { return (server.serve(dispatcher), true); });
+  process.run_on_thread([&] { return (server.serve(dispatcher), true); });
   for (std::size_t const size : {16, 64, 256, 1024, 4096, 16384}) {
     std::promise<std::size_t> done;
     double const begun = processor_us();
-    process.on_thread([&] { return (spawn(client, ask_echo(client, *address, size, questions, done)), true); });
+    process.run_on_thread([&] { return (spawn(client, ask_echo(client, *address, size, questions, done)), true); });
     std::size_t const answered = done.get_future().get();
     double const each = (processor_us() - begun) / static_cast<double>(2 * questions);
     out << "message_over_sockets," << size << "," << answered << "," << each << "\n";
--- a/source/programs/maintenance_interface.hpp
+++ b/source/programs/maintenance_interface.hpp
@@ -64,7 +64,7 @@
 bool is_clear(MaintenanceWindow const& window, ZoneRemains const& remains, Duration quiet_for);
 Json window_json(MaintenanceWindow const& window, ZoneRemains const& remains, bool clear);
 
-/** Of `Registry` are used: held, registers, directory, vouched, zone_names and zone_entries. */
+/** Of `Registry` are used: held, registers, directory, has_quorum_reading, zone_names and zone_entries. */
 template <Environment Env, class Registry, class Keeper>
 class MaintenanceInterface {
  public:
@@ -162,7 +162,7 @@
   }
 
   HttpReply list() const {
-    if (!registry_.vouched())
+    if (!registry_.has_quorum_reading())
       return maintenance_error(503, "not_current", "no majority of the stores has answered lately");
     Json windows = Json::array();
     for (MaintenanceWindow const& w : keeper_.plan().windows) windows.push_back(described(w));
--- a/source/programs/mesh_node.hpp
+++ b/source/programs/mesh_node.hpp
@@ -23,7 +23,7 @@
   TimingBounds bounds;
   KeySettings keys;
   /** The longest time between the signal to shut down and the exit of the process. */
-  Duration leave_patience = 5400ms;
+  Duration shutdown_timeout = 5400ms;
 };
 
 template <Environment Env>
@@ -31,13 +31,13 @@
  public:
   MeshNode(Env& env, MeshNodeSettings settings, InterfaceAdapter const& adapter, ConnectionsFactory factory)
       : env_(env),
-        s_(std::move(settings)),
+        settings_(std::move(settings)),
         adapter_(adapter),
-        registers_(env, StoreSeeds{stores_beside(s_.follower.seeds, s_.store_port)}),
+        registers_(env, StoreSeeds{colocated_stores(settings_.follower.seeds, settings_.store_port)}),
         local_(env, local_settings(), adapter.headers, std::move(factory), local_events()),
         path_(env, path_settings(), adapter.headers, local_),
-        follower_(env, s_.follower, follower_events()),
-        departure_(clients_need_to_notice, s_.leave_patience),
+        follower_(env, settings_.follower, follower_events()),
+        graceful_shutdown_(shutdown_notice, settings_.shutdown_timeout),
         started_(env.now()),
         grant_alarm_(env),
         report_alarm_(env),
@@ -49,14 +49,14 @@
 
   void start(Dispatcher& dispatcher) {
     dispatcher.on<Forward>([this](Forward f, SharedCancellation cancellation) {
-      return forwarded(std::move(f), std::move(cancellation));
+      return handle_forward(std::move(f), std::move(cancellation));
     });
     follower_.start(dispatcher);
-    spawn(env_, keep_configured());
-    spawn(env_, keep_confirming());
-    spawn(env_, keep_reporting());
-    if (s_.bounds.revocation_limit) spawn(env_, keep_access_keys_confirmed());
-    spawn(env_, keep_ticking());
+    spawn(env_, configuration_loop());
+    spawn(env_, confirmation_loop());
+    spawn(env_, report_loop());
+    if (settings_.bounds.revocation_limit) spawn(env_, access_confirmation_loop());
+    spawn(env_, tick_loop());
   }
 
   /** Called with the client limits of each configuration that is applied. */
@@ -64,31 +64,31 @@
 
   /** Readiness: whether clients of this machine should send new requests here. */
   bool ready() const {
-    bool const informed = follower_.fresh() && follower_.viewed() && path_.router() && in_contact();
-    return !departure_.leaving() && informed && path_.lets_tenants_in();
+    bool const informed = follower_.fresh() && follower_.has_view() && path_.router() && in_contact();
+    return !graceful_shutdown_.leaving() && informed && path_.lets_tenants_in();
   }
-  bool idle() const { return owed().requests == 0; }
+  bool idle() const { return pending_work().requests == 0; }
   /** Requests in flight and bytes queued here. Client connections are counted by the HTTP server, not here. */
-  OwedWork owed() const {
-    OwedWork owed;
-    owed.requests = path_.in_flight() + local_.in_flight() + forwarded_;
+  PendingWork pending_work() const {
+    PendingWork pending_work;
+    pending_work.requests = path_.in_flight() + local_.in_flight() + forwards_in_flight_;
     // Only a real network has queues to peers.
-    if constexpr (requires { env_.queued(); }) owed.bytes = env_.queued().of_requests();
-    return owed;
+    if constexpr (requires { env_.queued(); }) pending_work.bytes = env_.queued().of_requests();
+    return pending_work;
   }
   /** Clients and other nodes had time to notice that it leaves: new requests are refused, so that it empties. */
-  bool refusing() const { return !departure_.takes_work(env_.now()); }
+  bool refusing() const { return !graceful_shutdown_.accepts_work(env_.now()); }
   /** Whether the process may end now that it was told to go; `connections` of clients are busy. */
-  bool may_end(std::size_t const connections) {
-    OwedWork all = owed();
+  bool may_exit(std::size_t const connections) {
+    PendingWork all = pending_work();
     all.connections = connections;
-    return departure_.may_end(env_.now(), all);
+    return graceful_shutdown_.may_exit(env_.now(), all);
   }
   RequestPath<Env, LocalBackend<Env>>& path() { return path_; }
 
   void leave() {
-    departure_.begin(env_.now());
-    path_.end_by(env_.now() + s_.leave_patience);
+    graceful_shutdown_.begin(env_.now());
+    path_.end_by(env_.now() + settings_.shutdown_timeout);
     follower_.leave();
     report_alarm_.wake();
   }
@@ -100,7 +100,7 @@
   }
 
   /** Handles a request to the local interface: readiness, heartbeats and sign-off of the backend. */
-  Task<HttpReply> interface_call(HttpRequest q) {
+  Task<HttpReply> handle_interface_request(HttpRequest q) {
     tl::expected<InterfaceOperation, InterfaceReply> operation = adapter_.interpret(q);
     if (!operation) co_return http_reply(std::move(operation.error()));
     if (std::holds_alternative<ReadinessOperation>(*operation)) co_return http_reply(adapter_.readiness_reply(ready()));
@@ -117,35 +117,35 @@
 
  private:
   static constexpr Duration tick_period = 100ms;
-  static constexpr Duration clients_need_to_notice = 3200ms;
+  static constexpr Duration shutdown_notice = 3200ms;
 
   Task<HttpReply> refused_leaving() { co_return path_.refusal("node is leaving", tick_period); }
   static constexpr Duration isolated_after = 1500ms;
   static constexpr Duration silent_after = 100ms;  // a ping is answered within a few milliseconds
-  static constexpr double busy_weight = 0.15;
-  static constexpr Duration confirm_patience = 1s;
-  static constexpr Duration first_confirm_patience = 150ms;
-  static constexpr Duration first_confirm_every = 250ms;
-  static constexpr Duration longest_confirm_pause = 1600ms;
-  static constexpr Duration news_come_after = 4s;
-  static constexpr Duration confirm_access_every = 500ms;
-  static constexpr Duration longest_reading_pause = 200ms;
-  static constexpr Duration look_for_configuration_every = 1s;
+  static constexpr double load_smoothing = 0.15;
+  static constexpr Duration confirm_timeout = 1s;
+  static constexpr Duration first_confirm_timeout = 150ms;
+  static constexpr Duration first_confirm_period = 250ms;
+  static constexpr Duration max_confirm_pause = 1600ms;
+  static constexpr Duration feed_expected_after = 4s;
+  static constexpr Duration access_confirm_period = 500ms;
+  static constexpr Duration max_parse_pause = 200ms;
+  static constexpr Duration configuration_poll_period = 1s;
 
   bool in_contact() const { return follower_.since_contact() < isolated_after; }
 
   LocalBackendSettings local_settings() const {
     LocalBackendSettings l;
-    l.node = s_.follower.id;
-    l.drain_end = s_.bounds.drain_limit * 3 / 4;
-    l.drain_tail = s_.bounds.drain_limit * 35 / 100;
+    l.node = settings_.follower.id;
+    l.drain_end = settings_.bounds.drain_limit * 3 / 4;
+    l.drain_tail = settings_.bounds.drain_limit * 35 / 100;
     return l;
   }
 
   typename LocalBackend<Env>::Events local_events() {
     typename LocalBackend<Env>::Events e;
     e.record_changed = [this] {
-      follower_.touch();
+      follower_.rejoin();
       rebuild_endpoints();
       report_alarm_.wake();
     };
@@ -161,28 +161,28 @@
       std::shared_ptr<Router const> const& router = path_.router();
       std::optional<std::uint32_t> const i = router ? router->service_index(service) : std::nullopt;
       std::uint32_t const limit = i ? router->configuration().services[*i].connection_limit : 0;
-      return limit == 0 ? unstated_connection_limit : limit;
+      return limit == 0 ? default_connection_limit : limit;
     };
     return e;
   }
 
   RequestPathSettings path_settings() const {
     RequestPathSettings p;
-    p.own_address = s_.follower.address;
-    p.zone = s_.follower.zone;
-    p.calling_service = s_.service;
-    p.revocation_limit = s_.bounds.revocation_limit;
-    p.retry_percent = static_cast<std::uint64_t>(s_.bounds.retry_ratio * 50);
+    p.own_address = settings_.follower.address;
+    p.zone = settings_.follower.zone;
+    p.calling_service = settings_.service;
+    p.revocation_limit = settings_.bounds.revocation_limit;
+    p.retry_percent = static_cast<std::uint64_t>(settings_.bounds.retry_ratio * 50);
     return p;
   }
 
   FollowerEvents follower_events() {
     FollowerEvents e;
     e.backends = [this] { return local_.records(); };
-    e.value = [this](Register const which, Held const& held) { take_value(which, held); };
+    e.value = [this](Register const which, Held const& held) { apply_value(which, held); };
     e.view_changed = [this] { rebuild_endpoints(); };
-    e.routing_confirmed = [this](Instant const asked) {
-      confirmed_routing_ = ConfirmedRevision{follower_.held(Register::routing).revision, asked};
+    e.routing_confirmed = [this](Instant const as_of) {
+      confirmed_routing_ = ConfirmedRevision{follower_.held(Register::routing).revision, as_of};
       confirm_access_keys();
     };
     return e;
@@ -190,40 +190,40 @@
 
   // ---- register values
 
-  void take_value(Register const which, Held const& held) {
+  void apply_value(Register const which, Held const& held) {
     if (which == Register::routing) configuration_alarm_.wake();
-    if (which == Register::keys) take_keys(held);
-    if (which == Register::maintenance) take_maintenance(held);
+    if (which == Register::keys) apply_key_table(held);
+    if (which == Register::maintenance) apply_maintenance(held);
   }
 
-  void take_maintenance(Held const& held) {
-    if (maintenance_.take(held, env_.now())) follow_maintenance();
+  void apply_maintenance(Held const& held) {
+    if (maintenance_.take(held, env_.now())) update_zone_shares();
   }
 
   // Zone shares change with time during a maintenance window, also when no new plan arrives.
-  void follow_maintenance() {
+  void update_zone_shares() {
     maintenance_.log_phases(env_.now());
     path_.selector().set_zone_shares(maintenance_.at(env_.now()).zone_shares());
   }
 
   // When configurations arrive in quick succession, only the newest is parsed. The pause after each parse is as long
   // as the parse (up to a limit), so that parsing takes at most half of the time.
-  Task<void> keep_configured() {
+  Task<void> configuration_loop() {
     while (true) {
       Held const& newest = follower_.held(Register::routing);
-      if (newest.revision <= read_revision_) {
-        co_await configuration_alarm_.wait(env_.now() + look_for_configuration_every);
+      if (newest.revision <= parsed_revision_) {
+        co_await configuration_alarm_.wait(env_.now() + configuration_poll_period);
         continue;
       }
       Instant const begun = env_.now();
-      read_revision_ = newest.revision;
-      take_configuration(newest);
+      parsed_revision_ = newest.revision;
+      apply_configuration(newest);
       confirm_access_keys();
-      co_await sleep_for(env_, std::min<Duration>(env_.now() - begun, longest_reading_pause));
+      co_await sleep_for(env_, std::min<Duration>(env_.now() - begun, max_parse_pause));
     }
   }
 
-  void take_configuration(Held const& held) {
+  void apply_configuration(Held const& held) {
     Result<std::string> const text = decompress(held.bytes);
     Result<ServiceConfiguration> read = text ? adapter_.read_configuration(*text) : tl::unexpected<Error>(text.error());
     if (!read) {
@@ -235,16 +235,16 @@
     log_info("in_force", {{"version", std::to_string(held.revision)}});
     for (std::string const& section : read->ignored_sections)
       log_warn("configuration_section_ignored", {{"version", std::to_string(held.revision)}, {"section", section}});
-    in_force_ = held.revision;
+    active_revision_ = held.revision;
     path_.set_router(std::make_shared<Router const>(std::move(*read)));
     grant_alarm_.wake();
   }
 
   void confirm_access_keys() {
-    if (in_force_ >= confirmed_routing_.revision) path_.confirm_access_keys(confirmed_routing_.asked);
+    if (active_revision_ >= confirmed_routing_.revision) path_.confirm_access_keys(confirmed_routing_.as_of);
   }
 
-  void take_keys(Held const& held) {
+  void apply_key_table(Held const& held) {
     if (table_ && held.revision <= table_->revision) return;
     Result<KeyTable> read = unpack_key_table(held.bytes, held.revision);
     if (!read) {
@@ -264,36 +264,36 @@
     std::map<std::string, EndpointSelector::Endpoints> all;
     ZoneView const& view = follower_.view();
     for (auto const& [key, b] : view.backends) {
-      if (b.node == s_.follower.id || b.standing != Standing::fit || !view.usable_node(b.node)) continue;
-      Endpoint const e{b.node, view.members.at(b.node).address, s_.follower.zone,
+      if (b.node == settings_.follower.id || b.standing != Standing::fit || !view.usable_node(b.node)) continue;
+      Endpoint const e{b.node, view.members.at(b.node).address, settings_.follower.zone,
                        true,   std::max(b.slots, 1u),           b.burden + b.waiting};
       all[b.service].push_back(e);
     }
     for (auto const& [zone, entry] : view.cells) {
-      if (zone == s_.follower.zone) continue;
+      if (zone == settings_.follower.zone) continue;
       for (ServiceOffer const& o : entry.services)
         all[o.service].push_back(Endpoint{o.node, o.address, zone, false, std::max(o.slots, 1u), o.burden + o.waiting});
     }
     for (BackendRecord const& b : local_.records())
       if (b.standing == Standing::fit)
-        all[b.service].push_back(
-            Endpoint{s_.follower.id, s_.follower.address, s_.follower.zone, true, std::max(b.slots, 1u), 0});
+        all[b.service].push_back(Endpoint{settings_.follower.id, settings_.follower.address, settings_.follower.zone,
+                                          true, std::max(b.slots, 1u), 0});
     path_.selector().replace(std::move(all));
   }
 
   // ---- requests from other nodes
 
-  Task<ForwardReply> forwarded(Forward f, SharedCancellation cancellation) {
+  Task<ForwardReply> handle_forward(Forward f, SharedCancellation cancellation) {
     Instant const arrived = env_.now();
-    ++forwarded_;
-    ForwardReply reply = co_await answer_forwarded(std::move(f), std::move(cancellation));
-    --forwarded_;
+    ++forwards_in_flight_;
+    ForwardReply reply = co_await run_forward(std::move(f), std::move(cancellation));
+    --forwards_in_flight_;
     reply.here_us = static_cast<std::uint32_t>(as_us(env_.now() - arrived));
     co_return reply;
   }
 
-  Task<ForwardReply> answer_forwarded(Forward f, SharedCancellation const cancellation) {
-    if (!departure_.takes(env_.now(), env_.now() + std::chrono::milliseconds(f.remaining_ms))) {
+  Task<ForwardReply> run_forward(Forward f, SharedCancellation const cancellation) {
+    if (!graceful_shutdown_.accepts(env_.now(), env_.now() + std::chrono::milliseconds(f.remaining_ms))) {
       ForwardReply reply;
       reply.outcome = Outcome::not_run;
       reply.refusal = Refusal::no_backend;
@@ -318,16 +318,16 @@
     HeartbeatAnswer answer;
     if (!local_.heartbeat(beat)) co_return answer;
     Instant const arrived = env_.now();
-    Instant const until = arrived + s_.keys.answer_wait;
-    std::uint64_t const number = ++beats_taken_;
+    Instant const until = arrived + settings_.keys.answer_wait;
+    std::uint64_t const number = ++heartbeats_received_;
     // A node that has just started doesn't know yet whether keys are to be granted.
-    while (number == beats_taken_ && !path_.router() && !beat.leaving && env_.now() < until)
+    while (number == heartbeats_received_ && !path_.router() && !beat.leaving && env_.now() < until)
       co_await grant_alarm_.wait(until);
-    if (number != beats_taken_ || !keyed(beat.service)) co_return answer;
+    if (number != heartbeats_received_ || !keyed(beat.service)) co_return answer;
     prepare_keys(beat.service);
     keys_->take_beat(arrived, key_beat(beat));
     report_alarm_.wake();
-    while (number == beats_taken_ && env_.now() < until && keys_->answer_may_wait(env_.now()))
+    while (number == heartbeats_received_ && env_.now() < until && keys_->answer_may_wait(env_.now()))
       co_await grant_alarm_.wait(until);
     KeyBeatAnswer const grant = keys_->answer(env_.now(), beat.id, beat.sequence);
     if (!grant.renews) co_return answer;
@@ -348,8 +348,8 @@
   void prepare_keys(std::string const& service) {
     if (keys_ && keys_service_ == service) return;
     keys_service_ = service;
-    keys_ =
-        std::make_unique<KeyHolder>(service, s_.follower.id, s_.follower.address, s_.follower.zone, s_.keys, started_);
+    keys_ = std::make_unique<KeyHolder>(service, settings_.follower.id, settings_.follower.address,
+                                        settings_.follower.zone, settings_.keys, started_);
     if (table_) keys_->on_table(*table_);
     local_.set_keys(keys_.get());
     confirm_soon_ = true;
@@ -359,7 +359,7 @@
     KeyBeat k;
     k.instance = beat.id;
     k.sequence = beat.sequence;
-    k.standing = beat.leaving || departure_.leaving() ? KeyStanding::draining : KeyStanding::serving;
+    k.standing = beat.leaving || graceful_shutdown_.leaving() ? KeyStanding::draining : KeyStanding::serving;
     k.slots = beat.slots;
     for (HeartbeatHeldRow const& r : beat.held)
       k.held.push_back(HeldRange{static_cast<std::uint16_t>(r.from), static_cast<std::uint16_t>(r.to),
@@ -372,13 +372,13 @@
 
   // Right after its start a node gets no news yet: it looks for a table more often
   // until its backend has rows.
-  bool awaits_first_rows() const { return keys_->grants_nothing() && env_.now() - started_ < news_come_after; }
+  bool awaits_first_rows() const { return keys_->grants_nothing() && env_.now() - started_ < feed_expected_after; }
 
-  Duration confirm_period() const { return awaits_first_rows() ? first_confirm_every : s_.keys.confirm_every; }
+  Duration confirm_period() const { return awaits_first_rows() ? first_confirm_period : settings_.keys.confirm_every; }
 
   // The key lease of this node is renewed only by reads that a majority of the stores confirms. A table that
   // arrives over the feed needs no such read: the current lease covers it.
-  Task<void> keep_confirming() {
+  Task<void> confirmation_loop() {
     while (true) {
       co_await sleep_for(env_, tick_period);
       if (!keys_) continue;
@@ -386,22 +386,22 @@
       bool const due = env_.now() - confirmed_at_ >= confirm_period();
       if ((!wanted && !due) || env_.now() < next_confirm_) continue;
       confirm_soon_ = false;
-      registers_.add_contacts(colocated_stores(registry_addresses(), s_.store_port));
+      registers_.add_contacts(colocated_stores(registry_addresses(), settings_.store_port));
       // Until the voters are known, a read waits for all stores, including those that are down.
-      Duration const patience = registers_.knows_voters() ? confirm_patience : first_confirm_patience;
+      Duration const patience = registers_.knows_voters() ? confirm_timeout : first_confirm_timeout;
       bool const confirmed = co_await confirm_table(env_.now() + patience);
-      pause_confirming(confirmed);
+      back_off_confirming(confirmed);
     }
   }
 
   // Jitter: nodes that fail at the same time must not retry at the same time.
-  void pause_confirming(bool const confirmed) {
+  void back_off_confirming(bool const confirmed) {
     if (confirmed) {
       confirm_pause_ = tick_period;
       return;
     }
     next_confirm_ = env_.now() + confirm_pause_ / 2 + Duration(env_.chance()() % confirm_pause_.count());
-    confirm_pause_ = std::min(2 * confirm_pause_, longest_confirm_pause);
+    confirm_pause_ = std::min(2 * confirm_pause_, max_confirm_pause);
   }
 
   // The answer carries only the revision. If that is newer than the local table, the confirmation takes effect
@@ -410,12 +410,12 @@
     Revision const have = table_ ? table_->revision : 0;
     Result<ConfirmedRevision> const newest = co_await registers_.confirm_revision(Register::keys, have, deadline);
     if (!newest || !keys_) co_return false;
-    confirmed_at_ = newest->asked;
-    keys_->on_confirmed(newest->revision, newest->asked);
+    confirmed_at_ = newest->as_of;
+    keys_->on_confirmed(newest->revision, newest->as_of);
     grant_alarm_.wake();
     if (has_table(newest->revision)) co_return true;
-    bool const here = co_await follower_.fetch_keys(newest->revision);
-    if (!here) co_await read_table(env_.now() + confirm_patience);
+    bool const here = co_await follower_.fetch_key_table(newest->revision);
+    if (!here) co_await read_table(env_.now() + confirm_timeout);
     co_return has_table(newest->revision);
   }
   bool has_table(Revision const wanted) const { return wanted <= (table_ ? table_->revision : 0); }
@@ -424,10 +424,10 @@
     Held const known = follower_.held(Register::keys);
     Result<ConfirmedValue> const read = co_await registers_.confirm(Register::keys, known, deadline);
     if (!read || !keys_) co_return;
-    confirmed_at_ = read->asked;
+    confirmed_at_ = read->as_of;
     follower_.take(Register::keys, read->held);
-    take_keys(read->held);
-    keys_->on_confirmed(read->held.revision, read->asked);
+    apply_key_table(read->held);
+    keys_->on_confirmed(read->held.revision, read->as_of);
     grant_alarm_.wake();
   }
 
@@ -438,23 +438,23 @@
   }
 
   // Each confirmed reading extends the `AccessLease`, which admits tenants for a while after contact is lost.
-  Task<void> keep_access_keys_confirmed() {
-    co_await sleep_for(env_, Duration(env_.chance()() % confirm_access_every.count()));
+  Task<void> access_confirmation_loop() {
+    co_await sleep_for(env_, Duration(env_.chance()() % access_confirm_period.count()));
     while (true) {
       co_await follower_.confirm_routing();
-      co_await sleep_for(env_, confirm_access_every);
+      co_await sleep_for(env_, access_confirm_period);
     }
   }
 
-  Task<void> keep_reporting() {
+  Task<void> report_loop() {
     Instant last{};
     while (true) {
       bool const early = keys_ && keys_->has_news();
-      if (!early) co_await report_alarm_.wait(std::max(last + s_.keys.report_every, env_.now() + 20ms));
+      if (!early) co_await report_alarm_.wait(std::max(last + settings_.keys.report_every, env_.now() + 20ms));
       last = env_.now();
       if (!keys_) continue;
-      KeyReport report = keys_->report(last, static_cast<float>(busy_), backend_capacity());
-      if (departure_.leaving()) report.standing = KeyStanding::draining;
+      KeyReport report = keys_->report(last, static_cast<float>(load_average_), backend_capacity());
+      if (graceful_shutdown_.leaving()) report.standing = KeyStanding::draining;
       for (Address const& registry : registry_addresses()) tell(env_, registry, report);
       co_await sleep_for(env_, 10ms);
     }
@@ -466,20 +466,20 @@
     return load.run_us == 0 ? 0 : static_cast<float>(load.slots) * 1e6F / static_cast<float>(load.run_us);
   }
 
-  Task<void> keep_ticking() {
+  Task<void> tick_loop() {
     while (true) {
       co_await sleep_for(env_, tick_period);
       local_.tick();
-      if (maintenance_.written().current()) follow_maintenance();
-      if (env_.now() - counted_at_ > count_period) log_counts();
+      if (maintenance_.written().current()) update_zone_shares();
+      if (env_.now() - counts_logged_at_ > count_log_period) log_counts();
       EndpointLoad const load = local_.load();
       double const share = load.slots == 0 ? 0 : static_cast<double>(load.running + load.waiting) / load.slots;
-      busy_ += (share - busy_) * busy_weight;
+      load_average_ += (share - load_average_) * load_smoothing;
     }
   }
 
   void log_counts() {
-    counted_at_ = env_.now();
+    counts_logged_at_ = env_.now();
     RequestCounts const& c = path_.counts();
     log_info("requests", {{"taken", std::to_string(c.taken)},
                           {"answered", std::to_string(c.answered)},
@@ -515,36 +515,36 @@
     return text;
   }
 
-  static constexpr Duration count_period = 10s;
-  static constexpr std::size_t unstated_connection_limit = 100;
+  static constexpr Duration count_log_period = 10s;
+  static constexpr std::size_t default_connection_limit = 100;
 
   Env& env_;
-  MeshNodeSettings const s_;
+  MeshNodeSettings const settings_;
   InterfaceAdapter const& adapter_;
   RegisterClient<Env> registers_;
   LocalBackend<Env> local_;
   RequestPath<Env, LocalBackend<Env>> path_;
   ZoneFollower<Env> follower_;
-  Departure departure_;
-  std::size_t forwarded_ = 0;  // requests of other nodes in flight here
+  GracefulShutdown graceful_shutdown_;
+  std::size_t forwards_in_flight_ = 0;  // requests of other nodes in flight here
   Instant const started_;
   std::unique_ptr<KeyHolder> keys_;
   std::string keys_service_;
   std::shared_ptr<KeyTable const> table_;
   MaintenanceView maintenance_;
-  Revision read_revision_ = 0;  // of the newest configuration that was parsed
-  Revision in_force_ = 0;       // of the configuration that requests are routed by
+  Revision parsed_revision_ = 0;  // of the newest configuration that was parsed
+  Revision active_revision_ = 0;  // of the configuration that requests are routed by
   ConfirmedRevision confirmed_routing_{};
   Instant confirmed_at_{};
   Instant next_confirm_{};
   Duration confirm_pause_ = tick_period;
   bool confirm_soon_ = true;
-  std::uint64_t beats_taken_ = 0;    // only the answer to the last beat may wait
-  typename Env::Alarm grant_alarm_;  // has one waiter: that beat
+  std::uint64_t heartbeats_received_ = 0;  // only the answer to the last beat may wait
+  typename Env::Alarm grant_alarm_;        // has one waiter: that beat
   typename Env::Alarm report_alarm_;
   typename Env::Alarm configuration_alarm_;
-  double busy_ = 0;
-  Instant counted_at_{};
+  double load_average_ = 0;
+  Instant counts_logged_at_{};
 };
 
 }  // namespace banktide
--- a/source/programs/mesh_proxy.cpp
+++ b/source/programs/mesh_proxy.cpp
@@ -22,9 +22,9 @@
   s.text("memory-mb", "0", "the memory that the process may use, in MB; 0: not stated");
   s.text("cpu-share", "", "the part of a core that the process may use; not used");
   s.list("contracts", "parts of the operators' rules in force; not used");
-  s.need_address("client-address");
-  s.need_address("readiness-address");
-  s.need_address("local-address");
+  s.require_address("client-address");
+  s.require_address("readiness-address");
+  s.require_address("local-address");
 }
 
 MeshNodeSettings node_settings(Settings const& s, TimingBounds const& bounds) {
@@ -39,7 +39,7 @@
   n.store_port = store_port(s);
   n.bounds = bounds;
   n.keys = key_settings(bounds);
-  n.leave_patience = leave_patience(bounds);
+  n.shutdown_timeout = shutdown_timeout(bounds);
   return n;
 }
 
@@ -84,12 +84,12 @@
       world.io(),
       [&node](HttpRequest q, std::shared_ptr<HttpExchange> x) { return node.request(std::move(q), std::move(x)); }, {});
   HttpHandler const interface = [&node](HttpRequest q, std::shared_ptr<HttpExchange>) {
-    return node.interface_call(std::move(q));
+    return node.handle_interface_request(std::move(q));
   };
   HttpServer readiness(world.io(), interface, {});
   HttpServer local(world.io(), interface, {});
   node.on_limits = [&clients](ClientLimits const& limits) { clients.set_limits(limits_of(limits)); };
-  Result<Address> const open = process.on_thread([&]() -> Result<Address> {
+  Result<Address> const open = process.run_on_thread([&]() -> Result<Address> {
     world.serve(dispatcher);
     node.start(dispatcher);
     Result<Address> listening = readiness.listen(s.text("readiness-address"));
@@ -105,10 +105,10 @@
   };
   auto const idle = [&] {
     if (node.refusing()) clients.close_listener();
-    return node.may_end(clients.busy());
+    return node.may_exit(clients.busy());
   };
   auto const reload = [&] { reload_mesh_settings(s, define, line); };
-  process.until_told_to_go(leave, idle, reload, leave_patience(*bounds));
+  process.run_until_shutdown(leave, idle, reload, shutdown_timeout(*bounds));
   std::_Exit(0);
 }
 
--- a/source/programs/mesh_registry.cpp
+++ b/source/programs/mesh_registry.cpp
@@ -18,7 +18,7 @@
   s.list("zones", "names of all zones");
   s.number("maintenance-lead", 60, 1, 3600, "seconds before a maintenance window at which traffic moves, by default");
   s.number("maintenance-return", 30, 1, 3600, "seconds over which traffic comes back after a maintenance window");
-  s.need_address("control-address");
+  s.require_address("control-address");
 }
 
 RegistrySettings registry_settings(Settings const& s) {
@@ -60,9 +60,10 @@
   Registry<SocketWorld> registry(world, registry_settings(s));
   MeshRegistry<SocketWorld> mesh(world, registry, adapter, key_settings(*bounds), maintenance_settings(s, *bounds));
   HttpServer operators(
-      world.io(), [&mesh](HttpRequest q, std::shared_ptr<HttpExchange>) { return mesh.interface_call(std::move(q)); },
+      world.io(),
+      [&mesh](HttpRequest q, std::shared_ptr<HttpExchange>) { return mesh.handle_interface_request(std::move(q)); },
       {});
-  Result<Address> const open = process.on_thread([&]() -> Result<Address> {
+  Result<Address> const open = process.run_on_thread([&]() -> Result<Address> {
     world.serve(dispatcher);
     registry.start(dispatcher);
     mesh.start(dispatcher);
@@ -76,7 +77,7 @@
     operators.drain();
   };
   auto const idle = [&] { return registry.idle() && operators.busy() == 0; };
-  process.until_told_to_go(leave, idle, reload, leave_patience(*bounds));
+  process.run_until_shutdown(leave, idle, reload, shutdown_timeout(*bounds));
   std::_Exit(0);
 }
 
--- a/source/programs/mesh_registry.hpp
+++ b/source/programs/mesh_registry.hpp
@@ -37,7 +37,7 @@
   }
 
   /** Handles an operator's request. */
-  Task<HttpReply> interface_call(HttpRequest q) {
+  Task<HttpReply> handle_interface_request(HttpRequest q) {
     if (is_control_status_target(q.target)) co_return co_await status_.call(std::move(q));
     if (is_maintenance_target(q.target)) co_return co_await maintenance_.call(std::move(q));
     tl::expected<InterfaceOperation, InterfaceReply> operation = adapter_.interpret(q);
@@ -46,14 +46,14 @@
       co_return co_await configuration_.write(std::move(*write));
     if (std::holds_alternative<ReadConfigurationOperation>(*operation)) co_return co_await configuration_.read();
     if (std::holds_alternative<ReadinessOperation>(*operation))
-      co_return http_reply(adapter_.readiness_reply(registry_.vouched()));
+      co_return http_reply(adapter_.readiness_reply(registry_.has_quorum_reading()));
     co_return http_reply(adapter_.unavailable_reply("backends beat to the node on their machine"));
   }
 
  private:
   using Windows = MaintenanceKeeper<Env, RegisterClient<Env>>;
 
-  bool acting() const { return registry_.vouched() && registry_.first_of_live_registries(); }
+  bool acting() const { return registry_.has_quorum_reading() && registry_.first_of_live_registries(); }
 
   Env& env_;
   Registry<Env>& registry_;
--- a/source/programs/mesh_settings.hpp
+++ b/source/programs/mesh_settings.hpp
@@ -34,16 +34,16 @@
   s.flag("initial-start", "the whole system starts for the first time");
   s.text("losses", "1", "how many machines with a disk may be lost at once");
   s.list("bounds", "name=value, as the operators state them");
-  s.need_name("id");
-  s.need_name("zone");
-  s.need_address("address");
-  s.need_addresses("seed-control", 1);
+  s.require_name("id");
+  s.require_name("zone");
+  s.require_address("address");
+  s.require_addresses("seed-control", 1);
 }
 
 /** A number that is set as text, as the platform's templates do; `standard` if the text is not a number. */
-inline std::uint64_t number_of(Settings const& s, std::string const& name, std::uint64_t const standard) {
+inline std::uint64_t number_of(Settings const& s, std::string const& name, std::uint64_t const fallback) {
   std::string const text = s.text(name);
-  if (text.empty() || text.size() > 9 || text.find_first_not_of("0123456789") != std::string::npos) return standard;
+  if (text.empty() || text.size() > 9 || text.find_first_not_of("0123456789") != std::string::npos) return fallback;
   return std::stoull(text);
 }
 
@@ -78,7 +78,7 @@
 }
 
 /** How long a process may take to shut down: a little less than the platform's grace period. */
-inline Duration leave_patience(TimingBounds const& bounds) {
+inline Duration shutdown_timeout(TimingBounds const& bounds) {
   constexpr Duration left_of_grace = 600ms;
   return bounds.shutdown_grace - left_of_grace;
 }
--- a/source/programs/operator_interface.hpp
+++ b/source/programs/operator_interface.hpp
@@ -180,12 +180,12 @@
   }
 
   // The operator's interface.
-  Task<HttpReply> operate(HttpRequest q) {
+  Task<HttpReply> handle_operator_request(HttpRequest q) {
     std::string const path = q.target.substr(0, q.target.find('?'));
     if (path == "/live") co_return json_reply(200, {{"live", true}});
     if (path == "/ready")
       co_return json_reply(registry_.ready() ? 200 : 503, {{"ready", registry_.ready()},
-                                                           {"vouched", registry_.vouched()},
+                                                           {"vouched", registry_.has_quorum_reading()},
                                                            {"warm", registry_.warm()},
                                                            {"leaving", registry_.leaving()}});
     if (path == "/fleet" && q.method == "GET") co_return json_reply(200, fleet());
@@ -264,7 +264,7 @@
     j["position"] = registry_.position().seq;
     j["routing"] = held(Register::routing).revision;
     j["catalogue"] = held(Register::catalogue).revision;
-    j["vouched"] = registry_.vouched();
+    j["vouched"] = registry_.has_quorum_reading();
     Json registries = Json::array();
     for (RegistryEntry const& e : registry_.directory())
       registries.push_back({{"cell", e.cell}, {"address", e.address}});
--- a/source/programs/process.hpp
+++ b/source/programs/process.hpp
@@ -10,7 +10,7 @@
 
 namespace banktide {
 
-/** Keeps SIGHUP pending until `until_told_to_go` handles it: its default action would end a process that starts. */
+/** Keeps SIGHUP pending until `run_until_shutdown` handles it: its default action would end a process that starts. */
 inline void block_hang_up() {
   sigset_t hang_up;
   sigemptyset(&hang_up);
@@ -32,7 +32,7 @@
 
   // Runs a set-up step on the pool's thread and waits for its result.
   template <class F>
-  auto on_thread(F f) {
+  auto run_on_thread(F f) {
     std::promise<decltype(f())> p;
     asio::post(crossplat::threadpool::shared_instance().service(), [&]() { p.set_value(f()); });
     return p.get_future().get();
@@ -47,48 +47,48 @@
     std::vector<std::string> const errors = fresh.load(argc, argv);
     for (std::string const& e : errors) log_warn("reload_refused", {{"step", "check_settings"}, {"reason", e}});
     if (!errors.empty()) return;
-    std::string taken, restart;
+    std::string applied, needs_restart;
     for (std::string const& name : fresh.changed_from(in_force)) {
       bool const now = name == "log-level" || apply(name, fresh);
       if (name == "log-level") logger().setLogLevel(log4cplus::getLogLevelManager().fromString(fresh.text(name)));
-      (now ? taken : restart) += (now ? taken : restart).empty() ? name : "," + name;
+      (now ? applied : needs_restart) += (now ? applied : needs_restart).empty() ? name : "," + name;
     }
-    log_info("reload", {{"taken", taken}, {"needs_restart", restart}});
+    log_info("reload", {{"taken", applied}, {"needs_restart", needs_restart}});
   }
 
   // Waits for SIGTERM or SIGINT, runs `leave` on the pool's thread, and then polls
   // `idle` until it returns true or `patience` is over.
   template <class Leave, class Idle, class Reload>
-  void until_told_to_go(Leave leave, Idle idle, Reload reload, Duration const patience) {
+  void run_until_shutdown(Leave leave, Idle idle, Reload reload, Duration const timeout) {
     asio::io_context& io = crossplat::threadpool::shared_instance().service();
-    std::promise<void> over;
+    std::promise<void> done;
     asio::signal_set signals(io);
-    on_thread([&]() {
+    run_on_thread([&]() {
       for (int const s : {SIGTERM, SIGINT, SIGHUP}) signals.add(s);
       unblock_hang_up();
       asio::co_spawn(
           io,
           [&]() -> Task<void> {
             while (true) {
-              int const got = co_await signals.async_wait(asio::use_awaitable);
-              if (got != SIGHUP) break;
+              int const signal_number = co_await signals.async_wait(asio::use_awaitable);
+              if (signal_number != SIGHUP) break;
               reload();
             }
             log_info("leaving", {});
             leave();
             asio::steady_timer timer(io);
-            Instant const end = std::chrono::steady_clock::now() + patience;
+            Instant const end = std::chrono::steady_clock::now() + timeout;
             while (std::chrono::steady_clock::now() < end && !idle()) {
               timer.expires_after(20ms);
               co_await timer.async_wait(asio::use_awaitable);
             }
             log_info("gone", {{"idle", idle() ? "yes" : "no"}});
-            over.set_value();
+            done.set_value();
           },
           asio::detached);
       return true;
     });
-    over.get_future().get();
+    done.get_future().get();
   }
 
  private:
--- a/source/programs/proxy.hpp
+++ b/source/programs/proxy.hpp
@@ -16,39 +16,39 @@
 class Proxy {
  public:
   Proxy(Env& env, B& backends, ProxySettings s)
-      : n_(env, std::move(s)),
-        follower_(n_),
-        beside_(n_, backends),
-        callers_(n_, beside_),
-        carried_(n_, beside_, callers_) {}
+      : node_(env, std::move(s)),
+        follower_(node_),
+        backend_side_(node_, backends),
+        caller_side_(node_, backend_side_),
+        carried_side_(node_, backend_side_, caller_side_) {}
 
   void start(Dispatcher& dispatcher) {
     dispatcher.on<StateAsk>([this](StateAsk) -> Task<StateReply> { co_return StateReply{state().dump()}; });
     follower_.start(dispatcher);
-    beside_.start(dispatcher);
-    callers_.start(dispatcher);
-    carried_.start(dispatcher);
+    backend_side_.start(dispatcher);
+    caller_side_.start(dispatcher);
+    carried_side_.start(dispatcher);
   }
 
-  bool ready() const { return n_.ready(); }
+  bool ready() const { return node_.ready(); }
   bool idle() const {
-    return (callers_.in_flight() == 0 && carried_.in_flight() == 0) || broken_on_purpose("leaves_at_once");
+    return (caller_side_.in_flight() == 0 && carried_side_.in_flight() == 0) || broken_on_purpose("leaves_at_once");
   }
   void leave() {
-    n_.leaving = true;
-    n_.left_at = n_.env.now();
-    n_.touch();
+    node_.leaving = true;
+    node_.left_at = node_.env.now();
+    node_.rejoin();
   }
   // Applies the settings that may change at run time.
-  void tune(ProxySettings const& s) {
-    n_.s.beat_expiry = s.beat_expiry;
-    n_.s.backend_limit = s.backend_limit;
-    n_.s.slice_limit = s.slice_limit;
+  void apply_settings(ProxySettings const& s) {
+    node_.s.heartbeat_expiry = s.heartbeat_expiry;
+    node_.s.backend_limit = s.backend_limit;
+    node_.s.slice_limit = s.slice_limit;
   }
-  Rules const& rules() const { return *n_.rules; }
+  Rules const& rules() const { return *node_.rules; }
 
-  Task<HttpReply> call(HttpRequest q) { return callers_.call(std::move(q)); }
-  HttpReply beat(std::string const& body) { return beside_.beat(body); }
+  Task<HttpReply> call(HttpRequest q) { return caller_side_.call(std::move(q)); }
+  HttpReply beat(std::string const& body) { return backend_side_.beat(body); }
 
   HttpReply platform(HttpRequest const& q) {
     std::string const path = q.target.substr(0, q.target.find('?'));
@@ -60,38 +60,39 @@
     }
     if (path == "/live") return json_reply(200, {{"live", true}});
     if (path == "/ready")
-      return json_reply(ready() ? 200 : 503,
-                        {{"ready", ready()}, {"fresh", n_.fresh}, {"viewed", n_.viewed}, {"leaving", n_.leaving}});
+      return json_reply(
+          ready() ? 200 : 503,
+          {{"ready", ready()}, {"fresh", node_.fresh}, {"viewed", node_.has_view}, {"leaving", node_.leaving}});
     if (path == "/state") return json_reply(200, state());
-    if (path == "/mishaps") return json_reply(200, n_.mishaps.json());
+    if (path == "/mishaps") return json_reply(200, node_.mishaps.json());
     return json_reply(404, {{"error", "no such resource"}, {"path", path}});
   }
 
   Json state() const {
-    Json j = view_json(n_.view);
-    j["node"] = n_.s.id;
-    j["cell"] = n_.s.cell;
-    j["gateway"] = n_.s.gateway;
+    Json j = view_json(node_.view);
+    j["node"] = node_.s.id;
+    j["cell"] = node_.s.cell;
+    j["gateway"] = node_.s.gateway;
     j["epoch"] = follower_.at().epoch;
     j["position"] = follower_.at().seq;
-    j["routing"] = n_.rules->routing;
-    j["catalogue"] = n_.rules->catalogue_revision;
+    j["routing"] = node_.rules->routing;
+    j["catalogue"] = node_.rules->catalogue_revision;
     j["ready"] = ready();
-    j["budget"] = callers_.budget_json();
-    j["calls"] = callers_.calls_json();
-    j["calls"]["carried_in_flight"] = carried_.in_flight();
-    j["leases"] = beside_.leases_json();
-    j["local"] = beside_.json();
-    j["mishaps"] = n_.mishaps.last();
+    j["budget"] = caller_side_.budget_json();
+    j["calls"] = caller_side_.calls_json();
+    j["calls"]["carried_in_flight"] = carried_side_.in_flight();
+    j["leases"] = backend_side_.leases_json();
+    j["local"] = backend_side_.json();
+    j["mishaps"] = node_.mishaps.last();
     return j;
   }
 
  private:
-  NodeState<Env> n_;
-  CellFollower<Env> follower_;
-  BackendSide<Env, B> beside_;
-  CallerSide<Env, B> callers_;
-  CarriedSide<Env, B> carried_;
+  NodeState<Env> node_;
+  ProxyZoneFollower<Env> follower_;
+  BackendSide<Env, B> backend_side_;
+  CallerSide<Env, B> caller_side_;
+  CarriedSide<Env, B> carried_side_;
 };
 
 }  // namespace banktide
--- a/source/programs/proxy_main.cpp
+++ b/source/programs/proxy_main.cpp
@@ -22,12 +22,12 @@
   s.number("backend-limit", 128, 1, 100000, "calls in flight at one backend");
   s.number("slice-limit", 32, 1, 100000, "calls in flight for one key slice");
   s.number("decisions-kept", 8192, 64, 1000000, "decisions kept for those who watch them");
-  s.need_name("id");
-  s.need_name("cell");
-  s.need_address("address");
-  s.need_address("caller");
-  s.need_address("local");
-  s.need_addresses("seed", 1);
+  s.require_name("id");
+  s.require_name("cell");
+  s.require_address("address");
+  s.require_address("caller");
+  s.require_address("local");
+  s.require_addresses("seed", 1);
 }
 
 }  // namespace
@@ -51,7 +51,7 @@
   using Edge = HttpCaller<SocketWorld>;
   Edge edge(world);
   ProxySettings settings{s.text("id"), s.text("cell"), *bound, s.flag("gateway"), s.list("seed")};
-  settings.beat_expiry = std::chrono::milliseconds(s.number("beat-expiry-ms"));
+  settings.heartbeat_expiry = std::chrono::milliseconds(s.number("beat-expiry-ms"));
   settings.backend_limit = static_cast<std::uint32_t>(s.number("backend-limit"));
   settings.slice_limit = static_cast<std::uint32_t>(s.number("slice-limit"));
   settings.decisions_kept = s.number("decisions-kept");
@@ -59,7 +59,7 @@
   HttpListener callers(world.io(), s.text("caller"), [&](HttpRequest q) { return proxy.call(std::move(q)); });
   HttpListener local(world.io(), s.text("local"),
                      [&](HttpRequest q) -> Task<HttpReply> { co_return proxy.platform(q); });
-  process.on_thread([&]() {
+  process.run_on_thread([&]() {
     world.serve(dispatcher);
     proxy.start(dispatcher);
     return true;
@@ -79,19 +79,19 @@
   auto const reload = [&] {
     Process::reload(s, define, argc, argv, [&](std::string const& name, Settings const& fresh) {
       if (name == "beat-expiry-ms")
-        settings.beat_expiry = std::chrono::milliseconds(fresh.number(name));
+        settings.heartbeat_expiry = std::chrono::milliseconds(fresh.number(name));
       else if (name == "backend-limit")
         settings.backend_limit = static_cast<std::uint32_t>(fresh.number(name));
       else if (name == "slice-limit")
         settings.slice_limit = static_cast<std::uint32_t>(fresh.number(name));
       else
         return false;
-      proxy.tune(settings);
+      proxy.apply_settings(settings);
       return true;
     });
   };
   Instant left{};
-  process.until_told_to_go(
+  process.run_until_shutdown(
       [&] {
         left = world.now();
         proxy.leave();
