--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -36,18 +36,18 @@
  public:
   Registry(Env& env, RegistrySettings s)
       : env_(env),
-        s_(std::move(s)),
-        t_(s_.timing),
-        register_(client_of(env, s_)),
+        settings_(std::move(s)),
+        timing_(settings_.timing),
+        register_(client_of(env, settings_)),
         lease_(env),
         started_(env.now()),
-        directory_(s_.seeds),
-        entries_(t_),
-        reading_(env, SharedReadingSettings{t_.read_every}, [this] { return read_all(); }),
+        directory_(settings_.seeds),
+        entries_(timing_),
+        reading_(env, SharedReadingSettings{timing_.read_every}, [this] { return read_all(); }),
         operators_(*this) {
-    directory_.set_own(RegistryEntry{s_.cell, s_.address});
-    own_feed_ = make_feed(s_.cell);
-    feeds_[s_.cell] = own_feed_;
+    directory_.set_own(RegistryEntry{settings_.cell, settings_.address});
+    own_feed_ = make_feed(settings_.cell);
+    feeds_[settings_.cell] = own_feed_;
   }
 
   void start(Dispatcher& dispatcher) {
@@ -62,29 +62,29 @@
     dispatcher.on<LeaseAsk>([this](LeaseAsk q) { return lease(std::move(q)); });
     dispatcher.on<DecisionsAsk>([this](DecisionsAsk q) { return decisions(std::move(q)); });
     dispatcher.on<StateAsk>([this](StateAsk q) { return state(q); });
-    spawn(env_, keep_meeting());
+    spawn(env_, meet_loop());
     spawn(env_, reading_.run());
-    if (!s_.voters.empty()) spawn(env_, find_floor());
-    spawn(env_, keep_pulsing());
-    spawn(env_, keep_watching());
+    if (!settings_.voters.empty()) spawn(env_, establish_epoch_floor());
+    spawn(env_, pulse_loop());
+    spawn(env_, watch_loop());
   }
 
-  bool ready() const { return vouched() && warm() && !leaving_; }
+  bool ready() const { return has_quorum_reading() && warm() && !leaving_; }
   void leave() { leaving_ = true; }
   bool leaving() const { return leaving_; }
   /// Its nodes had time to join it since it started.
-  bool warm() const { return env_.now() - started_ >= t_.warm_up; }
+  bool warm() const { return env_.now() - started_ >= timing_.warm_up; }
   /// There is a recent reading of a majority.
-  bool vouched() const { return reading_.newest() && env_.now() - *reading_.newest() < vouched_for; }
+  bool has_quorum_reading() const { return reading_.newest() && env_.now() - *reading_.newest() < reading_valid_for; }
   /// How long ago the question of the latest reading was asked; none: there was no reading.
   std::optional<Duration> reading_age() const {
     if (!reading_.newest()) return std::nullopt;
     return env_.now() - *reading_.newest();
   }
 
-  RegistrySettings const& settings() const { return s_; }
+  RegistrySettings const& settings() const { return settings_; }
   Env& world() { return env_; }
-  Address const& address() const { return s_.address; }
+  Address const& address() const { return settings_.address; }
   RegisterClient<Env>& registers() { return register_; }
   Held const& held(Register const r) const { return held_.at(static_cast<std::size_t>(r)); }
   /// The view of the own zone.
@@ -99,7 +99,7 @@
   }
   /// All zones with a known registry or a known zone entry.
   std::set<std::string> zone_names() const {
-    std::set<std::string> names{s_.cell};
+    std::set<std::string> names{settings_.cell};
     for (RegistryEntry const& e : directory_.entries()) names.insert(e.cell);
     for (auto const& [zone, entry] : view().cells) names.insert(zone);
     return names;
@@ -112,46 +112,46 @@
   }
   /// Whether this registry has the lowest address of those heard from lately, and so acts for all of them.
   bool first_of_live_registries() const {
-    std::vector<Address> const live = directory_.live(env_.now(), heard_lately);
-    return !live.empty() && live.front() == s_.address;
+    std::vector<Address> const live = directory_.live(env_.now(), live_window);
+    return !live.empty() && live.front() == settings_.address;
   }
 
   /// Applies a value that a majority has accepted and sends it to the nodes.
   void take(Register const r, Held const& h) {
     Held& mine = held_.at(static_cast<std::size_t>(r));
     if (h.revision <= mine.revision) return;
-    remember_delta(r, mine, h);
+    record_delta(r, mine, h);
     mine = h;
     mine.requests.clear();  // only changes need the requests, and they read them from the voters
     // The maintenance register is written every few seconds during a window; its phases are logged elsewhere.
     if (r != Register::maintenance)
       log_info("revision_known", {{"register", register_name(r)}, {"revision", std::to_string(h.revision)}});
-    for (auto const& [zone, feed] : feeds_) send_down(*feed, r);
+    for (auto const& [zone, feed] : feeds_) send_to_nodes(*feed, r);
   }
   /// As `take`, and sends the value to the other registries too.
   void announce(Register const r, Held const& h) {
     take(r, h);
     KeyDelta const* const delta = r == Register::keys ? key_deltas_.newest() : nullptr;
     if (delta != nullptr && delta->to == h.revision) {
-      tell_registries(Chosen{r, Held{}, *delta});
+      send_to_registries(Chosen{r, Held{}, *delta});
     } else {
-      tell_registries(Chosen{r, held(r).revision == h.revision ? held(r) : h, std::nullopt});
+      send_to_registries(Chosen{r, held(r).revision == h.revision ? held(r) : h, std::nullopt});
     }
   }
 
   void note(std::string const& what, Error const& m) { mishaps_.note(env_.now() - started_, what, m); }
-  Mishaps const& mishaps() const { return mishaps_; }
+  RecentErrors const& mishaps() const { return mishaps_; }
 
   // ---- operator interface
 
   Task<Verdict> propose(Proposal p) { return operators_.propose(std::move(p)); }
-  Task<HttpReply> operate(HttpRequest q) { return operators_.operate(std::move(q)); }
+  Task<HttpReply> handle_operator_request(HttpRequest q) { return operators_.handle_operator_request(std::move(q)); }
   bool idle() const { return operators_.idle(); }
 
   // The routing decisions of this zone's nodes, of those that answer in time.
   Task<DecisionsReply> decisions(DecisionsAsk q) {
     std::vector<Address> nodes;
-    for (Member const& m : nodes_kept()) nodes.push_back(m.address);
+    for (Member const& m : served_nodes()) nodes.push_back(m.address);
     auto replies =
         co_await ask_all<DecisionsAsk>(env_, nodes, q, env_.now() + 250ms, [](auto const&) { return false; });
     DecisionsReply all;
@@ -168,13 +168,13 @@
 
   // The state of this zone as its registry sees it, with each node's own state.
   Task<StateReply> state(StateAsk q) {
-    Json j = {{"registry", s_.id},
-              {"cell", s_.cell},
+    Json j = {{"registry", settings_.id},
+              {"cell", settings_.cell},
               {"epoch", position().epoch},
               {"position", position().seq},
               {"routing", held(Register::routing).revision},
               {"catalogue", held(Register::catalogue).revision},
-              {"vouched", vouched()},
+              {"vouched", has_quorum_reading()},
               {"ready", ready()},
               {"nodes", Json::array()},
               {"silent", Json::array()},
@@ -190,7 +190,7 @@
     if (q.with_nodes) {
       std::vector<Address> nodes;
       std::vector<std::string> ids;
-      for (Member const& m : nodes_kept()) {
+      for (Member const& m : served_nodes()) {
         nodes.push_back(m.address);
         ids.push_back(m.id);
       }
@@ -210,21 +210,21 @@
   }
 
  private:
-  static constexpr Duration vouched_for = 600ms;
-  static constexpr Duration read_patience = 1s;
-  static constexpr Duration fresh_patience = 300ms;  // for a node that asks for a new reading
-  static constexpr Duration heard_lately = 1500ms;
+  static constexpr Duration reading_valid_for = 600ms;
+  static constexpr Duration read_timeout = 1s;
+  static constexpr Duration fresh_read_timeout = 300ms;  // for a node that asks for a new reading
+  static constexpr Duration live_window = 1500ms;
   static constexpr Duration adopt_after = 1s;  // counted from this registry's start
-  static constexpr Duration meet_patience = 500ms;
-  static constexpr Duration quiet_reading = 150ms;  // for a majority to agree without a consensus round
-  static constexpr Duration told_within = 60ms;     // for the writer's update to arrive, after a majority has the table
+  static constexpr Duration meet_timeout = 500ms;
+  static constexpr Duration passive_read_timeout = 150ms;  // for a majority to agree without a consensus round
+  static constexpr Duration delta_timeout = 60ms;  // for the writer's update to arrive, after a majority has the table
   // The longest delay of one-way messages that is allowed for.
-  static constexpr Duration told_may_be_late = 3s;
-  static constexpr std::uint64_t rounds_per_look_at_silent = 8;
+  static constexpr Duration max_message_delay = 3s;
+  static constexpr std::uint64_t rounds_per_silent_peer_check = 8;
 
   static RegisterClient<Env> client_of(Env& env, RegistrySettings const& s) {
     if (!s.voters.empty()) return RegisterClient<Env>(env, s.voters);
-    return RegisterClient<Env>(env, StoreSeeds{stores_beside(s.seeds, s.store_port)});
+    return RegisterClient<Env>(env, StoreSeeds{colocated_stores(s.seeds, s.store_port)});
   }
 
   // ---- register values
@@ -241,13 +241,13 @@
     co_return Told{};
   }
 
-  void remember_delta(Register const r, Held const& before, Held const& after) {
+  void record_delta(Register const r, Held const& before, Held const& after) {
     if (r == Register::keys) key_deltas_.add_or_clear(make_key_delta(before, after));
     if (r == Register::routing) routing_deltas_.add_or_clear(make_text_delta(before, after));
   }
 
   // To a zone's nodes goes what has changed of a large value, where that is known.
-  void send_down(ZoneFeed<Env>& feed, Register const r) {
+  void send_to_nodes(ZoneFeed<Env>& feed, Register const r) {
     Held const& newest = held(r);
     KeyDelta const* const of_keys = key_deltas_.newest();
     TextDelta const* const of_routing = routing_deltas_.newest();
@@ -261,9 +261,9 @@
   }
 
   Task<LayoutsReply> layouts(LayoutsAsk q) {
-    if (q.fresh || !vouched()) co_await reading_.read_anew(env_.now() + fresh_patience);
+    if (q.fresh || !has_quorum_reading()) co_await reading_.read_fresh(env_.now() + fresh_read_timeout);
     LayoutsReply reply;
-    reply.known = vouched();
+    reply.known = has_quorum_reading();
     if (reply.known) reply.reading_age_ms = static_cast<std::uint32_t>(as_ms(*reading_age()) + 1);  // rounded up
     reply.revisions = revisions();
     if (q.revisions_only) co_return reply;
@@ -293,7 +293,7 @@
   }
 
   Task<bool> read_all() {
-    Instant const deadline = env_.now() + read_patience;
+    Instant const deadline = env_.now() + read_timeout;
     // Mostly nothing has changed, and one question tells that of all registers.
     std::optional<Revisions> const newest = co_await register_.newest_revisions(deadline);
     bool all = true;
@@ -308,7 +308,7 @@
   Task<bool> read_one(Register const r, Instant const deadline) {
     bool const large = r == Register::keys && held(r).revision > 0;
     if (large) {
-      bool const current = co_await confirm_keys(std::min(deadline, env_.now() + quiet_reading));
+      bool const current = co_await confirm_keys(std::min(deadline, env_.now() + passive_read_timeout));
       if (current) co_return true;
     }
     Held const known = held(r);
@@ -323,16 +323,16 @@
     Result<ConfirmedRevision> const newest =
         co_await register_.confirm_revision(Register::keys, held(Register::keys).revision, deadline);
     if (!newest) co_return false;
-    Instant const until = env_.now() + told_within;
+    Instant const until = env_.now() + delta_timeout;
     while (held(Register::keys).revision < newest->revision && env_.now() < until)
-      co_await sleep_for(env_, told_within / 4);
+      co_await sleep_for(env_, delta_timeout / 4);
     co_return held(Register::keys).revision >= newest->revision;
   }
 
   // Lease epochs start from a round number of the register that was never issued before, so they never repeat.
-  Task<void> find_floor() {
-    while (!lease_.floored()) {
-      Result<std::uint64_t> const round = co_await register_.rise(Register::routing, env_.now() + 2s);
+  Task<void> establish_epoch_floor() {
+    while (!lease_.has_floor()) {
+      Result<std::uint64_t> const round = co_await register_.next_number(Register::routing, env_.now() + 2s);
       if (round)
         lease_.set_floor(broken_on_purpose("epochs_start_again") ? 1 : *round << 20);
       else
@@ -345,10 +345,10 @@
   // ---- other registries
 
   Task<MeetReply> meet(Meet q) {
-    directory_.learn_names(q.registries, env_.now());
+    directory_.learn_addresses(q.registries, env_.now());
     MeetReply reply;
     reply.registries = directory_.told(env_.now());
-    std::size_t const cores = s_.voters.empty() ? directory_.entries().size() : s_.voters.size();
+    std::size_t const cores = settings_.voters.empty() ? directory_.entries().size() : settings_.voters.size();
     reply.cores = static_cast<std::uint32_t>(cores);
     co_return reply;
   }
@@ -357,80 +357,81 @@
   Task<void> meet_one(Address const peer) {
     Instant const asked = env_.now();
     Meet const question{directory_.told(asked)};
-    Result<MeetReply> const r = co_await ask(env_, peer, question, asked + meet_patience);
+    Result<MeetReply> const r = co_await ask(env_, peer, question, asked + meet_timeout);
     if (!r) co_return;
     directory_.heard(peer, env_.now());
     directory_.learn_answer(r->registries, asked, env_.now());
   }
 
-  Task<void> keep_meeting() {
+  Task<void> meet_loop() {
     for (std::uint64_t round = 0;; ++round) {
-      std::set<Address> peers(s_.seeds.begin(), s_.seeds.end());
-      bool const also_silent = round % rounds_per_look_at_silent == 0;
+      std::set<Address> peers(settings_.seeds.begin(), settings_.seeds.end());
+      bool const also_silent = round % rounds_per_silent_peer_check == 0;
       for (RegistryEntry const& e : directory_.entries())
         if (also_silent || directory_.alive(e.address, env_.now())) peers.insert(e.address);
-      peers.erase(s_.address);
+      peers.erase(settings_.address);
       for (Address const& peer : peers) spawn(env_, meet_one(peer));
       directory_.forget_silent(env_.now());
-      if (s_.voters.empty())
-        register_.learn(stores_beside(std::vector<Address>(peers.begin(), peers.end()), s_.store_port));
-      co_await sleep_for(env_, directory_.entries().size() < 2 ? Duration(200ms) : t_.registry_meet_every);
+      if (settings_.voters.empty())
+        register_.add_contacts(
+            colocated_stores(std::vector<Address>(peers.begin(), peers.end()), settings_.store_port));
+      co_await sleep_for(env_, directory_.entries().size() < 2 ? Duration(200ms) : timing_.registry_meet_every);
     }
   }
 
   template <class Q>
-  void tell_registries(Q const& q) {
+  void send_to_registries(Q const& q) {
     SharedBytes const raw = pack_shared(q);
     for (Address const& a : directory_.live(env_.now()))
-      if (a != s_.address) env_.tell_raw(a, Q::kind, raw);
+      if (a != settings_.address) env_.tell_raw(a, Q::kind, raw);
   }
 
   // ---- zone entries exchanged between registries
 
-  bool keeps(std::string const& zone) const { return directory_.registry_of(zone, env_.now()) == s_.address; }
+  bool serves(std::string const& zone) const { return directory_.registry_of(zone, env_.now()) == settings_.address; }
 
   Task<Told> cell_told(CellTold q) {
-    directory_.heard(q.sender, env_.now() - told_may_be_late);
+    directory_.heard(q.sender, env_.now() - max_message_delay);
     auto const feed = feeds_.find(q.entry.cell);
-    bool const kept_here = feed != feeds_.end() && feed->second->has_nodes() && keeps(q.entry.cell);
+    bool const kept_here = feed != feeds_.end() && feed->second->has_nodes() && serves(q.entry.cell);
     CellEntry const* const newer = kept_here ? nullptr : entries_.take(std::move(q), env_.now());
-    if (newer != nullptr) show(*newer);
+    if (newer != nullptr) distribute_entry(*newer);
     co_return Told{};
   }
 
-  void show(CellEntry const& entry) {
-    for (auto const& [zone, feed] : feeds_) feed->take_entry(entry);
+  void distribute_entry(CellEntry const& entry) {
+    for (auto const& [zone, feed] : feeds_) feed->update_zone_entry(entry);
   }
 
-  void tell_entries() {
+  void send_entries() {
     for (auto const& [zone, feed] : feeds_) {
-      bool const known = feed->warm() && feed->had_nodes() && keeps(zone);
+      bool const known = feed->warm() && feed->had_nodes() && serves(zone);
       std::optional<CellTold> told;
       if (known) told = entries_.due(zone, feed->position(), env_.now(), [&] { return feed->entry(); });
       if (!told) continue;
-      told->sender = s_.address;
-      show(told->entry);
-      tell_registries(*told);
+      told->sender = settings_.address;
+      distribute_entry(told->entry);
+      send_to_registries(*told);
     }
   }
 
   // ---- zone feeds
 
   std::shared_ptr<ZoneFeed<Env>> make_feed(std::string const& zone) {
-    FeedSettings settings{zone, s_.id, s_.address, t_};
-    FeedSources sources{[this] { return vouched(); }, [this] { return revisions(); }};
+    FeedSettings settings{zone, settings_.id, settings_.address, timing_};
+    FeedSources sources{[this] { return has_quorum_reading(); }, [this] { return revisions(); }};
     std::shared_ptr<ZoneFeed<Env>> const feed =
         std::make_shared<ZoneFeed<Env>>(env_, std::move(settings), std::move(sources));
-    entries_.each([&](CellEntry const& entry) { feed->take_entry(entry); });
+    entries_.each([&](CellEntry const& entry) { feed->update_zone_entry(entry); });
     return feed;
   }
 
   std::shared_ptr<ZoneFeed<Env>> feed_of(std::string const& zone) const {
-    auto const it = feeds_.find(zone.empty() ? s_.cell : zone);
+    auto const it = feeds_.find(zone.empty() ? settings_.cell : zone);
     return it == feeds_.end() ? nullptr : it->second;
   }
 
-  std::vector<Member> nodes_kept() const {
+  std::vector<Member> served_nodes() const {
     std::vector<Member> all;
     for (auto const& [zone, feed] : feeds_)
       for (auto const& [id, m] : feed->view().members)
@@ -442,7 +443,7 @@
     std::string const zone = q.self.cell;
     JoinReply reply;
     if (zone.empty()) co_return reply;
-    if (!keeps(zone)) {
+    if (!serves(zone)) {
       reply.registry = directory_.registry_of(zone, env_.now());
       reply.registry_zone = directory_.zone_of(reply.registry);
       co_return reply;
@@ -461,7 +462,7 @@
   Task<FollowReply> follow(Follow q) {
     FollowReply reply;
     std::shared_ptr<ZoneFeed<Env>> const feed = feed_of(q.zone);
-    if (!feed || (!q.zone.empty() && !keeps(q.zone))) co_return reply;
+    if (!feed || (!q.zone.empty() && !serves(q.zone))) co_return reply;
     reply = feed->follow(q);
     bool const foreign = q.zone.empty() && reply.snapshot && feed->had_nodes();
     if (foreign) reply.snapshot->cells.push_back(feed->entry());
@@ -480,27 +481,27 @@
     co_return Told{};
   }
 
-  Task<void> keep_pulsing() {
+  Task<void> pulse_loop() {
     while (true) {
-      co_await sleep_for(env_, t_.pulse_every);
+      co_await sleep_for(env_, timing_.pulse_every);
       for (auto const& [zone, feed] : feeds_) feed->pulse();
-      tell_entries();
+      send_entries();
     }
   }
 
-  Task<void> keep_watching() {
+  Task<void> watch_loop() {
     while (true) {
-      co_await sleep_for(env_, t_.beat_every);
+      co_await sleep_for(env_, timing_.beat_every);
       for (auto const& [zone, feed] : feeds_)
-        if (feed == own_feed_ || keeps(zone)) feed->watch();
+        if (feed == own_feed_ || serves(zone)) feed->watch();
       drop_empty_feeds();
-      for (CellEntry const& gone : entries_.forget(env_.now())) show(gone);
+      for (CellEntry const& gone : entries_.forget(env_.now())) distribute_entry(gone);
     }
   }
 
   void drop_empty_feeds() {
     std::erase_if(feeds_, [&](auto const& f) {
-      if (f.second == own_feed_ || f.second->empty_for() < t_.drop_empty_after) return false;
+      if (f.second == own_feed_ || f.second->empty_for() < timing_.drop_empty_after) return false;
       log_info("zone_dropped", {{"zone", f.first}});
       entries_.stop(f.first);
       return true;
@@ -508,8 +509,8 @@
   }
 
   Env& env_;
-  RegistrySettings const s_;
-  FeedTiming const& t_;
+  RegistrySettings const settings_;
+  FeedTiming const& timing_;
   RegisterClient<Env> register_;
   LeaseVoter<Env> lease_;
   Instant const started_;
--- a/source/programs/registry_main.cpp
+++ b/source/programs/registry_main.cpp
@@ -17,12 +17,12 @@
   s.text("operator", "", "ip:port for operators and the platform (HTTP)");
   s.list("seed", "ip:port of another process; repeat for three");
   s.list("voter", "ip:port of a store; repeat for every voter");
-  s.need_name("id");
-  s.need_name("cell");
-  s.need_address("address");
-  s.need_address("operator");
-  s.need_addresses("seed", 1);
-  s.need_addresses("voter", 1);
+  s.require_name("id");
+  s.require_name("cell");
+  s.require_address("address");
+  s.require_address("operator");
+  s.require_addresses("seed", 1);
+  s.require_addresses("voter", 1);
 }
 
 }  // namespace
@@ -45,14 +45,15 @@
   }
   Registry<SocketWorld> registry(
       world, RegistrySettings{s.text("id"), s.text("cell"), *bound, s.list("seed"), s.list("voter")});
-  HttpListener operators(world.io(), s.text("operator"), [&](HttpRequest q) { return registry.operate(std::move(q)); });
+  HttpListener operators(world.io(), s.text("operator"),
+                         [&](HttpRequest q) { return registry.handle_operator_request(std::move(q)); });
   OperatorStreams<SocketWorld> streams(registry);
   operators.on_lines_in("/changes", [&](HttpRequest q, LinesIn& in) { return streams.changes(std::move(q), in); });
   operators.on_lines_out("/verdicts",
                          [&](HttpRequest q, LinesOut& out) { return streams.verdicts(std::move(q), out); });
   operators.on_lines_out("/decisions",
                          [&](HttpRequest q, LinesOut& out) { return streams.decisions(std::move(q), out); });
-  process.on_thread([&]() {
+  process.run_on_thread([&]() {
     world.serve(dispatcher);
     registry.start(dispatcher);
     return true;
@@ -64,7 +65,7 @@
     return 1;
   }
   log_info("started", {{"address", *bound}, {"operator", s.text("operator")}});
-  process.until_told_to_go(
+  process.run_until_shutdown(
       [&] { registry.leave(); }, [&] { return registry.idle(); },
       [&] { Process::reload(s, define, argc, argv, [](std::string const&, Settings const&) { return false; }); },
       5500ms);
--- a/source/programs/settings.hpp
+++ b/source/programs/settings.hpp
@@ -25,18 +25,18 @@
   }
 
   std::string const& program() const { return program_; }
-  void text(std::string const& name, std::string const& standard, std::string const& what) {
+  void text(std::string const& name, std::string const& fallback, std::string const& what) {
     options_.add_options()(
-        name.c_str(), standard.empty() ? po::value<std::string>() : po::value<std::string>()->default_value(standard),
+        name.c_str(), fallback.empty() ? po::value<std::string>() : po::value<std::string>()->default_value(fallback),
         what.c_str());
   }
   void list(std::string const& name, std::string const& what) {
     options_.add_options()(name.c_str(), po::value<std::vector<std::string>>()->composing(), what.c_str());
   }
-  void number(std::string const& name, std::uint64_t const standard, std::uint64_t const least,
-              std::uint64_t const most, std::string const& what) {
-    options_.add_options()(name.c_str(), po::value<std::uint64_t>()->default_value(standard), what.c_str());
-    ranges_[name] = {least, most};
+  void number(std::string const& name, std::uint64_t const fallback, std::uint64_t const minimum,
+              std::uint64_t const maximum, std::string const& what) {
+    options_.add_options()(name.c_str(), po::value<std::uint64_t>()->default_value(fallback), what.c_str());
+    ranges_[name] = {minimum, maximum};
   }
   void flag(std::string const& name, std::string const& what) {
     options_.add_options()(name.c_str(), po::value<bool>()->default_value(false)->implicit_value(true)->zero_tokens(),
@@ -44,7 +44,7 @@
   }
 
   // Positional arguments are added to this list.
-  void trailing(std::string const& name) { trailing_.add(name.c_str(), -1); }
+  void positional_list(std::string const& name) { positional_.add(name.c_str(), -1); }
 
   // Reads the settings; returns an exit code if the program should exit now.
   std::optional<int> read(int const argc, char const* const* const argv) {
@@ -70,7 +70,7 @@
   std::vector<std::string> changed_from(Settings const& old) const {
     std::vector<std::string> names;
     for (auto const& o : options_.options())
-      if (o->long_name() != "settings" && shown(o->long_name()) != old.shown(o->long_name()))
+      if (o->long_name() != "settings" && value_text(o->long_name()) != old.value_text(o->long_name()))
         names.push_back(o->long_name());
     return names;
   }
@@ -79,7 +79,7 @@
   std::vector<std::string> load(int const argc, char const* const* const argv) {
     std::vector<std::string> errors;
     try {
-      po::store(po::command_line_parser(argc, argv).options(options_).positional(trailing_).run(), values_);
+      po::store(po::command_line_parser(argc, argv).options(options_).positional(positional_).run(), values_);
     } catch (po::error const& e) {
       errors.push_back(e.what());
     }
@@ -96,7 +96,7 @@
   }
 
   void check(std::function<void(std::vector<std::string>&)> f) { checks_.push_back(std::move(f)); }
-  void need_name(std::string const& name) {
+  void require_name(std::string const& name) {
     checks_.push_back([this, name](std::vector<std::string>& errors) {
       std::string const v = text(name);
       bool good = !v.empty() && v.size() <= 63;
@@ -106,15 +106,15 @@
       if (!good) errors.push_back(name + ": needed, 1..63 of a-z 0-9 . _ -");
     });
   }
-  void need_address(std::string const& name) {
+  void require_address(std::string const& name) {
     checks_.push_back([this, name](std::vector<std::string>& errors) {
       if (!parse_address(text(name))) errors.push_back(name + ": needed, as ip:port");
     });
   }
-  void need_addresses(std::string const& name, std::size_t const least) {
-    checks_.push_back([this, name, least](std::vector<std::string>& errors) {
+  void require_addresses(std::string const& name, std::size_t const minimum) {
+    checks_.push_back([this, name, minimum](std::vector<std::string>& errors) {
       std::vector<std::string> const all = list(name);
-      if (all.size() < least) errors.push_back(name + ": at least " + std::to_string(least) + " needed");
+      if (all.size() < minimum) errors.push_back(name + ": at least " + std::to_string(minimum) + " needed");
       for (std::string const& a : all)
         if (!parse_address(a)) errors.push_back(name + ": " + a + " is not ip:port");
     });
@@ -128,7 +128,7 @@
   }
 
  private:
-  std::string shown(std::string const& name) const {
+  std::string value_text(std::string const& name) const {
     if (!values_.count(name)) return "";
     boost::any const& v = values_[name].value();
     if (v.type() == typeid(std::string)) return boost::any_cast<std::string>(v);
@@ -185,7 +185,7 @@
 
   std::string const program_;
   po::options_description options_;
-  po::positional_options_description trailing_;
+  po::positional_options_description positional_;
   po::variables_map values_;
   std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> ranges_;
   std::vector<std::function<void(std::vector<std::string>&)>> checks_;
--- a/source/programs/shell_main.cpp
+++ b/source/programs/shell_main.cpp
@@ -149,7 +149,7 @@
     Result<HttpReply> r = make_error("connect", "", "no registry", Proof::not_run);
     for (Address const& door : doors_) {
       std::promise<Result<HttpReply>> p;
-      process_.on_thread([&]() {
+      process_.run_on_thread([&]() {
         asio::co_spawn(world_.executor(), caller_.run_at(door, q, world_.now() + 8s),
                        [&](std::exception_ptr e, Result<HttpReply> got) {
                          p.set_value(e ? Result<HttpReply>(make_error("http", door, "exception")) : std::move(got));
@@ -410,9 +410,9 @@
   s.list("registry", "ip:port of a registry's operator door; repeat, the first that answers is asked");
   s.flag("json", "answers as JSON");
   s.list("ask", "a question; without one the shell reads questions line by line");
-  s.trailing("ask");
+  s.positional_list("ask");
   define_command_flags(s);
-  s.need_addresses("registry", 1);
+  s.require_addresses("registry", 1);
   if (std::optional<int> const code = s.read(argc, argv)) return *code;
   start_logging("OFF", "banktide-shell", "shell");
   Process process;
--- a/source/programs/store_main.cpp
+++ b/source/programs/store_main.cpp
@@ -28,10 +28,10 @@
   s.flag("initial-start", "the seeds found the register: their disks are empty");
   s.number("losses", 1, 0, 9, "with --seed-voter: how many stores may lose their disks at once");
   s.text("data", "", "folder for its file");
-  s.need_name("id");
-  s.need_address("address");
-  s.need_addresses("voter", 0);
-  s.need_addresses("seed-voter", 0);
+  s.require_name("id");
+  s.require_address("address");
+  s.require_addresses("voter", 0);
+  s.require_addresses("seed-voter", 0);
   s.check([&s](std::vector<std::string>& errors) {
     std::vector<std::string> const v = s.list("voter");
     if (v.empty() == (s.list("seed-voter").empty() && s.list("seed-control").empty()))
@@ -84,7 +84,7 @@
     return 1;
   }
   acceptor.attach(dispatcher);
-  process.on_thread([&]() {
+  process.run_on_thread([&]() {
     world.serve(dispatcher);
     if (!fixed) membership.attach(dispatcher);
     spawn(world, fixed ? acceptor.settle() : membership.run());
@@ -97,7 +97,7 @@
   auto const leave = [&] {
     if (!fixed) spawn(world, membership.leave(removal_patience));
   };
-  process.until_told_to_go(
+  process.run_until_shutdown(
       leave, [&] { return fixed || membership.left(); }, reload, removal_patience + 500ms);
   std::_Exit(0);
 }
--- a/tests/coordination/held_values_test.cpp
+++ b/tests/coordination/held_values_test.cpp
@@ -30,11 +30,11 @@
 TEST(HeldValues, lacks_what_is_told_to_be_newer_of_any_register) {
   HeldValues values;
   values.take({{Register::routing, compressed_value(5, "five")}});
-  EXPECT_FALSE(values.lack(values.revisions()));
+  EXPECT_FALSE(values.is_behind(values.revisions()));
   Revisions told = values.revisions();
   told[static_cast<std::size_t>(Register::maintenance)] = 1;
-  EXPECT_TRUE(values.lack(told));
-  EXPECT_FALSE(values.lack(Revisions{}));
+  EXPECT_TRUE(values.is_behind(told));
+  EXPECT_FALSE(values.is_behind(Revisions{}));
 }
 
 TEST(HeldValues, a_configuration_comes_by_deltas_one_after_the_other) {
@@ -43,10 +43,10 @@
   for (Revision n = 1; n <= 4; ++n) versions.push_back(compressed_value(n, numbered_lines(n * 20)));
   values.take({{Register::routing, versions[0]}});
   for (std::size_t i = 1; i < versions.size(); ++i)
-    EXPECT_EQ(values.take_routing_deltas({*make_text_delta(versions[i - 1], versions[i])}).size(), 1u);
+    EXPECT_EQ(values.accept_routing_deltas({*make_text_delta(versions[i - 1], versions[i])}).size(), 1u);
   EXPECT_EQ(values.of(Register::routing).revision, 4u);
   EXPECT_EQ(text_of(values.of(Register::routing)), numbered_lines(80));
-  EXPECT_EQ(values.question().have[0], 4u);
+  EXPECT_EQ(values.request().have[0], 4u);
 }
 
 TEST(HeldValues, a_delta_from_another_version_changes_nothing_and_a_spoilt_one_has_the_whole_asked_for) {
@@ -55,15 +55,15 @@
   Held const third = compressed_value(3, numbered_lines(30));
   HeldValues values;
   values.take({{Register::routing, first}});
-  EXPECT_TRUE(values.take_routing_deltas({*make_text_delta(second, third)}).empty());
-  EXPECT_EQ(values.question().have[0], 1u);
+  EXPECT_TRUE(values.accept_routing_deltas({*make_text_delta(second, third)}).empty());
+  EXPECT_EQ(values.request().have[0], 1u);
   TextDelta spoilt = *make_text_delta(first, second);
   spoilt.bytes.resize(spoilt.bytes.size() / 2);
-  EXPECT_TRUE(values.take_routing_deltas({spoilt}).empty());
+  EXPECT_TRUE(values.accept_routing_deltas({spoilt}).empty());
   EXPECT_EQ(values.of(Register::routing), first);
-  EXPECT_EQ(values.question().have[0], 0u);
+  EXPECT_EQ(values.request().have[0], 0u);
   values.take({{Register::routing, second}});
-  EXPECT_EQ(values.question().have[0], 2u);
+  EXPECT_EQ(values.request().have[0], 2u);
 }
 
 }  // namespace
--- a/tests/coordination/key_table_feed_test.cpp
+++ b/tests/coordination/key_table_feed_test.cpp
@@ -193,7 +193,7 @@
   process.thaw();
   bool here = false;
   auto const fetch = [&t, &here]() -> Task<void> {
-    here = co_await t.nodes.at("a2").follower->fetch_keys(t.newest.revision);
+    here = co_await t.nodes.at("a2").follower->fetch_key_table(t.newest.revision);
   };
   spawn(process, fetch());
   EXPECT_TRUE(t.run_until([&] { return here; }, 200ms));
@@ -225,7 +225,7 @@
   for (std::string const registry : {"ra:1", "rb:1", "rc:1"}) t.kill(registry);
   std::optional<bool> here;
   auto const fetch = [&t, &here]() -> Task<void> {
-    here = co_await t.nodes.at("a2").follower->fetch_keys(t.newest.revision + 1);
+    here = co_await t.nodes.at("a2").follower->fetch_key_table(t.newest.revision + 1);
   };
   spawn(*t.nodes.at("a2").process, fetch());
   EXPECT_TRUE(t.run_until([&] { return here.has_value(); }, 1s));
@@ -264,7 +264,7 @@
     if (!newest) continue;  // a voter may still hold an older ballot: not agreed
     ++seen;
     EXPECT_EQ(newest->revision, n);
-    EXPECT_GE(newest->asked, before);
+    EXPECT_GE(newest->as_of, before);
   }
   EXPECT_GT(seen, 20u);
   EXPECT_EQ(t.bytes.wholes, 0u);
--- a/tests/coordination/register_test.cpp
+++ b/tests/coordination/register_test.cpp
@@ -66,7 +66,7 @@
     Result<ConfirmedValue> const seen = t.confirm(1, Register::keys, known, 2s);
     if (!seen) continue;  // a voter may still hold an older ballot: not agreed
     EXPECT_EQ(seen->held.bytes, std::to_string(n));
-    EXPECT_GE(seen->asked, before);
+    EXPECT_GE(seen->as_of, before);
     known = seen->held;
   }
   EXPECT_GT(known.revision, 20u);
--- a/tests/coordination/registry_directory_test.cpp
+++ b/tests/coordination/registry_directory_test.cpp
@@ -47,7 +47,7 @@
 
 TEST(RegistryDirectory, what_comes_unasked_makes_a_registry_known_but_not_alive) {
   RegistryDirectory directory({});
-  directory.learn_names({entry_of("a", "x:1")}, start);
+  directory.learn_addresses({entry_of("a", "x:1")}, start);
   EXPECT_EQ(directory.entries().size(), 1u);
   EXPECT_FALSE(directory.alive("x:1", start));
   directory.learn_answer({entry_of("a", "y:1", 70000)}, start, start);
--- a/tests/coordination/shared_reading_test.cpp
+++ b/tests/coordination/shared_reading_test.cpp
@@ -32,7 +32,7 @@
     bool const good = co_await shared->read_fresh(came + patience);
     ++answered;
     served += good;
-    stale += good && *shared->newest() < came;
+    stale += good && *shared->latest_start() < came;
     longest = std::max(longest, process->now() - came);
   }
   void ask(std::size_t const askers, Duration const patience) {
@@ -77,7 +77,7 @@
   }
   t.run_for(300ms);
   EXPECT_EQ(t.served, 6000u);
-  EXPECT_LE(t.readings - alone, static_cast<std::size_t>(2300ms / (t.takes + t.settings.least_pause)) + 1);
+  EXPECT_LE(t.readings - alone, static_cast<std::size_t>(2300ms / (t.takes + t.settings.min_pause)) + 1);
 }
 
 TEST(SharedReading, an_asker_is_told_no_at_its_deadline_while_readings_fail) {
@@ -89,9 +89,9 @@
   EXPECT_EQ(t.answered, 10u);
   EXPECT_EQ(t.served, 0u);
   EXPECT_LE(t.longest, 310ms);
-  Instant const last_good = *t.shared->newest();
+  Instant const last_good = *t.shared->latest_start();
   t.run_for(1s);
-  EXPECT_EQ(*t.shared->newest(), last_good);
+  EXPECT_EQ(*t.shared->latest_start(), last_good);
   t.works = true;
   t.ask(1, 300ms);
   t.run_for(400ms);
--- a/tests/coordination/transit_test.cpp
+++ b/tests/coordination/transit_test.cpp
@@ -6,9 +6,9 @@
 namespace banktide {
 namespace {
 
-TEST(Transit, lateness_is_seen_whatever_the_clocks_say) {
+TEST(TransitDelay, lateness_is_seen_whatever_the_clocks_say) {
   for (std::int64_t const offset : {-5000000000ll, 0ll, 7000000000ll}) {
-    Transit t;
+    TransitDelay t;
     std::int64_t now = 20000000000;
     for (int i = 0; i < 100; ++i, now += 500000) {
       std::int64_t const held = i % 10 == 9 ? 1500000 : 0;
@@ -19,7 +19,7 @@
       // The first is asked about, and is late as well.
       if (!late) {
         std::int64_t const clock = now + 300 + (now + 300) / 20000 + offset;
-        late = t.learn("a", clock, came, came + 600us, sent - 1500000, came);
+        late = t.learn_clock("a", clock, came, came + 600us, sent - 1500000, came);
         EXPECT_GE(as_ms(*late), 1499) << "never less than it was";
         EXPECT_LE(as_ms(*late), 1502);
         continue;
@@ -28,13 +28,13 @@
     }
   }
 }
-TEST(Transit, a_sender_quiet_for_long_is_asked_again_and_a_slow_answer_is_not_kept) {
-  Transit t;
+TEST(TransitDelay, a_sender_quiet_for_long_is_asked_again_and_a_slow_answer_is_not_kept) {
+  TransitDelay t;
   Instant const now{1000s};
   EXPECT_FALSE(t.late("a", 0, now));
-  EXPECT_EQ(as_ms(t.learn("a", 5000000, now, now + 300ms, 5000000, now)), 0);
+  EXPECT_EQ(as_ms(t.learn_clock("a", 5000000, now, now + 300ms, 5000000, now)), 0);
   EXPECT_FALSE(t.late("a", 5000000, now + 300ms));
-  t.learn("a", 5000000, now, now + 1ms, 5000000, now);
+  t.learn_clock("a", 5000000, now, now + 1ms, 5000000, now);
   EXPECT_TRUE(t.late("a", 6000000, now + 1s));
   EXPECT_FALSE(t.late("a", 70000000, now + 65s));
 }
--- a/tests/coordination/zone_feed_test.cpp
+++ b/tests/coordination/zone_feed_test.cpp
@@ -112,10 +112,10 @@
     entry.services.push_back(ServiceOffer{"s", node, node + ":1", 8, 2, 0});
   }
   entry.offers = {"s"};
-  t.feed->take_entry(entry);
+  t.feed->update_zone_entry(entry);
   Position const seen = t.feed->position();
   for (std::size_t i = 0; i < entry.services.size(); i += 3) entry.services[i].burden = 5;
-  t.feed->take_entry(entry);
+  t.feed->update_zone_entry(entry);
   FollowReply const told = t.feed->follow(Follow{seen, "a"});
   ASSERT_EQ(told.changes.size(), 1u);
   EXPECT_LT(pack(told).size(), 250u);
@@ -184,7 +184,7 @@
 
 TEST(ZoneFeed, the_roles_of_neighbours_follow_the_ring_as_members_come_and_go) {
   ZoneView view;
-  RingPlaces places("n3");
+  RingNeighbours places("n3");
   std::uint64_t x = 5;
   for (int step = 0; step < 300; ++step) {
     x = x * 6364136223846793005ull + 1442695040888963407ull;
@@ -213,7 +213,7 @@
 
 TEST(ZoneFeed, who_leaves_or_is_suspected_stands_last_in_the_relay_tree_and_stays_on_the_ring) {
   ZoneView view;
-  RingPlaces places("");
+  RingNeighbours places("");
   auto const fold = [&](std::string const& id, Standing const standing) {
     view.fold(Change{0, Member{id, "a", id, Role::node, 1, standing}, std::nullopt, std::nullopt});
     places.follow(view);
@@ -229,7 +229,7 @@
   EXPECT_EQ(then.front(), first[2]);
   std::set<std::string> reached(then.begin(), then.end());
   for (std::string const& id : ids) {
-    RingPlaces of_member(id);
+    RingNeighbours of_member(id);
     of_member.follow(view);
     std::vector<std::string> const below = of_member.relays();
     reached.insert(below.begin(), below.end());
@@ -351,9 +351,9 @@
                t.services_seen("b2", "a") == 5;
       },
       10s));
-  EXPECT_TRUE(t.nodes.at("a4").follower->viewed());
+  EXPECT_TRUE(t.nodes.at("a4").follower->has_view());
   t.nodes.at("b1").backends.clear();
-  t.nodes.at("b1").follower->touch();
+  t.nodes.at("b1").follower->rejoin();
   EXPECT_TRUE(t.run_until([&] { return t.services_seen("a4", "b") == 2; }, 2s));
   EXPECT_FALSE(t.nodes.at("a2").follower->left());
   t.nodes.at("a2").follower->leave();
--- a/tests/programs/client_leaves_trial.hpp
+++ b/tests/programs/client_leaves_trial.hpp
@@ -147,7 +147,7 @@
     beat_.slots = slots;
     beat_.sequence = 1;
     HttpRequest const request;
-    HttpReply const reply = co_await node_->interface_call(request);
+    HttpReply const reply = co_await node_->handle_interface_request(request);
     EXPECT_EQ(reply.status, 200);
   }
 
--- a/tests/programs/departure_test.cpp
+++ b/tests/programs/departure_test.cpp
@@ -11,50 +11,50 @@
 constexpr Duration grace = 5400ms;
 constexpr Instant start = Instant{} + 1000s;
 
-TEST(Departure, before_it_is_told_to_go_a_process_takes_everything_and_never_ends) {
-  Departure departure(notice, grace);
+TEST(GracefulShutdown, before_it_is_told_to_go_a_process_takes_everything_and_never_ends) {
+  GracefulShutdown departure(notice, grace);
   EXPECT_FALSE(departure.leaving());
-  EXPECT_TRUE(departure.takes(start, start + 1h));
-  EXPECT_FALSE(departure.may_end(start, OwedWork{}));
+  EXPECT_TRUE(departure.accepts(start, start + 1h));
+  EXPECT_FALSE(departure.may_exit(start, PendingWork{}));
 }
 
 // Guards against LOST: requests taken 3.0 to 3.2 s after SIGTERM were cut off at the process's end.
-TEST(Departure, takes_no_request_that_may_outlast_its_grace) {
+TEST(GracefulShutdown, takes_no_request_that_may_outlast_its_grace) {
   for (Duration told = 0ms; told <= grace; told += 50ms)
     for (Duration lasts = 50ms; lasts <= grace; lasts += 50ms) {
-      Departure departure(notice, grace);
+      GracefulShutdown departure(notice, grace);
       departure.begin(start);
-      bool const taken = departure.takes(start + told, start + told + lasts);
+      bool const taken = departure.accepts(start + told, start + told + lasts);
       EXPECT_EQ(taken, told <= notice && told + lasts <= grace) << told.count() << " " << lasts.count();
     }
 }
 
-TEST(Departure, a_second_signal_gives_no_second_grace) {
-  Departure departure(notice, grace);
+TEST(GracefulShutdown, a_second_signal_gives_no_second_grace) {
+  GracefulShutdown departure(notice, grace);
   departure.begin(start);
   departure.begin(start + 2s);
-  EXPECT_FALSE(departure.takes(start + 2s, start + grace + 1ms));
-  EXPECT_TRUE(departure.may_end(start + grace, OwedWork{1, 1, 1}));
+  EXPECT_FALSE(departure.accepts(start + 2s, start + grace + 1ms));
+  EXPECT_TRUE(departure.may_exit(start + grace, PendingWork{1, 1, 1}));
 }
 
-TEST(Departure, ends_only_once_it_has_owed_nothing_for_a_moment) {
-  for (OwedWork const owed : {OwedWork{1, 0, 0}, OwedWork{0, 1, 0}, OwedWork{0, 0, 1}}) {
-    Departure departure(notice, grace);
+TEST(GracefulShutdown, ends_only_once_it_has_owed_nothing_for_a_moment) {
+  for (PendingWork const pending_work : {PendingWork{1, 0, 0}, PendingWork{0, 1, 0}, PendingWork{0, 0, 1}}) {
+    GracefulShutdown departure(notice, grace);
     departure.begin(start);
     Instant const after = start + notice + 1ms;
-    EXPECT_FALSE(departure.may_end(start + notice, OwedWork{})) << "clients may still come";
-    EXPECT_FALSE(departure.may_end(after, OwedWork{}));
-    EXPECT_FALSE(departure.may_end(after + Departure::settle_time, owed)) << "new work came in between";
-    EXPECT_FALSE(departure.may_end(after + 2 * Departure::settle_time, OwedWork{}));
-    EXPECT_TRUE(departure.may_end(after + 3 * Departure::settle_time, OwedWork{}));
+    EXPECT_FALSE(departure.may_exit(start + notice, PendingWork{})) << "clients may still come";
+    EXPECT_FALSE(departure.may_exit(after, PendingWork{}));
+    EXPECT_FALSE(departure.may_exit(after + GracefulShutdown::settle_time, pending_work)) << "new work came in between";
+    EXPECT_FALSE(departure.may_exit(after + 2 * GracefulShutdown::settle_time, PendingWork{}));
+    EXPECT_TRUE(departure.may_exit(after + 3 * GracefulShutdown::settle_time, PendingWork{}));
   }
 }
 
-TEST(Departure, ends_with_its_grace_whatever_it_owes) {
-  Departure departure(notice, grace);
+TEST(GracefulShutdown, ends_with_its_grace_whatever_it_owes) {
+  GracefulShutdown departure(notice, grace);
   departure.begin(start);
-  EXPECT_FALSE(departure.may_end(start + grace - 1ms, OwedWork{1, 1, 1}));
-  EXPECT_TRUE(departure.may_end(start + grace, OwedWork{1, 1, 1}));
+  EXPECT_FALSE(departure.may_exit(start + grace - 1ms, PendingWork{1, 1, 1}));
+  EXPECT_TRUE(departure.may_exit(start + grace, PendingWork{1, 1, 1}));
 }
 
 using Script = std::function<Task<void>(LeavingTrial&)>;
@@ -66,13 +66,13 @@
          "\r\nX-Remaining: " + std::to_string(as_ms(lasting)) + "\r\n\r\n";
 }
 
-class DepartureOnEachWay : public ::testing::TestWithParam<Way> {};
+class GracefulShutdownOnEachPath : public ::testing::TestWithParam<Way> {};
 
-INSTANTIATE_TEST_SUITE_P(Ways, DepartureOnEachWay,
+INSTANTIATE_TEST_SUITE_P(Ways, GracefulShutdownOnEachPath,
                          ::testing::Values(Way::same_node, Way::same_zone, Way::through_gateway));
 
 // Guards against LOST: a leaving node took what it could not end.
-TEST_P(DepartureOnEachWay, what_may_outlast_the_node_that_takes_it_is_refused_and_what_fits_runs) {
+TEST_P(GracefulShutdownOnEachPath, what_may_outlast_the_node_that_takes_it_is_refused_and_what_fits_runs) {
   play(GetParam(), [](LeavingTrial& trial) -> Task<void> {
     trial.taker().node().leave();
     TestClient client(pool_io());
@@ -92,24 +92,24 @@
 }
 
 // Guards against LOST: a gateway that left did not count what it had passed on.
-TEST(Departure, a_gateway_owes_what_it_has_passed_on) {
+TEST(GracefulShutdown, a_gateway_owes_what_it_has_passed_on) {
   play(Way::through_gateway, [](LeavingTrial& trial) -> Task<void> {
     TestClient client(pool_io());
     co_await client.connect(trial.taker().clients());
     co_await client.send(request_lasting("a-1", 60s));
     std::shared_ptr<Peer> const run = co_await trial.backend().accept();
     co_await run->next();
-    EXPECT_EQ(trial.gateway().node().owed().requests, 1u);
-    EXPECT_EQ(trial.holder().node().owed().requests, 2u) << "taken from the gateway, and at the backend";
+    EXPECT_EQ(trial.gateway().node().pending_work().requests, 1u);
+    EXPECT_EQ(trial.holder().node().pending_work().requests, 2u) << "taken from the gateway, and at the backend";
     co_await run->send(answer("a-1", "done"));
     HttpReply const reply = co_await client.next();
     EXPECT_EQ(reply.status, 200);
-    EXPECT_TRUE(co_await until([&] { return trial.gateway().node().owed().nothing(); }));
+    EXPECT_TRUE(co_await until([&] { return trial.gateway().node().pending_work().empty(); }));
   });
 }
 
 // Guards against LOST: a node ended with whole answers of its backend unwritten.
-TEST_P(DepartureOnEachWay, an_answer_is_owed_until_its_last_byte_is_written) {
+TEST_P(GracefulShutdownOnEachPath, an_answer_is_owed_until_its_last_byte_is_written) {
   play(GetParam(), [](LeavingTrial& trial) -> Task<void> {
     constexpr std::size_t more_than_sockets_buffer = 24u << 20;
     TestClient client(pool_io());
@@ -120,7 +120,7 @@
     trial.taker().node().leave();
     trial.taker().server().drain();
     co_await run->send(answer("a-1", std::string(more_than_sockets_buffer, 'x')));
-    EXPECT_TRUE(co_await until([&] { return trial.taker().node().owed().requests == 0; }));
+    EXPECT_TRUE(co_await until([&] { return trial.taker().node().pending_work().requests == 0; }));
     EXPECT_EQ(trial.taker().server().busy(), 1u) << "nobody has read the answer yet";
     HttpReply const reply = co_await client.next();
     EXPECT_EQ(reply.body.size(), more_than_sockets_buffer);
--- a/tests/programs/maintenance_interface_test.cpp
+++ b/tests/programs/maintenance_interface_test.cpp
@@ -129,7 +129,7 @@
   Voters const& registers() const { return all; }
   Held const& held(Register) const { return keys; }
   std::vector<RegistryEntry> const& directory() const { return entries; }
-  bool vouched() const { return current; }
+  bool has_quorum_reading() const { return current; }
   std::set<std::string> zone_names() const { return {"a", "b", "c"}; }
   std::vector<CellEntry> zone_entries() const { return offers; }
 
--- a/tests/programs/mesh_trial.hpp
+++ b/tests/programs/mesh_trial.hpp
@@ -229,7 +229,7 @@
     spawn(
         *core.registry_process,
         [](std::shared_ptr<MeshRegistry<SimProcess>> mesh, HttpRequest q, std::shared_ptr<HttpReply> to) -> Task<void> {
-          *to = co_await mesh->interface_call(std::move(q));
+          *to = co_await mesh->handle_interface_request(std::move(q));
         }(core.mesh, request, reply));
     run_until([&] { return reply->status != 0; }, 3s);
     return *reply;
@@ -397,7 +397,7 @@
       beats.push_back(beat);
       HttpRequest const request{"POST", "/beat", {}, std::to_string(beats.size() - 1)};
       Instant const sent = p->now();
-      HttpReply const reply = co_await node->interface_call(request);
+      HttpReply const reply = co_await node->handle_interface_request(request);
       HeartbeatAnswer const answer = reply.body.empty() ? HeartbeatAnswer{} : answers.at(std::stoul(reply.body));
       backend->released.clear();
       bool const lets_go = answer.grant && take_rows(*backend, sent, *answer.grant);
--- a/tests/programs/settings_test.cpp
+++ b/tests/programs/settings_test.cpp
@@ -16,8 +16,8 @@
     s.text("address", "", "");
     s.number("limit", 5, 1, 10, "");
     s.list("seed", "");
-    s.need_name("id");
-    s.need_address("address");
+    s.require_name("id");
+    s.require_address("address");
     std::string const path = file.string();
     std::vector<char const*> argv{"x", "--settings", path.c_str()};
     argv.insert(argv.end(), flags.begin(), flags.end());
