--- a/source/coordination/backend_side.hpp
+++ b/source/coordination/backend_side.hpp
@@ -21,7 +21,7 @@
 class BackendSide {
  public:
   BackendSide(NodeState<Env>& n, B& edge)
-      : n_(n), env_(n.env), settings_(n.s), edge_(edge), leases_(n.env), tick_(n.env.now()) {}
+      : n_(n), env_(n.env), settings_(n.settings), edge_(edge), leases_(n.env), tick_(n.env.now()) {}
 
   void start(Dispatcher& dispatcher) {
     dispatcher.on<Drain>([this](Drain q) { return drain(std::move(q)); });
@@ -79,7 +79,7 @@
     l.refused = false;
     l.last_heartbeat = env_.now();
     return json_reply(200,
-                      {{"known", true}, {"cell", settings_.cell}, {"node", settings_.id}, {"in_flight", l.in_flight}});
+                      {{"known", true}, {"cell", settings_.zone}, {"node", settings_.id}, {"in_flight", l.in_flight}});
   }
 
   // The part of the node beside the backend.
@@ -247,7 +247,7 @@
   Task<void> keep_leases() {
     while (true) {
       co_await sleep_for(env_, 400ms);
-      if (!n_.fresh) continue;
+      if (!n_.has_confirmed_values) continue;
       std::map<Slice, std::string> wanted;
       std::shared_ptr<Rules const> const rules = n_.rules;
       Instant const now = env_.now();
@@ -262,8 +262,8 @@
       }
       std::vector<Address> registries;
       for (RegistryEntry const& e : n_.directory) registries.push_back(e.address);
-      if (n_.cores == 0) continue;
-      co_await leases_.round(n_.holder, wanted, registries, n_.cores / 2 + 1);
+      if (n_.registry_count == 0) continue;
+      co_await leases_.round(n_.lease_holder_id, wanted, registries, n_.registry_count / 2 + 1);
     }
   }
 
--- a/source/coordination/caller_side.hpp
+++ b/source/coordination/caller_side.hpp
@@ -22,7 +22,11 @@
 class CallerSide {
  public:
   CallerSide(NodeState<Env>& n, BackendSide<Env, B>& beside)
-      : n_(n), env_(n.env), settings_(n.s), beside_(beside), journal_(n.s.id, n.incarnation, n.s.decisions_kept) {}
+      : n_(n),
+        env_(n.env),
+        settings_(n.settings),
+        beside_(beside),
+        journal_(n.settings.id, n.incarnation, n.settings.decisions_kept) {}
 
   void start(Dispatcher& dispatcher) {
     dispatcher.on<DecisionsAsk>([this](DecisionsAsk q) -> Task<DecisionsReply> { co_return journal_.since(q); });
@@ -119,7 +123,7 @@
       for (auto const& [name, cell] : n_.view.cells) {
         if (choice.settled && std::find(choice.others.begin(), choice.others.end(), name) == choice.others.end())
           continue;
-        if (name == settings_.cell || std::find(cell.offers.begin(), cell.offers.end(), service) == cell.offers.end())
+        if (name == settings_.zone || std::find(cell.offers.begin(), cell.offers.end(), service) == cell.offers.end())
           continue;
         if (tried.contains("c:" + name) || marks_.ejected("c:" + name + "/" + service, now)) continue;
         for (Member const& g : cell.gateways) {
@@ -148,7 +152,7 @@
       r = co_await beside_.execute(c);
     } else {
       Carry stamped = c;
-      stamped.sender = n_.holder;
+      stamped.sender = n_.lease_holder_id;
       stamped.from = settings_.address;
       stamped.sent_us = std::chrono::duration_cast<std::chrono::microseconds>(env_.now().time_since_epoch()).count();
       Result<CarryReply> got = co_await ask(env_, t.node, std::move(stamped), deadline + 20ms);
@@ -202,7 +206,7 @@
     e.reason = m.reason;
     e.step = m.step;
     e.peer = m.peer;
-    e.cell = cell.empty() ? settings_.cell : cell;
+    e.cell = cell.empty() ? settings_.zone : cell;
     e.keyed = c != nullptr && c->keyed;
     e.slice = e.keyed ? c->slice : 0;
     e.routing = rules.routing;
@@ -213,14 +217,14 @@
   Task<HttpReply> tries(CallChart& chart, std::uint64_t const id, Rules const& rules, ZoneChoice const& choice,
                         Carry carry, bool const repeatable, Instant const deadline) {
     std::set<std::string> tried;
-    Error last{"pick", settings_.cell, "no usable backend", Proof::not_run};
+    Error last{"pick", settings_.zone, "no usable backend", Proof::not_run};
     bool maybe_ran = false;
     for (int n = 0; n < 4; ++n) {
       chart.step(CallState::picking);
       std::optional<Target> const t = pick_target(carry.service, carry.keyed, carry.slice, choice, tried, true);
       std::int64_t const left = as_ms(deadline - env_.now());
       if (!t || left <= 0) {
-        if (t) last = Error{"pick", settings_.cell, "deadline", Proof::not_run};
+        if (t) last = Error{"pick", settings_.zone, "deadline", Proof::not_run};
         break;
       }
       if (n == 0 || broken_on_purpose("no_budget")) {
@@ -275,7 +279,7 @@
 
   Target to_backend(BackendRecord const& b) const {
     return Target{b.node == settings_.id ? settings_.address : n_.view.members.at(b.node).address, b.instance,
-                  settings_.cell, "b:" + b.service + "/" + b.instance};
+                  settings_.zone, "b:" + b.service + "/" + b.instance};
   }
 
   NodeState<Env>& n_;
--- a/source/coordination/carried_side.hpp
+++ b/source/coordination/carried_side.hpp
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "coordination/caller_side.hpp"
-#include "coordination/transit.hpp"
+#include "coordination/transit_delay.hpp"
 
 namespace banktide {
 
@@ -12,11 +12,13 @@
 class CarriedSide {
  public:
   CarriedSide(NodeState<Env>& n, BackendSide<Env, B>& beside, CallerSide<Env, B>& out)
-      : n_(n), env_(n.env), settings_(n.s), beside_(beside), out_(out) {}
+      : n_(n), env_(n.env), settings_(n.settings), beside_(beside), out_(out) {}
 
   void start(Dispatcher& dispatcher) {
     dispatcher.on<Carry>([this](Carry q) { return carried(std::move(q)); });
-    dispatcher.on<ClockAsk>([this](ClockAsk) -> Task<ClockReply> { co_return ClockReply{n_.holder, clock_us()}; });
+    dispatcher.on<ClockAsk>([this](ClockAsk) -> Task<ClockReply> {
+      co_return ClockReply{n_.lease_holder_id, clock_us()};
+    });
   }
 
   std::size_t in_flight() const { return carried_in_flight_; }
@@ -34,16 +36,17 @@
   // if its sender can't be asked, or is no longer the process that sent it.
   Task<std::optional<Duration>> late(Carry const& c) {
     Instant const came = env_.now();
-    std::optional<Duration> const known = transit_.late(c.sender, c.sent_us, came);
+    std::optional<Duration> const known = transit_delay_.delay_of(c.sender, c.sent_us, came);
     if (known) co_return known;
     ClockAsk const question;
     Result<ClockReply> const r = co_await ask(env_, c.from, question, came + 400ms);
     if (!r || r->sender != c.sender) co_return std::nullopt;
-    co_return transit_.learn_clock(c.sender, r->clock_us, came, env_.now(), c.sent_us, came) + (env_.now() - came);
+    co_return transit_delay_.learn_clock(c.sender, r->clock_us, came, env_.now(), c.sent_us, came) +
+        (env_.now() - came);
   }
 
   Task<CarryReply> carried(Carry c) {
-    if (!n_.fresh) co_return not_run("admit", settings_.id, "node is not ready");
+    if (!n_.has_confirmed_values) co_return not_run("admit", settings_.id, "node is not ready");
     if (refusing()) co_return not_run("admit", settings_.id, "node is leaving");
     if (carried_in_flight_ >= 4096) co_return not_run("admit", settings_.id, "backlog full");
     ++carried_in_flight_;
@@ -76,7 +79,7 @@
     ZoneChoice const choice = n_.choose(*rules, s, c.slice);
     if (!choice.stay) co_return not_run("gateway", settings_.id, "the catalogue here has it elsewhere");
     std::optional<Target> const t = out_.pick_target(c.service, c.keyed, c.slice, choice, {}, false);
-    if (!t) co_return not_run("pick", settings_.cell, "no usable backend");
+    if (!t) co_return not_run("pick", settings_.zone, "no usable backend");
     c.instance = t->instance;
     Instant const deadline = env_.now() + std::chrono::milliseconds(c.budget_ms);
     co_return co_await out_.carry_to(*t, c, deadline);
@@ -87,7 +90,7 @@
   ProxySettings& settings_;
   BackendSide<Env, B>& beside_;
   CallerSide<Env, B>& out_;
-  TransitDelay transit_;
+  TransitDelay transit_delay_;
   std::size_t carried_in_flight_ = 0;
 };
 
--- a/source/coordination/node_state.hpp
+++ b/source/coordination/node_state.hpp
@@ -13,7 +13,7 @@
 
 struct ProxySettings {
   std::string id;
-  std::string cell;
+  std::string zone;
   Address address;
   bool gateway = false;
   std::vector<Address> seeds;
@@ -42,31 +42,32 @@
 template <Environment Env>
 class NodeState {
  public:
-  NodeState(Env& world, ProxySettings settings)
+  NodeState(Env& world, ProxySettings initial_settings)
       : env(world),
-        s(std::move(settings)),
+        settings(std::move(initial_settings)),
         incarnation(env.chance()()),
-        holder(s.id + "#" + std::to_string(incarnation)),
+        lease_holder_id(settings.id + "#" + std::to_string(incarnation)),
         started(env.now()),
-        zone(env, FollowerSettings{s.id, s.cell, s.address, s.gateway, s.seeds, FeedTiming{}}) {}
+        follower(env, FollowerSettings{settings.id, settings.zone, settings.address, settings.gateway, settings.seeds,
+                                       FeedTiming{}}) {}
 
-  bool ready() const { return fresh && has_view && !leaving; }
+  bool ready() const { return has_confirmed_values && has_view && !leaving; }
 
   // The cells that have a backend of the service, by this view.
   std::set<std::string> offering(std::string const& service, Instant const now) const {
     std::set<std::string> cells;
     for (auto it = view.backends.lower_bound({service, ""});
          it != view.backends.end() && it->first.first == service && cells.empty(); ++it)
-      if (fit(it->second, now)) cells.insert(s.cell);
+      if (fit(it->second, now)) cells.insert(settings.zone);
     for (auto const& [name, c] : view.cells)
-      if (name != s.cell && !c.gateways.empty() &&
+      if (name != settings.zone && !c.gateways.empty() &&
           std::find(c.offers.begin(), c.offers.end(), service) != c.offers.end())
         cells.insert(name);
     return cells;
   }
 
   ZoneChoice choose(Rules const& rules, Index const service, std::uint32_t const slice) const {
-    return choose_zones(rules.layout, rules.catalogue, s.cell, service, slice,
+    return choose_zones(rules.layout, rules.catalogue, settings.zone, service, slice,
                         [&] { return offering(rules.layout.services[service].name, env.now()); });
   }
 
@@ -75,7 +76,7 @@
     if (b.standing != Standing::fit || !view.usable_node(b.node)) return false;
     auto const d = drained_until.find({b.service, b.instance});
     if (d != drained_until.end() && now < d->second) return false;
-    if (b.node == s.id) {
+    if (b.node == settings.id) {
       auto const l = local_backends.find({b.service, b.instance});
       return l != local_backends.end() && usable(l->second, now);
     }
@@ -84,7 +85,7 @@
 
   bool usable(LocalBackendState const& l, Instant const now) const {
     return (l.record.standing == Standing::fit || broken_on_purpose("drain_unheard")) && !l.refused &&
-           now - l.last_heartbeat <= s.heartbeat_expiry;
+           now - l.last_heartbeat <= settings.heartbeat_expiry;
   }
 
   // The one backend of the cell that should have the slice, by this view.
@@ -106,29 +107,29 @@
   // The registry is to be told anew what this node has.
   void rejoin() {
     if (leaving)
-      zone.leave();
+      follower.leave();
     else
-      zone.rejoin();
+      follower.rejoin();
   }
 
   void note(std::string const& what, Error const& m) { mishaps.note(env.now() - started, what, m); }
 
   Env& env;
-  ProxySettings s;
+  ProxySettings settings;
   std::uint64_t const incarnation;
-  std::string const holder;
+  std::string const lease_holder_id;
   Instant const started;
-  ZoneFollower<Env> zone;
-  ZoneView const& view = zone.view();
+  ZoneFollower<Env> follower;
+  ZoneView const& view = follower.view();
   std::shared_ptr<Rules const> rules = std::make_shared<Rules>();
   std::map<std::pair<std::string, std::string>, LocalBackendState> local_backends;
   std::map<std::pair<std::string, std::string>, Instant> drained_until;
   // As the follower of the zone last said.
   std::vector<RegistryEntry> directory;
-  std::uint32_t cores = 0;
+  std::uint32_t registry_count = 0;
   RecentErrors mishaps;
   Instant left_at{};
-  bool fresh = false, has_view = false, leaving = false;
+  bool has_confirmed_values = false, has_view = false, leaving = false;
 };
 
 }  // namespace banktide
--- a/source/coordination/cell_follower.hpp
+++ b/source/coordination/proxy_zone_follower.hpp
@@ -14,12 +14,12 @@
     events.backends = [this] { return backends(); };
     events.value = [this](Register, Held const&) { take_layouts(); };
     events.status_changed = [this] { take_status(); };
-    n_.zone.set_events(std::move(events));
+    n_.follower.set_events(std::move(events));
   }
 
-  void start(Dispatcher& dispatcher) { n_.zone.start(dispatcher); }
+  void start(Dispatcher& dispatcher) { n_.follower.start(dispatcher); }
 
-  Position at() const { return n_.zone.at(); }
+  Position position() const { return n_.follower.position(); }
 
  private:
   static constexpr std::uint32_t burden_step = 4;  // so that not each call is news
@@ -27,7 +27,7 @@
   std::vector<BackendRecord> backends() const {
     std::vector<BackendRecord> all;
     for (auto const& [key, l] : n_.local_backends) {
-      if (n_.env.now() - l.last_heartbeat > n_.s.heartbeat_expiry || l.refused) continue;
+      if (n_.env.now() - l.last_heartbeat > n_.settings.heartbeat_expiry || l.refused) continue;
       all.push_back(l.record);
       all.back().burden = l.record.burden / burden_step * burden_step;
     }
@@ -35,16 +35,16 @@
   }
 
   void take_status() {
-    n_.directory = n_.zone.directory();
-    n_.cores = n_.zone.cores();
-    n_.fresh = n_.zone.fresh();
-    n_.has_view = n_.zone.has_view();
+    n_.directory = n_.follower.directory();
+    n_.registry_count = n_.follower.registry_count();
+    n_.has_confirmed_values = n_.follower.has_confirmed_values();
+    n_.has_view = n_.follower.has_view();
   }
 
   // Several values may have come at once: the first of their events takes all.
   void take_layouts() {
-    Held const& routing = n_.zone.held(Register::routing);
-    Held const& catalogue = n_.zone.held(Register::catalogue);
+    Held const& routing = n_.follower.held(Register::routing);
+    Held const& catalogue = n_.follower.held(Register::catalogue);
     std::pair<Revision, Revision> const now{routing.revision, catalogue.revision};
     if (now == taken_) return;
     taken_ = now;
--- a/source/coordination/registry_directory.cpp
+++ b/source/coordination/registry_directory.cpp
@@ -48,7 +48,7 @@
   });
 }
 
-std::vector<RegistryEntry> RegistryDirectory::told(Instant const now) const {
+std::vector<RegistryEntry> RegistryDirectory::entries_with_ages(Instant const now) const {
   std::vector<RegistryEntry> out = entries_;
   for (RegistryEntry& e : out) {
     Duration const age = e.address == own_ ? Duration::zero() : now - last_heard_.at(e.address);
--- a/source/coordination/registry_directory.hpp
+++ b/source/coordination/registry_directory.hpp
@@ -36,7 +36,7 @@
   /// All that are known, also those that are silent.
   std::vector<RegistryEntry> const& entries() const { return entries_; }
   /// The same with their ages.
-  std::vector<RegistryEntry> told(Instant now) const;
+  std::vector<RegistryEntry> entries_with_ages(Instant now) const;
   bool alive(Address const& address, Instant now, Duration within = usable_for) const;
   /// Addresses of those heard lately, in order.
   std::vector<Address> live(Instant now, Duration within = usable_for) const;
--- a/source/coordination/transit.hpp
+++ b/source/coordination/transit_delay.hpp
@@ -18,7 +18,7 @@
   static constexpr Duration window = 10s, sender_timeout = 60s, quick_answer = 20ms;
 
   // None: the sender's clock isn't known.
-  std::optional<Duration> late(std::string const& sender, std::int64_t const sent_us, Instant const now) {
+  std::optional<Duration> delay_of(std::string const& sender, std::int64_t const sent_us, Instant const now) {
     auto const it = offsets_.find(sender);
     if (it == offsets_.end() || now - it->second.last > sender_timeout) return std::nullopt;
     ClockOffset& l = it->second;
--- a/source/coordination/zone_feed.hpp
+++ b/source/coordination/zone_feed.hpp
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "coordination/feed_timing.hpp"
-#include "coordination/ring_places.hpp"
+#include "coordination/ring_neighbours.hpp"
 #include "state/journal.hpp"
 #include "state/view_json.hpp"
 #include "transport/environment.hpp"
@@ -100,7 +100,7 @@
     return reply;
   }
 
-  void beat(Beat const& q) { last_heard_[q.id] = env_.now(); }
+  void on_heartbeat(Beat const& q) { last_heard_[q.id] = env_.now(); }
 
   void suspect(Suspect const& q) {
     auto const it = view_.members.find(q.id);
--- a/source/coordination/zone_follower.hpp
+++ b/source/coordination/zone_follower.hpp
@@ -8,14 +8,12 @@
 #include "coordination/feed_timing.hpp"
 #include "coordination/held_values.hpp"
 #include "coordination/registry_directory.hpp"
-#include "coordination/ring_places.hpp"
+#include "coordination/ring_neighbours.hpp"
 #include "protocol/digest.hpp"
 #include "state/cell_view.hpp"
 
 namespace banktide {
 
-using ZoneView = ZoneView;
-
 struct FollowerSettings {
   std::string id;
   std::string zone;
@@ -74,19 +72,19 @@
   std::vector<Address> live_registries() const { return directory_.live(env_.now()); }
   Address own_registry() const { return directory_.registry_of(settings_.zone, env_.now()); }
   /// How many registries there are, as they say themselves.
-  std::uint32_t cores() const { return cores_; }
+  std::uint32_t registry_count() const { return registry_count_; }
   Held const& held(Register const r) const { return values_.of(r); }
   /// There was a reading that a majority vouched for.
-  bool fresh() const { return fresh_; }
+  bool has_confirmed_values() const { return has_confirmed_values_; }
   /// There was a view of the zone.
   bool has_view() const { return has_view_; }
-  Position at() const { return position_; }
+  Position position() const { return position_; }
   std::uint64_t incarnation() const { return incarnation_; }
   /// How long ago any registry or member was last heard.
   Duration since_contact() const { return env_.now() - last_contact_; }
 
   /// Takes up a chosen value that the owner has from elsewhere.
-  void take(Register const r, Held const& held) { accept_values({{r, held}}); }
+  void accept(Register const r, Held const& held) { accept_values({{r, held}}); }
   /// Asks registries for a table of keys of at least this revision, which was chosen
   /// a moment ago: the own one, again for a while as it may be about to learn of it,
   /// then another. True if the table is here then, also by news.
@@ -121,7 +119,7 @@
     rejoin();
   }
   /// The registry knows that this node is leaving.
-  bool left() const { return left_; }
+  bool leave_acknowledged() const { return leave_acknowledged_; }
 
  private:
   // ---- what is heard
@@ -143,19 +141,19 @@
     directory_.learn_addresses(q.registries, env_.now());
     status_changed();
     MeetReply reply;
-    reply.registries = directory_.told(env_.now());
-    reply.cores = cores_;
+    reply.registries = directory_.entries_with_ages(env_.now());
+    reply.cores = registry_count_;
     co_return reply;
   }
 
   Task<void> meet_one(Address const peer) {
     Instant const asked = env_.now();
-    Meet const request{directory_.told(asked)};
+    Meet const request{directory_.entries_with_ages(asked)};
     Result<MeetReply> const r = co_await ask(env_, peer, request, asked + meet_timeout);
     if (!r) co_return;
     heard(peer);
     directory_.learn_answer(r->registries, asked, env_.now());
-    cores_ = std::max(cores_, r->cores);
+    registry_count_ = std::max(registry_count_, r->cores);
     status_changed();
   }
 
@@ -214,7 +212,7 @@
 
   void handle_join_reply(Join const& q, JoinReply const& r, Address const& registry) {
     heard(registry);
-    if (r.taken && q.self.standing == Standing::leaving) left_ = true;
+    if (r.taken && q.self.standing == Standing::leaving) leave_acknowledged_ = true;
     if (!r.taken && r.incarnation > incarnation_) {
       incarnation_ = r.incarnation;
       join_due_ = true;
@@ -230,7 +228,7 @@
   void accept_values(std::vector<std::pair<Register, Held>> newer) {
     if (broken_on_purpose("old_catalogue") && held(Register::catalogue).revision > 0)
       std::erase_if(newer, [](auto const& value) { return value.first == Register::catalogue; });
-    notify_accepted(values_.take(newer));
+    notify_accepted(values_.accept(newer));
   }
   void accept_deltas(std::vector<KeyDelta> const& of_keys, std::vector<TextDelta> const& of_routing) {
     notify_accepted(values_.accept_key_deltas(of_keys));
@@ -284,7 +282,7 @@
     for (Change const& c : changes) {
       if (c.seq != position_.seq + 1) continue;
       position_.seq = c.seq;
-      view_.apply_changes(c);
+      view_.fold(c);
       changed = true;
     }
     check_own_entry();
@@ -327,7 +325,7 @@
     co_return FollowOutcome::followed;
   }
 
-  Duration values_timeout() const { return fresh_ ? Duration(400ms) : Duration(1000ms); }
+  Duration values_timeout() const { return has_confirmed_values_ ? Duration(400ms) : Duration(1000ms); }
 
   // The newest values that a quorum vouches for: from the registry named, if it answers and vouches for its own, else
   // from others. False if nobody vouched.
@@ -348,7 +346,7 @@
   Task<bool> catch_up_from_one_of(std::vector<Address> const from) {
     if (from.empty()) co_return false;
     LayoutsAsk request = values_.request();
-    request.fresh = !fresh_;
+    request.fresh = !has_confirmed_values_;
     request.revisions_only = true;
     Instant const asked = env_.now();
     auto const confirms = [](auto const& reply) { return reply.second && reply.second->known; };
@@ -370,7 +368,7 @@
   // Takes whatever newer values that registry has. Whether it vouches for them.
   Task<bool> ask_for_values(Address const from, Instant const deadline) {
     LayoutsAsk request = values_.request();
-    request.fresh = !fresh_;
+    request.fresh = !has_confirmed_values_;
     Instant const asked = env_.now();
     std::optional<LayoutsReply> const reply = co_await ask_registry(from, request, deadline);
     if (reply && reply->known) accept_confirmed_reply(*reply, asked);
@@ -398,8 +396,8 @@
     bool const here = held(Register::routing).revision >= reply.revisions[static_cast<std::size_t>(Register::routing)];
     if (here && events_.routing_confirmed)
       events_.routing_confirmed(asked - std::chrono::milliseconds(reply.reading_age_ms));
-    if (fresh_) return;
-    fresh_ = true;
+    if (has_confirmed_values_) return;
+    has_confirmed_values_ = true;
     status_changed();
   }
 
@@ -419,7 +417,7 @@
     while (true) {
       if (!is_behind_) co_await refresh_alarm_.wait(env_.now() + timing_.pulse_every);
       bool const unconfirmed = env_.now() - confirmed_at_ > timing_.pulse_missed;
-      if (!is_behind_ && !unconfirmed && fresh_ && has_view_) continue;
+      if (!is_behind_ && !unconfirmed && has_confirmed_values_ && has_view_) continue;
       is_behind_ = false;
       Address const own = own_registry();
       FollowOutcome const view = co_await catch_up_view(own);
@@ -543,10 +541,11 @@
   Position position_;
   std::map<std::string, Instant> last_heard_;
   Duration ask_pause_ = shortest_ask_pause;  // doubles while nobody vouches for values
-  std::uint32_t cores_ = 0;
+  std::uint32_t registry_count_ = 0;
   std::uint64_t incarnation_ = 1, pulse_ = 0, pulse_epoch_ = 0;
   Instant confirmed_at_{};
-  bool fresh_ = false, has_view_ = false, leaving_ = false, left_ = false, join_due_ = true, is_behind_ = false;
+  bool has_confirmed_values_ = false, has_view_ = false, leaving_ = false, leave_acknowledged_ = false,
+       join_due_ = true, is_behind_ = false;
   bool recheck_pending_ = false;  // whether this node is behind one that it heard a beat of
 };
 
--- a/source/programs/mesh_node.hpp
+++ b/source/programs/mesh_node.hpp
@@ -64,8 +64,8 @@
 
   /** Readiness: whether clients of this machine should send new requests here. */
   bool ready() const {
-    bool const informed = follower_.fresh() && follower_.has_view() && path_.router() && in_contact();
-    return !graceful_shutdown_.leaving() && informed && path_.lets_tenants_in();
+    bool const informed = follower_.has_confirmed_values() && follower_.has_view() && path_.router() && in_contact();
+    return !departure_.leaving() && informed && path_.lets_tenants_in();
   }
   bool idle() const { return pending_work().requests == 0; }
   /** Requests in flight and bytes queued here. Client connections are counted by the HTTP server, not here. */
@@ -415,7 +415,7 @@
     grant_alarm_.wake();
     if (has_table(newest->revision)) co_return true;
     bool const here = co_await follower_.fetch_key_table(newest->revision);
-    if (!here) co_await read_table(env_.now() + confirm_timeout);
+    if (!here) co_await read_table(env_.now() + confirm_patience);
     co_return has_table(newest->revision);
   }
   bool has_table(Revision const wanted) const { return wanted <= (table_ ? table_->revision : 0); }
@@ -424,10 +424,10 @@
     Held const known = follower_.held(Register::keys);
     Result<ConfirmedValue> const read = co_await registers_.confirm(Register::keys, known, deadline);
     if (!read || !keys_) co_return;
-    confirmed_at_ = read->as_of;
-    follower_.take(Register::keys, read->held);
-    apply_key_table(read->held);
-    keys_->on_confirmed(read->held.revision, read->as_of);
+    confirmed_at_ = read->asked;
+    follower_.accept(Register::keys, read->held);
+    take_keys(read->held);
+    keys_->on_confirmed(read->held.revision, read->asked);
     grant_alarm_.wake();
   }
 
--- a/source/programs/proxy.hpp
+++ b/source/programs/proxy.hpp
@@ -7,7 +7,7 @@
 #pragma once
 
 #include "coordination/carried_side.hpp"
-#include "coordination/cell_follower.hpp"
+#include "coordination/proxy_zone_follower.hpp"
 #include "state/view_json.hpp"
 
 namespace banktide {
@@ -35,15 +35,15 @@
     return (caller_side_.in_flight() == 0 && carried_side_.in_flight() == 0) || broken_on_purpose("leaves_at_once");
   }
   void leave() {
-    node_.leaving = true;
-    node_.left_at = node_.env.now();
-    node_.rejoin();
+    n_.leaving = true;
+    n_.left_at = n_.env.now();
+    n_.rejoin();
   }
   // Applies the settings that may change at run time.
-  void apply_settings(ProxySettings const& s) {
-    node_.s.heartbeat_expiry = s.heartbeat_expiry;
-    node_.s.backend_limit = s.backend_limit;
-    node_.s.slice_limit = s.slice_limit;
+  void tune(ProxySettings const& s) {
+    n_.settings.heartbeat_expiry = s.heartbeat_expiry;
+    n_.settings.backend_limit = s.backend_limit;
+    n_.settings.slice_limit = s.slice_limit;
   }
   Rules const& rules() const { return *node_.rules; }
 
@@ -62,21 +62,21 @@
     if (path == "/ready")
       return json_reply(
           ready() ? 200 : 503,
-          {{"ready", ready()}, {"fresh", node_.fresh}, {"viewed", node_.has_view}, {"leaving", node_.leaving}});
+          {{"ready", ready()}, {"fresh", n_.has_confirmed_values}, {"viewed", n_.has_view}, {"leaving", n_.leaving}});
     if (path == "/state") return json_reply(200, state());
     if (path == "/mishaps") return json_reply(200, node_.mishaps.json());
     return json_reply(404, {{"error", "no such resource"}, {"path", path}});
   }
 
   Json state() const {
-    Json j = view_json(node_.view);
-    j["node"] = node_.s.id;
-    j["cell"] = node_.s.cell;
-    j["gateway"] = node_.s.gateway;
-    j["epoch"] = follower_.at().epoch;
-    j["position"] = follower_.at().seq;
-    j["routing"] = node_.rules->routing;
-    j["catalogue"] = node_.rules->catalogue_revision;
+    Json j = view_json(n_.view);
+    j["node"] = n_.settings.id;
+    j["cell"] = n_.settings.zone;
+    j["gateway"] = n_.settings.gateway;
+    j["epoch"] = follower_.position().epoch;
+    j["position"] = follower_.position().seq;
+    j["routing"] = n_.rules->routing;
+    j["catalogue"] = n_.rules->catalogue_revision;
     j["ready"] = ready();
     j["budget"] = caller_side_.budget_json();
     j["calls"] = caller_side_.calls_json();
@@ -88,11 +88,11 @@
   }
 
  private:
-  NodeState<Env> node_;
+  NodeState<Env> n_;
   ProxyZoneFollower<Env> follower_;
-  BackendSide<Env, B> backend_side_;
-  CallerSide<Env, B> caller_side_;
-  CarriedSide<Env, B> carried_side_;
+  BackendSide<Env, B> beside_;
+  CallerSide<Env, B> callers_;
+  CarriedSide<Env, B> carried_;
 };
 
 }  // namespace banktide
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -347,8 +347,8 @@
   Task<MeetReply> meet(Meet q) {
     directory_.learn_addresses(q.registries, env_.now());
     MeetReply reply;
-    reply.registries = directory_.told(env_.now());
-    std::size_t const cores = settings_.voters.empty() ? directory_.entries().size() : settings_.voters.size();
+    reply.registries = directory_.entries_with_ages(env_.now());
+    std::size_t const cores = s_.voters.empty() ? directory_.entries().size() : s_.voters.size();
     reply.cores = static_cast<std::uint32_t>(cores);
     co_return reply;
   }
@@ -356,8 +356,8 @@
   // One task for each peer, so that a peer that hangs doesn't delay the others.
   Task<void> meet_one(Address const peer) {
     Instant const asked = env_.now();
-    Meet const question{directory_.told(asked)};
-    Result<MeetReply> const r = co_await ask(env_, peer, question, asked + meet_timeout);
+    Meet const question{directory_.entries_with_ages(asked)};
+    Result<MeetReply> const r = co_await ask(env_, peer, question, asked + meet_patience);
     if (!r) co_return;
     directory_.heard(peer, env_.now());
     directory_.learn_answer(r->registries, asked, env_.now());
@@ -399,7 +399,7 @@
     co_return Told{};
   }
 
-  void distribute_entry(CellEntry const& entry) {
+  void show(CellEntry const& entry) {
     for (auto const& [zone, feed] : feeds_) feed->update_zone_entry(entry);
   }
 
@@ -471,7 +471,7 @@
 
   Task<Told> beat(Beat q) {
     std::shared_ptr<ZoneFeed<Env>> const feed = feed_of(q.zone);
-    if (feed) feed->beat(q);
+    if (feed) feed->on_heartbeat(q);
     co_return Told{};
   }
 
--- a/tests/coordination/held_values_test.cpp
+++ b/tests/coordination/held_values_test.cpp
@@ -19,17 +19,17 @@
 TEST(HeldValues, takes_only_what_is_newer_and_whole) {
   HeldValues values;
   Held const second = compressed_value(2, "two");
-  EXPECT_EQ(values.take({{Register::routing, second}}), std::vector<Register>{Register::routing});
-  EXPECT_TRUE(values.take({{Register::routing, compressed_value(1, "one")}}).empty());
+  EXPECT_EQ(values.accept({{Register::routing, second}}), std::vector<Register>{Register::routing});
+  EXPECT_TRUE(values.accept({{Register::routing, compressed_value(1, "one")}}).empty());
   Held spoilt = compressed_value(3, "three");
   spoilt.bytes.back() = static_cast<char>(spoilt.bytes.back() ^ 1);
-  EXPECT_TRUE(values.take({{Register::routing, spoilt}}).empty());
+  EXPECT_TRUE(values.accept({{Register::routing, spoilt}}).empty());
   EXPECT_EQ(values.of(Register::routing), second);
 }
 
 TEST(HeldValues, lacks_what_is_told_to_be_newer_of_any_register) {
   HeldValues values;
-  values.take({{Register::routing, compressed_value(5, "five")}});
+  values.accept({{Register::routing, compressed_value(5, "five")}});
   EXPECT_FALSE(values.is_behind(values.revisions()));
   Revisions told = values.revisions();
   told[static_cast<std::size_t>(Register::maintenance)] = 1;
@@ -41,7 +41,7 @@
   HeldValues values;
   std::vector<Held> versions;
   for (Revision n = 1; n <= 4; ++n) versions.push_back(compressed_value(n, numbered_lines(n * 20)));
-  values.take({{Register::routing, versions[0]}});
+  values.accept({{Register::routing, versions[0]}});
   for (std::size_t i = 1; i < versions.size(); ++i)
     EXPECT_EQ(values.accept_routing_deltas({*make_text_delta(versions[i - 1], versions[i])}).size(), 1u);
   EXPECT_EQ(values.of(Register::routing).revision, 4u);
@@ -54,7 +54,7 @@
   Held const second = compressed_value(2, numbered_lines(20));
   Held const third = compressed_value(3, numbered_lines(30));
   HeldValues values;
-  values.take({{Register::routing, first}});
+  values.accept({{Register::routing, first}});
   EXPECT_TRUE(values.accept_routing_deltas({*make_text_delta(second, third)}).empty());
   EXPECT_EQ(values.request().have[0], 1u);
   TextDelta spoilt = *make_text_delta(first, second);
@@ -62,7 +62,7 @@
   EXPECT_TRUE(values.accept_routing_deltas({spoilt}).empty());
   EXPECT_EQ(values.of(Register::routing), first);
   EXPECT_EQ(values.request().have[0], 0u);
-  values.take({{Register::routing, second}});
+  values.accept({{Register::routing, second}});
   EXPECT_EQ(values.request().have[0], 2u);
 }
 
--- a/tests/coordination/registry_directory_test.cpp
+++ b/tests/coordination/registry_directory_test.cpp
@@ -33,13 +33,13 @@
   RegistryDirectory first({}), second({});
   first.heard(entry_of("a", "x:1"), start);
   Instant const asked = start + 5s, answered = start + 5400ms;
-  second.learn_answer(first.told(asked + 200ms), asked, answered);
+  second.learn_answer(first.entries_with_ages(asked + 200ms), asked, answered);
   EXPECT_TRUE(second.alive("x:1", start + 7799ms));
   EXPECT_FALSE(second.alive("x:1", start + 7801ms));
   for (int round = 0; round < 20; ++round) {
     Instant const now = start + 6s + round * 1s;
-    first.learn_answer(second.told(now), now - 100ms, now);
-    second.learn_answer(first.told(now), now - 100ms, now);
+    first.learn_answer(second.entries_with_ages(now), now - 100ms, now);
+    second.learn_answer(first.entries_with_ages(now), now - 100ms, now);
   }
   EXPECT_FALSE(first.alive("x:1", start + 8s));
   EXPECT_FALSE(second.alive("x:1", start + 8s));
@@ -101,7 +101,7 @@
   directory.learn_answer({entry_of("wrong", "x:1")}, start + 90s, start + 90s);
   directory.forget_silent(start + 90s);
   EXPECT_EQ(directory.live(start + 90s, 1500ms), std::vector<Address>{"x:1"});
-  EXPECT_EQ(directory.told(start + 90s)[0].age_ms, 0u);
+  EXPECT_EQ(directory.entries_with_ages(start + 90s)[0].age_ms, 0u);
   EXPECT_EQ(directory.zone_of("x:1"), "a");
 }
 
--- a/tests/coordination/transit_test.cpp
+++ b/tests/coordination/transit_delay_test.cpp
@@ -1,5 +1,5 @@
 // How late a message came, whatever the clocks of two machines say.
-#include "coordination/transit.hpp"
+#include "coordination/transit_delay.hpp"
 
 #include <gtest/gtest.h>
 
@@ -14,7 +14,7 @@
       std::int64_t const held = i % 10 == 9 ? 1500000 : 0;
       std::int64_t const sent = (now - 200 - held) + (now - held) / 20000 + offset;  // 50 ppm fast
       Instant const came{std::chrono::microseconds(now)};
-      std::optional<Duration> late = t.late("a", sent, came);
+      std::optional<Duration> late = t.delay_of("a", sent, came);
       ASSERT_EQ(late.has_value(), i > 0);
       // The first is asked about, and is late as well.
       if (!late) {
@@ -31,12 +31,12 @@
 TEST(TransitDelay, a_sender_quiet_for_long_is_asked_again_and_a_slow_answer_is_not_kept) {
   TransitDelay t;
   Instant const now{1000s};
-  EXPECT_FALSE(t.late("a", 0, now));
+  EXPECT_FALSE(t.delay_of("a", 0, now));
   EXPECT_EQ(as_ms(t.learn_clock("a", 5000000, now, now + 300ms, 5000000, now)), 0);
-  EXPECT_FALSE(t.late("a", 5000000, now + 300ms));
+  EXPECT_FALSE(t.delay_of("a", 5000000, now + 300ms));
   t.learn_clock("a", 5000000, now, now + 1ms, 5000000, now);
-  EXPECT_TRUE(t.late("a", 6000000, now + 1s));
-  EXPECT_FALSE(t.late("a", 70000000, now + 65s));
+  EXPECT_TRUE(t.delay_of("a", 6000000, now + 1s));
+  EXPECT_FALSE(t.delay_of("a", 70000000, now + 65s));
 }
 
 }  // namespace
--- a/tests/coordination/zone_feed_test.cpp
+++ b/tests/coordination/zone_feed_test.cpp
@@ -37,7 +37,7 @@
     for (Instant const end = sim.now + d; sim.now < end;) {
       run_for(200ms);
       for (auto const& [id, m] : feed->view().members)
-        if (id != silent) feed->beat(Beat{id, m.address, 1, Position{}, "a"});
+        if (id != silent) feed->on_heartbeat(Beat{id, m.address, 1, Position{}, "a"});
       feed->watch();
     }
   }
@@ -355,9 +355,9 @@
   t.nodes.at("b1").backends.clear();
   t.nodes.at("b1").follower->rejoin();
   EXPECT_TRUE(t.run_until([&] { return t.services_seen("a4", "b") == 2; }, 2s));
-  EXPECT_FALSE(t.nodes.at("a2").follower->left());
+  EXPECT_FALSE(t.nodes.at("a2").follower->leave_acknowledged());
   t.nodes.at("a2").follower->leave();
-  EXPECT_TRUE(t.run_until([&] { return t.nodes.at("a2").follower->left(); }, 2s));
+  EXPECT_TRUE(t.run_until([&] { return t.nodes.at("a2").follower->leave_acknowledged(); }, 2s));
   EXPECT_TRUE(t.run_until([&] { return t.nodes_seen("a4") == 4 && t.services_seen("b0", "a") == 4; }, 2s));
 }
 
