--- a/source/coordination/backend_side.hpp
+++ b/source/coordination/backend_side.hpp
@@ -83,7 +83,7 @@
   }
 
   // The part of the node beside the backend.
-  Task<CarryReply> execute(Carry c) {
+  Task<ForwardCallReply> execute(ForwardCall c) {
     notice_freeze();
     Instant const now = env_.now();
     Instant const deadline = now + std::chrono::milliseconds(c.budget_ms);
@@ -134,13 +134,13 @@
       if (!reply && reply.error().step == "connect") after->second.refused = true;
     }
     if (!reply)
-      co_return CarryReply{
+      co_return ForwardCallReply{
           unknown ? Outcome::unknown : Outcome::not_run, {}, reply.error().step, settings_.id, reply.error().reason};
     bool const marked = std::any_of(reply->headers.begin(), reply->headers.end(),
                                     [](Header const& h) { return h.name == "banktide-not-run"; });
     if (marked) co_return not_run("backend_said", settings_.id, "backend says it did not run");
     strip_hop(reply->headers, false);
-    co_return CarryReply{Outcome::answered, std::move(*reply), "", "", ""};
+    co_return ForwardCallReply{Outcome::answered, std::move(*reply), "", "", ""};
   }
 
   Json json() const {
@@ -183,9 +183,9 @@
     }
   }
 
-  Task<Told> drain(Drain q) {
+  Task<NoReply> drain(Drain q) {
     if (n_.drained_until.size() < 4096) n_.drained_until[{q.backend.service, q.backend.instance}] = env_.now() + 10s;
-    co_return Told{};
+    co_return NoReply{};
   }
 
   Task<void> keep_expiring() {
--- a/source/coordination/caller_side.hpp
+++ b/source/coordination/caller_side.hpp
@@ -29,7 +29,8 @@
         journal_(n.settings.id, n.incarnation, n.settings.decisions_kept) {}
 
   void start(Dispatcher& dispatcher) {
-    dispatcher.on<DecisionsAsk>([this](DecisionsAsk q) -> Task<DecisionsReply> { co_return journal_.since(q); });
+    dispatcher.on<DecisionsRequest>(
+        [this](DecisionsRequest q) -> Task<DecisionsReply> { co_return journal_.since(q); });
   }
 
   std::size_t in_flight() const { return calls_in_flight_; }
@@ -40,7 +41,7 @@
 
   Task<HttpReply> call(HttpRequest q) {
     std::uint64_t const id = ++last_call_;
-    CallChart chart;
+    CallStateMachine chart;
     Instant const start = env_.now();
     std::shared_ptr<Rules const> const rules = n_.rules;
     if (!n_.ready())
@@ -54,7 +55,7 @@
       co_return dropped(chart, id, *rules, "", 404,
                         Error{"find_way", settings_.id, "no way for this path", Proof::not_run});
     Service const& service = rules->layout.services[s];
-    Carry carry;
+    ForwardCall carry;
     carry.service = service.name;
     carry.routing = rules->routing;
     if (service.keyed()) {
@@ -145,17 +146,17 @@
     return std::nullopt;
   }
 
-  Task<CarryReply> carry_to(Target const& t, Carry const& c, Instant const deadline) {
+  Task<ForwardCallReply> carry_to(Target const& t, ForwardCall const& c, Instant const deadline) {
     ++marks_.at(t.mark, env_.now()).in_flight;
-    CarryReply r;
+    ForwardCallReply r;
     if (t.node == settings_.address && !t.instance.empty()) {
       r = co_await beside_.execute(c);
     } else {
-      Carry stamped = c;
+      ForwardCall stamped = c;
       stamped.sender = n_.lease_holder_id;
       stamped.from = settings_.address;
       stamped.sent_us = std::chrono::duration_cast<std::chrono::microseconds>(env_.now().time_since_epoch()).count();
-      Result<CarryReply> got = co_await ask(env_, t.node, std::move(stamped), deadline + 20ms);
+      Result<ForwardCallReply> got = co_await ask(env_, t.node, std::move(stamped), deadline + 20ms);
       if (got) {
         r = std::move(*got);
       } else {
@@ -181,8 +182,8 @@
   }
 
  private:
-  HttpReply dropped(CallChart& chart, std::uint64_t const id, Rules const& rules, std::string const& service,
-                    std::uint16_t const status, Error const& m, Carry const* const c = nullptr) {
+  HttpReply dropped(CallStateMachine& chart, std::uint64_t const id, Rules const& rules, std::string const& service,
+                    std::uint16_t const status, Error const& m, ForwardCall const* const c = nullptr) {
     chart.step(CallState::dropped);
     bool const unknown = m.proof == Proof::unknown;
     record(id, chart, "drop", service, m, rules, c);
@@ -195,8 +196,9 @@
     return reply;
   }
 
-  void record(std::uint64_t const id, CallChart const& chart, char const* const decision, std::string const& service,
-              Error const& m, Rules const& rules, Carry const* const c = nullptr, std::string const& cell = "") {
+  void record(std::uint64_t const id, CallStateMachine const& chart, char const* const decision,
+              std::string const& service, Error const& m, Rules const& rules, ForwardCall const* const c = nullptr,
+              std::string const& cell = "") {
     CallEvent e;
     e.at_ms = as_ms(env_.now() - n_.started);
     e.call = id;
@@ -214,8 +216,8 @@
     journal_.append(std::move(e));
   }
 
-  Task<HttpReply> tries(CallChart& chart, std::uint64_t const id, Rules const& rules, ZoneChoice const& choice,
-                        Carry carry, bool const repeatable, Instant const deadline) {
+  Task<HttpReply> tries(CallStateMachine& chart, std::uint64_t const id, Rules const& rules, ZoneChoice const& choice,
+                        ForwardCall carry, bool const repeatable, Instant const deadline) {
     std::set<std::string> tried;
     Error last{"pick", settings_.zone, "no usable backend", Proof::not_run};
     bool maybe_ran = false;
@@ -249,7 +251,7 @@
                                     : "local first",
                    Proof::unknown},
              rules, &carry, t->cell);
-      CarryReply r = co_await carry_to(*t, carry, deadline);
+      ForwardCallReply r = co_await carry_to(*t, carry, deadline);
       chart.step(CallState::waiting);
       if (r.outcome == Outcome::answered && !(broken_on_purpose("no_budget") && repeatable && n == 0)) {
         chart.step(CallState::answered);
--- a/source/coordination/carried_side.hpp
+++ b/source/coordination/carried_side.hpp
@@ -15,8 +15,8 @@
       : n_(n), env_(n.env), settings_(n.settings), beside_(beside), out_(out) {}
 
   void start(Dispatcher& dispatcher) {
-    dispatcher.on<Carry>([this](Carry q) { return carried(std::move(q)); });
-    dispatcher.on<ClockAsk>([this](ClockAsk) -> Task<ClockReply> {
+    dispatcher.on<ForwardCall>([this](ForwardCall q) { return carried(std::move(q)); });
+    dispatcher.on<ClockRequest>([this](ClockRequest) -> Task<ClockReply> {
       co_return ClockReply{n_.lease_holder_id, clock_us()};
     });
   }
@@ -34,30 +34,30 @@
 
   // What the call lost on its way, in a frozen process or a held-up link; none
   // if its sender can't be asked, or is no longer the process that sent it.
-  Task<std::optional<Duration>> late(Carry const& c) {
+  Task<std::optional<Duration>> late(ForwardCall const& c) {
     Instant const came = env_.now();
     std::optional<Duration> const known = transit_delay_.delay_of(c.sender, c.sent_us, came);
     if (known) co_return known;
-    ClockAsk const question;
+    ClockRequest const question;
     Result<ClockReply> const r = co_await ask(env_, c.from, question, came + 400ms);
     if (!r || r->sender != c.sender) co_return std::nullopt;
     co_return transit_delay_.learn_clock(c.sender, r->clock_us, came, env_.now(), c.sent_us, came) +
         (env_.now() - came);
   }
 
-  Task<CarryReply> carried(Carry c) {
+  Task<ForwardCallReply> carried(ForwardCall c) {
     if (!n_.has_confirmed_values) co_return not_run("admit", settings_.id, "node is not ready");
     if (refusing()) co_return not_run("admit", settings_.id, "node is leaving");
     if (carried_in_flight_ >= 4096) co_return not_run("admit", settings_.id, "backlog full");
     ++carried_in_flight_;
-    CarryReply r = co_await admitted(std::move(c));
+    ForwardCallReply r = co_await admitted(std::move(c));
     --carried_in_flight_;
     co_return r;
   }
 
   // What it lost on its way is gone from its time; past its deadline it doesn't
   // run.
-  Task<CarryReply> admitted(Carry c) {
+  Task<ForwardCallReply> admitted(ForwardCall c) {
     if (!broken_on_purpose("runs_late")) {
       std::optional<Duration> const lost = co_await late(c);
       if (!lost) co_return not_run("admit", settings_.id, "its sender's clock is not known");
@@ -71,7 +71,7 @@
   }
 
   // The gateway's part: to a local backend or nowhere, once.
-  Task<CarryReply> pass_on(Carry c) {
+  Task<ForwardCallReply> pass_on(ForwardCall c) {
     if (!settings_.gateway || !c.crossed) co_return not_run("gateway", settings_.id, "not a crossing for a gateway");
     std::shared_ptr<Rules const> const rules = n_.rules;
     Index const s = rules->layout.service_names.find(c.service);
--- a/source/coordination/held_values.cpp
+++ b/source/coordination/held_values.cpp
@@ -22,7 +22,7 @@
   return false;
 }
 
-std::vector<Register> HeldValues::accept(std::vector<std::pair<Register, Held>> const& newer) {
+std::vector<Register> HeldValues::accept(std::vector<std::pair<Register, RegisterValue>> const& newer) {
   std::vector<Register> taken;
   for (auto const& [r, h] : newer) {
     std::size_t const i = static_cast<std::size_t>(r);
@@ -43,7 +43,7 @@
 
 std::vector<Register> HeldValues::accept_key_deltas(std::vector<KeyDelta> const& deltas) {
   if (deltas.empty() || deltas.back().to <= of(Register::keys).revision) return {};
-  Result<Held> next = apply_key_deltas(of(Register::keys), deltas);
+  Result<RegisterValue> next = apply_key_deltas(of(Register::keys), deltas);
   if (next) return accept({{Register::keys, std::move(*next)}});
   if (!starts_at_held_revision(Register::keys, deltas)) return {};
   log_warn("key_delta_refused", {{"reason", next.error().reason}});
@@ -53,7 +53,7 @@
 
 std::vector<Register> HeldValues::accept_routing_deltas(std::vector<TextDelta> const& deltas) {
   if (deltas.empty() || deltas.back().to <= of(Register::routing).revision) return {};
-  Result<Held> next = apply_text_deltas(of(Register::routing), deltas);
+  Result<RegisterValue> next = apply_text_deltas(of(Register::routing), deltas);
   if (next) {
     slot(Register::routing) = std::move(*next);
     return {Register::routing};
@@ -64,15 +64,15 @@
   return {};
 }
 
-LayoutsAsk HeldValues::request_for(Register const r) const {
-  LayoutsAsk request;
+RegisterValuesRequest HeldValues::request_for(Register const r) const {
+  RegisterValuesRequest request;
   request.have.fill(std::numeric_limits<Revision>::max());
   request.have[static_cast<std::size_t>(r)] = this->request().have[static_cast<std::size_t>(r)];
   return request;
 }
 
-LayoutsAsk HeldValues::request() const {
-  LayoutsAsk request;
+RegisterValuesRequest HeldValues::request() const {
+  RegisterValuesRequest request;
   request.have = revisions();
   for (std::size_t i = 0; i < held_.size(); ++i)
     if (refetch_whole_[i]) request.have[i] = 0;
--- a/source/coordination/held_values.hpp
+++ b/source/coordination/held_values.hpp
@@ -8,13 +8,13 @@
 
 class HeldValues {
  public:
-  Held const& of(Register const r) const { return held_.at(static_cast<std::size_t>(r)); }
+  RegisterValue const& of(Register const r) const { return held_.at(static_cast<std::size_t>(r)); }
   Revisions revisions() const;
   /// Whether one of these revisions is newer than what is here.
   bool is_behind(Revisions const& told) const;
 
   /// Takes up those that are newer and whose digest is right; says which.
-  std::vector<Register> accept(std::vector<std::pair<Register, Held>> const& newer);
+  std::vector<Register> accept(std::vector<std::pair<Register, RegisterValue>> const& newer);
   /// The table of keys after these deltas, if they begin at the one here. After deltas that should fit
   /// and don't the whole table is asked for.
   std::vector<Register> accept_key_deltas(std::vector<KeyDelta> const& deltas);
@@ -23,17 +23,17 @@
   std::vector<Register> accept_routing_deltas(std::vector<TextDelta> const& deltas);
 
   /// For all that is newer than here.
-  LayoutsAsk request() const;
+  RegisterValuesRequest request() const;
   /// For this register's value alone.
-  LayoutsAsk request_for(Register r) const;
+  RegisterValuesRequest request_for(Register r) const;
 
  private:
-  Held& slot(Register const r) { return held_[static_cast<std::size_t>(r)]; }
+  RegisterValue& slot(Register const r) { return held_[static_cast<std::size_t>(r)]; }
   /// Whether a delta begins at the value here, so that it should have fitted.
   template <class Delta>
   bool starts_at_held_revision(Register r, std::vector<Delta> const& deltas) const;
 
-  std::array<Held, register_count> held_;
+  std::array<RegisterValue, register_count> held_;
   std::array<bool, register_count> refetch_whole_{};  // a delta from this very version didn't fit
 };
 
--- a/source/coordination/key_coordinator.hpp
+++ b/source/coordination/key_coordinator.hpp
@@ -31,9 +31,9 @@
   }
 
   /// A chosen value of the register, learnt by other ways.
-  void on_chosen(Held const& held) { take(held); }
+  void on_chosen(RegisterValue const& held) { take(held); }
   /// Called with each table that this coordinator has written or read.
-  std::function<void(Held const&)> on_table;
+  std::function<void(RegisterValue const&)> on_table;
   /// Zones whose backends are to hold no keys; may be left empty.
   std::function<std::set<std::string>()> withheld_zones;
 
@@ -60,7 +60,7 @@
   static constexpr Duration step = 100ms;
   static constexpr Duration register_patience = 2s;
 
-  void take(Held const& held) {
+  void take(RegisterValue const& held) {
     if (held.revision <= held_.revision) return;
     Result<KeyTable> table = unpack_key_table(held.bytes, held.revision);
     if (!table) {
@@ -73,7 +73,7 @@
   }
 
   Task<void> refresh() {
-    Result<Held> const read = co_await store_.read(Register::keys, held_, env_.now() + register_patience);
+    Result<RegisterValue> const read = co_await store_.read(Register::keys, held_, env_.now() + register_patience);
     fresh_ = read.has_value();
     if (!read) {
       log_info("key_table_not_read", {{"reason", read.error().reason}});
@@ -86,18 +86,19 @@
     if (withheld_zones) planner_.withhold_zones(withheld_zones());
     std::optional<KeyTable> const plan = planner_.plan(env_.now());
     if (!plan) co_return;
-    Held next;
+    RegisterValue next;
     next.revision = plan->revision;
     next.bytes = pack_key_table(*plan);
     next.digest = digest_of(next.bytes);
-    auto const over = [next](Held const& newest) -> Result<Held> {
+    auto const over = [next](RegisterValue const& newest) -> Result<RegisterValue> {
       if (newest.revision + 1 != next.revision) return make_error("key table", "", "another table came first");
-      Held written = next;
+      RegisterValue written = next;
       written.requests = newest.requests;
       return written;
     };
     std::string const request = "keys-" + std::to_string(env_.chance()());
-    Result<Held> const done = co_await store_.change(Register::keys, request, env_.now() + register_patience, over);
+    Result<RegisterValue> const done =
+        co_await store_.change(Register::keys, request, env_.now() + register_patience, over);
     if (done) {
       take(*done);
     } else {
@@ -111,7 +112,7 @@
   KeyPlanner planner_;
   std::function<bool()> acting_;
   typename Env::Alarm alarm_;
-  Held held_;
+  RegisterValue held_;
   Revision newest_heard_ = 0;
   bool fresh_ = false;
   bool stopped_ = false;
--- a/source/coordination/maintenance_view.hpp
+++ b/source/coordination/maintenance_view.hpp
@@ -13,7 +13,7 @@
 class MaintenanceView {
  public:
   /** Takes a newer value; its remaining times are those of `counted_at`. False: it isn't newer, or can't be read. */
-  bool take(Held const& held, Instant const counted_at) {
+  bool take(RegisterValue const& held, Instant const counted_at) {
     if (held.revision <= revision_) return false;
     Result<MaintenancePlan> read = unpack_maintenance(held.bytes);
     if (!read) {
--- a/source/coordination/proxy_zone_follower.hpp
+++ b/source/coordination/proxy_zone_follower.hpp
@@ -12,7 +12,7 @@
   explicit ProxyZoneFollower(NodeState<Env>& n) : n_(n) {
     FollowerEvents events;
     events.backends = [this] { return backends(); };
-    events.value = [this](Register, Held const&) { take_layouts(); };
+    events.value = [this](Register, RegisterValue const&) { take_layouts(); };
     events.status_changed = [this] { take_status(); };
     n_.follower.set_events(std::move(events));
   }
@@ -43,8 +43,8 @@
 
   // Several values may have come at once: the first of their events takes all.
   void take_layouts() {
-    Held const& routing = n_.follower.held(Register::routing);
-    Held const& catalogue = n_.follower.held(Register::catalogue);
+    RegisterValue const& routing = n_.follower.held(Register::routing);
+    RegisterValue const& catalogue = n_.follower.held(Register::catalogue);
     std::pair<Revision, Revision> const now{routing.revision, catalogue.revision};
     if (now == taken_) return;
     taken_ = now;
--- a/source/coordination/slice_leases.hpp
+++ b/source/coordination/slice_leases.hpp
@@ -53,7 +53,7 @@
   Task<void> round(std::string const holder, std::map<Slice, std::string> const wanted,
                    std::vector<Address> const registries, std::size_t const majority) {
     Instant const start = env_.now();
-    LeaseAsk q;
+    LeaseRequest q;
     q.holder = holder;
     for (auto it = held_.begin(); it != held_.end();) {
       Lease& l = it->second;
@@ -82,8 +82,8 @@
     }
     if (q.want.empty() && q.release.empty()) co_return;
     auto const replies =
-        co_await ask_all<LeaseAsk>(env_, registries, q, start + 600ms, [](auto const&) { return false; });
-    LeaseAsk undo;
+        co_await ask_all<LeaseRequest>(env_, registries, q, start + 600ms, [](auto const&) { return false; });
+    LeaseRequest undo;
     undo.holder = holder;
     for (std::size_t i = 0; i < q.want.size(); ++i) {
       Slice const slice = q.want[i].slice;
--- a/source/coordination/voter_set.cpp
+++ b/source/coordination/voter_set.cpp
@@ -71,7 +71,7 @@
   return next;
 }
 
-void merge_newer(Slot& mine, Slot const& told) {
+void merge_newer(RegisterSlot& mine, RegisterSlot const& told) {
   mine.promised = std::max(mine.promised, told.promised);
   if (told.accepted <= mine.accepted) return;
   mine.accepted = told.accepted;
--- a/source/coordination/voter_set.hpp
+++ b/source/coordination/voter_set.hpp
@@ -47,6 +47,6 @@
 VoterSet with_voter_replaced(VoterSet const& s, std::string const& removed, VoterEntry const& added);
 
 /// Takes into `mine` what `told` has promised or accepted beyond it.
-void merge_newer(Slot& mine, Slot const& told);
+void merge_newer(RegisterSlot& mine, RegisterSlot const& told);
 
 }  // namespace banktide
--- a/source/coordination/zone_entries.hpp
+++ b/source/coordination/zone_entries.hpp
@@ -14,10 +14,10 @@
   /// The entry of a zone kept here, if it is to be told now. `make` is called
   /// only if its feed has moved. The caller fills in the sender.
   template <class Make>
-  std::optional<CellTold> due(std::string const& zone, Position const at, Instant const now, Make make) {
+  std::optional<ZoneAnnouncement> due(std::string const& zone, Position const at, Instant const now, Make make) {
     Outgoing& out = outgoing_[zone];
     if (!(out.at == at)) {
-      CellEntry entry = make();
+      ZoneEntry entry = make();
       if (!(entry == out.entry)) out.repeats_left = repeats;
       out.entry = std::move(entry);
       out.at = at;
@@ -26,7 +26,7 @@
     if (now - out.sent_at < pause) return std::nullopt;
     out.sent_at = now;
     if (out.repeats_left > 0) --out.repeats_left;
-    CellTold told;
+    ZoneAnnouncement told;
     told.entry = out.entry;
     told.at = at;
     return told;
@@ -37,7 +37,7 @@
 
   /// What another registry told; the entry if it counts. Two may tell of one zone
   /// while its nodes go from one to the other: who has more gateways counts.
-  CellEntry const* take(CellTold told, Instant const now) {
+  ZoneEntry const* take(ZoneAnnouncement told, Instant const now) {
     Incoming& known = incoming_[told.entry.cell];
     bool const same = told.sender == known.sender;
     bool const overtaken = same && told.at.epoch == known.at.epoch && told.at.seq < known.at.seq;
@@ -48,11 +48,11 @@
   }
 
   /// Zones of which nobody has told for long, each as an entry with nothing in it.
-  std::vector<CellEntry> forget(Instant const now) {
-    std::vector<CellEntry> gone;
+  std::vector<ZoneEntry> forget(Instant const now) {
+    std::vector<ZoneEntry> gone;
     std::erase_if(incoming_, [&](auto const& e) {
       if (now - e.second.heard < RegistryDirectory::kept_for) return false;
-      gone.push_back(CellEntry{e.first, {}, {}, {}});
+      gone.push_back(ZoneEntry{e.first, {}, {}, {}});
       return true;
     });
     return gone;
@@ -70,12 +70,12 @@
 
   struct Outgoing {
     Position at;
-    CellEntry entry;
+    ZoneEntry entry;
     Instant sent_at{};
     unsigned repeats_left = 0;
   };
   struct Incoming {
-    CellEntry entry;
+    ZoneEntry entry;
     Address sender;
     Position at;
     Instant heard{};
--- a/source/coordination/zone_feed.hpp
+++ b/source/coordination/zone_feed.hpp
@@ -100,7 +100,7 @@
     return reply;
   }
 
-  void on_heartbeat(Beat const& q) { last_heard_[q.id] = env_.now(); }
+  void on_heartbeat(Heartbeat const& q) { last_heard_[q.id] = env_.now(); }
 
   void suspect(Suspect const& q) {
     auto const it = view_.members.find(q.id);
@@ -120,27 +120,27 @@
   void pulse() { send_down(next_update()); }
 
   /// A newer value of a register, at once.
-  void send_value(Register const reg, Held const& held) {
-    News n = next_update();
+  void send_value(Register const reg, RegisterValue const& held) {
+    ZoneUpdate n = next_update();
     n.layouts.emplace_back(reg, held);
     send_down(n);
   }
   /// A newer table of keys, by what has changed.
   void send_key_delta(KeyDelta const& delta) {
-    News n = next_update();
+    ZoneUpdate n = next_update();
     n.key_deltas.push_back(delta);
     send_down(n);
   }
 
   /// A newer configuration, by what has changed.
   void send_routing_delta(TextDelta const& delta) {
-    News n = next_update();
+    ZoneUpdate n = next_update();
     n.routing_deltas.push_back(delta);
     send_down(n);
   }
 
   /// What another zone offers.
-  void update_zone_entry(CellEntry const& entry) {
+  void update_zone_entry(ZoneEntry const& entry) {
     if (entry.cell == settings_.zone) return;
     auto const it = view_.cells.find(entry.cell);
     if (it == view_.cells.end()) return publish(Change{0, std::nullopt, std::nullopt, entry}, Urgency::at_once);
@@ -175,8 +175,8 @@
   }
 
   /// The zone as others see it.
-  CellEntry entry() const {
-    CellEntry e;
+  ZoneEntry entry() const {
+    ZoneEntry e;
     e.cell = settings_.zone;
     for (auto const& [id, m] : view_.members)
       if (m.role == Role::gateway && m.standing == Standing::fit) e.gateways.push_back(m);
@@ -291,8 +291,8 @@
   }
 
   // With all changes that weren't sent yet: whoever gets it has everything up to its position.
-  News next_update() {
-    News n;
+  ZoneUpdate next_update() {
+    ZoneUpdate n;
     n.changes = std::exchange(unsent_, {});
     n.at = position();
     announced_ = n.at;
@@ -303,12 +303,12 @@
     return n;
   }
 
-  void send_down(News const& n) {
+  void send_down(ZoneUpdate const& n) {
     if (!warm() || !has_nodes()) return;
     neighbours_.follow(view_);
     SharedBytes const raw = pack_shared(n);
     for (std::string const& id : neighbours_.first_relays())
-      env_.tell_raw(view_.members.at(id).address, News::kind, raw);
+      env_.tell_raw(view_.members.at(id).address, ZoneUpdate::kind, raw);
   }
 
   // ---- watching
@@ -317,8 +317,9 @@
     if (neighbours_.watchers().empty()) return;
     Position const at = warm() ? announced_ : Position{};
     SharedBytes const raw = pack_shared(
-        Beat{settings_.registry_id, settings_.registry_address, 1, at, settings_.zone, sources_.revisions()});
-    for (std::string const& id : neighbours_.watchers()) env_.tell_raw(view_.members.at(id).address, Beat::kind, raw);
+        Heartbeat{settings_.registry_id, settings_.registry_address, 1, at, settings_.zone, sources_.revisions()});
+    for (std::string const& id : neighbours_.watchers())
+      env_.tell_raw(view_.members.at(id).address, Heartbeat::kind, raw);
   }
 
   // When the member was last heard, as far as silence counts against it: one
--- a/source/coordination/zone_follower.hpp
+++ b/source/coordination/zone_follower.hpp
@@ -28,7 +28,7 @@
   /// The backends that stand beside this node; asked at each join.
   std::function<std::vector<BackendRecord>()> backends;
   /// A newer value of a register is known, and its digest is right.
-  std::function<void(Register, Held const&)> value;
+  std::function<void(Register, RegisterValue const&)> value;
   /// The routing register's value here is the newest of those chosen before this instant, a quorum says.
   std::function<void(Instant)> routing_confirmed;
   /// The view of the zone has changed.
@@ -56,10 +56,10 @@
   void set_events(FollowerEvents events) { events_ = std::move(events); }
 
   void start(Dispatcher& dispatcher) {
-    dispatcher.on<Meet>([this](Meet q) { return meet(std::move(q)); });
-    dispatcher.on<News>([this](News q) { return news(std::move(q)); });
+    dispatcher.on<RegistryExchange>([this](RegistryExchange q) { return meet(std::move(q)); });
+    dispatcher.on<ZoneUpdate>([this](ZoneUpdate q) { return news(std::move(q)); });
     dispatcher.on<Follow>([this](Follow q) { return follow(q); });
-    dispatcher.on<Beat>([this](Beat q) { return on_heartbeat(std::move(q)); });
+    dispatcher.on<Heartbeat>([this](Heartbeat q) { return on_heartbeat(std::move(q)); });
     spawn(env_, meet_loop());
     spawn(env_, join_loop());
     spawn(env_, refresh_loop());
@@ -73,7 +73,7 @@
   Address own_registry() const { return directory_.registry_of(settings_.zone, env_.now()); }
   /// How many registries there are, as they say themselves.
   std::uint32_t registry_count() const { return registry_count_; }
-  Held const& held(Register const r) const { return values_.of(r); }
+  RegisterValue const& held(Register const r) const { return values_.of(r); }
   /// There was a reading that a majority vouched for.
   bool has_confirmed_values() const { return has_confirmed_values_; }
   /// There was a view of the zone.
@@ -84,7 +84,7 @@
   Duration since_contact() const { return env_.now() - last_contact_; }
 
   /// Takes up a chosen value that the owner has from elsewhere.
-  void accept(Register const r, Held const& held) { accept_values({{r, held}}); }
+  void accept(Register const r, RegisterValue const& held) { accept_values({{r, held}}); }
   /// Asks registries for a table of keys of at least this revision, which was chosen
   /// a moment ago: the own one, again for a while as it may be about to learn of it,
   /// then another. True if the table is here then, also by news.
@@ -137,10 +137,10 @@
 
   // ---- the registries
 
-  Task<MeetReply> meet(Meet q) {
+  Task<RegistryExchangeReply> meet(RegistryExchange q) {
     directory_.learn_addresses(q.registries, env_.now());
     status_changed();
-    MeetReply reply;
+    RegistryExchangeReply reply;
     reply.registries = directory_.entries_with_ages(env_.now());
     reply.cores = registry_count_;
     co_return reply;
@@ -148,8 +148,8 @@
 
   Task<void> meet_one(Address const peer) {
     Instant const asked = env_.now();
-    Meet const request{directory_.entries_with_ages(asked)};
-    Result<MeetReply> const r = co_await ask(env_, peer, request, asked + meet_timeout);
+    RegistryExchange const request{directory_.entries_with_ages(asked)};
+    Result<RegistryExchangeReply> const r = co_await ask(env_, peer, request, asked + meet_timeout);
     if (!r) co_return;
     heard(peer);
     directory_.learn_answer(r->registries, asked, env_.now());
@@ -225,7 +225,7 @@
 
   // ---- values of the registers
 
-  void accept_values(std::vector<std::pair<Register, Held>> newer) {
+  void accept_values(std::vector<std::pair<Register, RegisterValue>> newer) {
     if (broken_on_purpose("old_catalogue") && held(Register::catalogue).revision > 0)
       std::erase_if(newer, [](auto const& value) { return value.first == Register::catalogue; });
     notify_accepted(values_.accept(newer));
@@ -238,26 +238,26 @@
     if (!events_.value) return;
     for (Register const r : taken) events_.value(r, held(r));
   }
-  Held const& keys() const { return held(Register::keys); }
+  RegisterValue const& keys() const { return held(Register::keys); }
 
   // ---- news of the zone
 
   // What is to be passed on goes first: reading a value takes long on a small machine, on each level of the tree.
-  Task<Told> news(News q) {
+  Task<NoReply> news(ZoneUpdate q) {
     last_contact_ = env_.now();
     bool const current = is_current(q);
     if (current) pass_on(q);
     accept_values(std::move(q.layouts));
     accept_deltas(q.key_deltas, q.routing_deltas);
-    if (!current) co_return Told{};
+    if (!current) co_return NoReply{};
     apply_changes(q.at, q.changes);
     if (!q.vouched || !(q.at == position_) || values_.is_behind(q.revisions)) mark_behind();
-    co_return Told{};
+    co_return NoReply{};
   }
 
   // Whether the news come from the zone's registry, and are the latest. A registry that has kept the zone before may
   // not know yet that it doesn't.
-  bool is_current(News const& q) {
+  bool is_current(ZoneUpdate const& q) {
     Address const own = own_registry();
     if (!own.empty() && q.root != own) return false;
     directory_.heard(q.root, env_.now() - max_update_delay);
@@ -268,12 +268,12 @@
     return true;
   }
 
-  void pass_on(News const& q) {
+  void pass_on(ZoneUpdate const& q) {
     neighbours_.follow(view_);
     std::vector<std::string> const below = neighbours_.relays();
     if (below.empty()) return;
     SharedBytes const raw = pack_shared(q);
-    for (std::string const& id : below) env_.tell_raw(view_.members.at(id).address, News::kind, raw);
+    for (std::string const& id : below) env_.tell_raw(view_.members.at(id).address, ZoneUpdate::kind, raw);
   }
 
   void apply_changes(Position const at, std::vector<Change> const& changes) {
@@ -345,18 +345,19 @@
   // are newer: whole values of many registries would fill the links.
   Task<bool> catch_up_from_one_of(std::vector<Address> const from) {
     if (from.empty()) co_return false;
-    LayoutsAsk request = values_.request();
+    RegisterValuesRequest request = values_.request();
     request.fresh = !has_confirmed_values_;
     request.revisions_only = true;
     Instant const asked = env_.now();
     auto const confirms = [](auto const& reply) { return reply.second && reply.second->known; };
     auto const one_confirms = [confirms](auto const& replies) { return confirms(replies.back()); };
-    auto const replies = co_await ask_all<LayoutsAsk>(env_, from, request, asked + values_timeout(), one_confirms);
+    auto const replies =
+        co_await ask_all<RegisterValuesRequest>(env_, from, request, asked + values_timeout(), one_confirms);
     for (auto const& [i, r] : replies)
       if (r) heard(from[i]);
     auto const confirming = std::find_if(replies.begin(), replies.end(), confirms);
     if (confirming == replies.end()) co_return false;
-    LayoutsReply const& told = *confirming->second;
+    RegisterValuesReply const& told = *confirming->second;
     if (!values_.is_behind(told.revisions)) {
       accept_confirmed_reply(told, asked);
       co_return true;
@@ -367,22 +368,23 @@
 
   // Takes whatever newer values that registry has. Whether it vouches for them.
   Task<bool> ask_for_values(Address const from, Instant const deadline) {
-    LayoutsAsk request = values_.request();
+    RegisterValuesRequest request = values_.request();
     request.fresh = !has_confirmed_values_;
     Instant const asked = env_.now();
-    std::optional<LayoutsReply> const reply = co_await ask_registry(from, request, deadline);
+    std::optional<RegisterValuesReply> const reply = co_await ask_registry(from, request, deadline);
     if (reply && reply->known) accept_confirmed_reply(*reply, asked);
     co_return reply && reply->known;
   }
 
   Task<void> request_key_table_from(Address const from, Instant const deadline) {
-    LayoutsAsk const request = values_.request_for(Register::keys);
+    RegisterValuesRequest const request = values_.request_for(Register::keys);
     co_await ask_registry(from, request, deadline);
   }
 
   // What one registry has is chosen even if it can't vouch that it's the newest.
-  Task<std::optional<LayoutsReply>> ask_registry(Address const from, LayoutsAsk const request, Instant const deadline) {
-    Result<LayoutsReply> const r = co_await ask(env_, from, request, deadline);
+  Task<std::optional<RegisterValuesReply>> ask_registry(Address const from, RegisterValuesRequest const request,
+                                                        Instant const deadline) {
+    Result<RegisterValuesReply> const r = co_await ask(env_, from, request, deadline);
     if (!r) co_return std::nullopt;
     heard(from);
     accept_values(r->newer);
@@ -391,7 +393,7 @@
   }
 
   // The reply was made after the question was sent, and its reading was begun at most its age before that.
-  void accept_confirmed_reply(LayoutsReply const& reply, Instant const asked) {
+  void accept_confirmed_reply(RegisterValuesReply const& reply, Instant const asked) {
     confirmed_at_ = env_.now();
     bool const here = held(Register::routing).revision >= reply.revisions[static_cast<std::size_t>(Register::routing)];
     if (here && events_.routing_confirmed)
@@ -439,7 +441,7 @@
     Follow const request{};
     Result<FollowReply> const r = co_await ask(env_, from, request, env_.now() + 400ms);
     if (!r || !r->known || !r->snapshot || has_view_) co_return;
-    for (CellEntry const& c : r->snapshot->cells)
+    for (ZoneEntry const& c : r->snapshot->cells)
       if (c.cell != settings_.zone) view_.cells[c.cell] = c;
     has_view_ = true;
     view_changed();
@@ -456,14 +458,14 @@
 
   // ---- beats
 
-  Task<Told> on_heartbeat(Beat q) {
+  Task<NoReply> on_heartbeat(Heartbeat q) {
     last_contact_ = env_.now();
     last_heard_[q.id] = env_.now();
     if (is_ahead(q.at, q.revisions) && !recheck_pending_) {
       recheck_pending_ = true;
       spawn(env_, recheck_behind(q.at, q.revisions));
     }
-    co_return Told{};
+    co_return NoReply{};
   }
 
   bool is_ahead(Position const at, Revisions const& revisions) const {
@@ -493,8 +495,9 @@
   void send_heartbeats() {
     if (neighbours_.watchers().empty()) return;
     SharedBytes const raw = pack_shared(
-        Beat{settings_.id, settings_.address, incarnation_, position_, settings_.zone, values_.revisions()});
-    for (std::string const& id : neighbours_.watchers()) env_.tell_raw(view_.members.at(id).address, Beat::kind, raw);
+        Heartbeat{settings_.id, settings_.address, incarnation_, position_, settings_.zone, values_.revisions()});
+    for (std::string const& id : neighbours_.watchers())
+      env_.tell_raw(view_.members.at(id).address, Heartbeat::kind, raw);
   }
 
   void check_watched(bool const was_suspended) {
--- a/source/data_path/local_backend.hpp
+++ b/source/data_path/local_backend.hpp
@@ -138,7 +138,7 @@
     Instant const deadline = arrived + std::chrono::milliseconds(forward.remaining_ms);
     // What would miss its aim is better refused early: another endpoint, or the
     // client's next try, may still make it.
-    Duration const aim = std::chrono::milliseconds(forward.aim_ms) * s_.aim_percent / 100;
+    Duration const aim = std::chrono::milliseconds(forward.target_latency_ms) * s_.aim_percent / 100;
     Duration const useful = std::min<Duration>(aim, deadline - arrived);
     if (key_is_due(forward, arrived)) co_await wait_for_key(forward, arrived + useful, cancellation);
     if (is_cancelled(cancellation)) co_return cancelled_reply(Proof::not_run);
--- a/source/data_path/request_path.hpp
+++ b/source/data_path/request_path.hpp
@@ -237,7 +237,7 @@
       Result<ForwardReply> got = co_await ask_cancellable(env_, address, forward, deadline, cancellation);
       if (got) {
         reply = std::move(*got);
-        selector_.transferred(address, env_.now() - sent - std::chrono::microseconds(reply.here_us), env_.now());
+        selector_.transferred(address, env_.now() - sent - std::chrono::microseconds(reply.elapsed_us), env_.now());
       } else {
         if (got.error().proof != Proof::not_run) unanswered(address, env_.now() - sent);
         reply.outcome = got.error().proof == Proof::not_run ? Outcome::not_run : Outcome::unknown;
@@ -315,7 +315,7 @@
         if (arrivals >= attempt.attempt_limit || !budget(attempt.forward.service).extra(env_.now())) break;
         ++counts_.retried;
       }
-      attempt.forward.aim_ms = aim_left_ms(attempt, *endpoint);
+      attempt.forward.target_latency_ms = aim_left_ms(attempt, *endpoint);
       attempt.state.step(RequestPhase::forwarded);
       last = co_await send(*endpoint, attempt.forward, attempt.deadline, attempt.cancellation);
       if (last.outcome == Outcome::answered && !worth_repeating(attempt, last)) break;
--- a/source/programs/configuration_interface.hpp
+++ b/source/programs/configuration_interface.hpp
@@ -22,11 +22,12 @@
 
   Task<HttpReply> write(WriteConfigurationOperation const operation) {
     std::string const bytes = compress(operation.bytes);
-    auto const step = [&](Held const& now) -> Result<Held> {
+    auto const step = [&](RegisterValue const& now) -> Result<RegisterValue> {
       if (operation.version == 0 && now.revision == 0) return now;
       return claim_version(now, operation.version, operation.bytes, bytes);
     };
-    Result<Held> const done = co_await registry_.registers().change(Register::routing, "", env_.now() + patience, step);
+    Result<RegisterValue> const done =
+        co_await registry_.registers().change(Register::routing, "", env_.now() + patience, step);
     if (!done) {
       log_warn("configuration_not_taken", {{"version", std::to_string(operation.version)},
                                            {"step", done.error().step},
@@ -48,8 +49,8 @@
   }
 
   Task<HttpReply> read() {
-    Held const known = registry_.held(Register::routing);
-    Result<Held> held = known;
+    RegisterValue const known = registry_.held(Register::routing);
+    Result<RegisterValue> held = known;
     if (!broken_on_purpose("shows_what_it_holds"))
       held = co_await registry_.registers().read(Register::routing, known, env_.now() + patience);
     if (!held) co_return http_reply(adapter_.unavailable_reply(held.error().reason));
--- a/source/programs/hollow_fleet.cpp
+++ b/source/programs/hollow_fleet.cpp
@@ -29,25 +29,25 @@
       return "prepare";
     case Accept::kind:
       return "accept";
-    case Peek::kind:
+    case ReadRegister::kind:
       return "peek";
-    case News::kind:
+    case ZoneUpdate::kind:
       return "news";
     case Follow::kind:
       return "follow";
-    case LayoutsAsk::kind:
+    case RegisterValuesRequest::kind:
       return "values";
     case Join::kind:
       return "join";
-    case Meet::kind:
+    case RegistryExchange::kind:
       return "meet";
-    case Beat::kind:
+    case Heartbeat::kind:
       return "beat";
     case Suspect::kind:
       return "suspect";
-    case CellTold::kind:
+    case ZoneAnnouncement::kind:
       return "zone_entry";
-    case Chosen::kind:
+    case ChosenValue::kind:
       return "chosen";
     case KeyReport::kind:
       return "key_report";
--- a/source/programs/hollow_fleet_objects.cpp
+++ b/source/programs/hollow_fleet_objects.cpp
@@ -83,8 +83,8 @@
   return view;
 }
 
-CellEntry entry_of(std::size_t const n) {
-  CellEntry entry;
+ZoneEntry entry_of(std::size_t const n) {
+  ZoneEntry entry;
   entry.cell = "zone-2";
   for (std::size_t i = 0; i < n; ++i) {
     entry.gateways.push_back(member(i));
@@ -152,14 +152,14 @@
 void measure_view(std::ostream& out, std::size_t const n) {
   measure_made(out, "member", n, [n] { return view_of_members(n); });
   measure_made(out, "backend", n, [n] { return view_of_backends(n); });
-  measure_made(out, "entry_of_backend", n, [n] { return std::make_shared<CellEntry>(entry_of(n)); });
-  CellTold told;
+  measure_made(out, "entry_of_backend", n, [n] { return std::make_shared<ZoneEntry>(entry_of(n)); });
+  ZoneAnnouncement told;
   told.entry = entry_of(n);
   Bytes const packed = pack(told);
   out << "packed_entry_of_backend," << n << "," << static_cast<double>(packed.size()) / static_cast<double>(n)
       << ",0\n";
   measure_made(out, "unpacked_entry_of_backend", n,
-               [&packed] { return std::make_shared<CellTold>(*unpack<CellTold>(packed)); });
+               [&packed] { return std::make_shared<ZoneAnnouncement>(*unpack<ZoneAnnouncement>(packed)); });
   measure_made(out, "endpoint", n, [n] {
     std::shared_ptr<EndpointSelector> const selector = std::make_shared<EndpointSelector>();
     selector->replace(endpoints_of(n));
--- a/source/programs/maintenance_interface.cpp
+++ b/source/programs/maintenance_interface.cpp
@@ -86,10 +86,10 @@
   return tl::unexpected<HttpReply>(std::move(reply));
 }
 
-std::optional<std::string> lack_of_capacity(std::string const& zone, std::vector<CellEntry> const& entries,
+std::optional<std::string> lack_of_capacity(std::string const& zone, std::vector<ZoneEntry> const& entries,
                                             std::set<std::string> const& withheld) {
   std::map<std::string, std::uint64_t> busy, free;
-  for (CellEntry const& entry : entries)
+  for (ZoneEntry const& entry : entries)
     for (ServiceOffer const& offer : entry.services) {
       std::uint32_t const used = offer.burden + offer.waiting;
       if (entry.cell == zone)
@@ -121,9 +121,9 @@
          " stores stand elsewhere, needed are " + std::to_string(quorum_size(voters));
 }
 
-ZoneRemains remains_in(std::string const& zone, std::vector<CellEntry> const& entries, KeyTable const& keys) {
+ZoneRemains remains_in(std::string const& zone, std::vector<ZoneEntry> const& entries, KeyTable const& keys) {
   ZoneRemains remains;
-  for (CellEntry const& entry : entries) {
+  for (ZoneEntry const& entry : entries) {
     if (entry.cell != zone) continue;
     for (ServiceOffer const& offer : entry.services) {
       remains.requests += offer.burden + offer.waiting;
--- a/source/programs/maintenance_interface.hpp
+++ b/source/programs/maintenance_interface.hpp
@@ -44,7 +44,7 @@
 HttpReply maintenance_error(std::uint16_t status, std::string const& name, std::string const& reason);
 
 /** Why the other zones could not carry a zone's load as it was last announced; none if they can. */
-std::optional<std::string> lack_of_capacity(std::string const& zone, std::vector<CellEntry> const& entries,
+std::optional<std::string> lack_of_capacity(std::string const& zone, std::vector<ZoneEntry> const& entries,
                                             std::set<std::string> const& withheld);
 
 /** Why the stores outside a zone could not vouch for the registers, whatever else is withheld; none if they can. */
@@ -58,7 +58,7 @@
   std::size_t backends = 0;  // that run or hold back requests
   std::size_t rows = 0;      // of keys held there
 };
-ZoneRemains remains_in(std::string const& zone, std::vector<CellEntry> const& entries, KeyTable const& keys);
+ZoneRemains remains_in(std::string const& zone, std::vector<ZoneEntry> const& entries, KeyTable const& keys);
 /** Nothing is left in the window's zone; `quiet_for`: for how long no load was announced there. A node tells its
     load now and then, so that one look may miss requests. */
 bool is_clear(MaintenanceWindow const& window, ZoneRemains const& remains, Duration quiet_for);
@@ -156,7 +156,7 @@
   }
 
   ZoneRemains remains(std::string const& zone) const {
-    Held const& held = registry_.held(Register::keys);
+    RegisterValue const& held = registry_.held(Register::keys);
     Result<KeyTable> const keys = unpack_key_table(held.bytes, held.revision);
     return remains_in(zone, registry_.zone_entries(), keys ? *keys : KeyTable{});
   }
--- a/source/programs/mesh_registry.hpp
+++ b/source/programs/mesh_registry.hpp
@@ -24,9 +24,9 @@
         windows_(env, registry.registers(), [this] { return acting(); }),
         maintenance_(env, registry, windows_, maintenance) {
     windows_.known = [this] { return registry_.held(Register::maintenance); };
-    windows_.on_written = [this](Held const& held) { registry_.announce(Register::maintenance, held); };
+    windows_.on_written = [this](RegisterValue const& held) { registry_.announce(Register::maintenance, held); };
     coordinator_.withheld_zones = [this] { return windows_.plan().withheld_zones(); };
-    coordinator_.on_table = [this](Held const& held) { registry_.announce(Register::keys, held); };
+    coordinator_.on_table = [this](RegisterValue const& held) { registry_.announce(Register::keys, held); };
   }
 
   void start(Dispatcher& dispatcher) {
--- a/source/programs/operator_interface.hpp
+++ b/source/programs/operator_interface.hpp
@@ -78,7 +78,7 @@
     } else if (p.reg == Register::routing) {
       Result<Layout> const l = Layout::read(p.bytes);
       if (!l) co_return bad_revision(v, l.error());
-      Result<Held> const catalogue =
+      Result<RegisterValue> const catalogue =
           co_await register_.read(Register::catalogue, held(Register::catalogue), env_.now() + 2s);
       if (!catalogue) co_return not_taken(v, catalogue.error());
       registry_.take(Register::catalogue, *catalogue);
@@ -90,7 +90,8 @@
                                             " would not fit: " + c.error().reason,
                                         Proof::not_run});
     } else {
-      Result<Held> const routing = co_await register_.read(Register::routing, held(Register::routing), env_.now() + 2s);
+      Result<RegisterValue> const routing =
+          co_await register_.read(Register::routing, held(Register::routing), env_.now() + 2s);
       if (!routing) co_return not_taken(v, routing.error());
       if (routing->revision == 0)
         co_return bad_revision(v, Error{"check_references", "", "there is no routing revision yet", Proof::not_run});
@@ -102,13 +103,13 @@
       if (!c) co_return bad_revision(v, c.error());
     }
     Revision newest = 0;
-    Result<Held> done =
-        co_await register_.change(p.reg, p.request, env_.now() + 5s, [&](Held const& now) -> Result<Held> {
+    Result<RegisterValue> done = co_await register_.change(
+        p.reg, p.request, env_.now() + 5s, [&](RegisterValue const& now) -> Result<RegisterValue> {
           newest = now.revision;
           if (expected && *expected != now.revision)
             return make_error("check_if_match", "", "the newest revision is " + std::to_string(now.revision),
                               Proof::not_run);
-          Held next = now;
+          RegisterValue next = now;
           if (p.change) {
             Result<std::string> edited = edit_catalogue(now.bytes, *p.change, layout);
             if (!edited) return tl::unexpected<Error>(edited.error());
@@ -153,9 +154,9 @@
         others.push_back(e.address);
         silent.insert(e.cell);
       }
-    StateAsk const question{true};
+    StateRequest const question{true};
     auto const replies =
-        co_await ask_all<StateAsk>(env_, others, question, env_.now() + 800ms, [](auto const&) { return false; });
+        co_await ask_all<StateRequest>(env_, others, question, env_.now() + 800ms, [](auto const&) { return false; });
     StateReply const own = co_await registry_.state(question);
     Json j = {{"cells", Json::array({Json::parse(own.json)})}};
     for (auto const& [i, r] : replies) {
@@ -192,7 +193,7 @@
     if (path == "/mishaps" && q.method == "GET") co_return json_reply(200, registry_.mishaps().json());
     if (path == "/nodes" && q.method == "GET") co_return json_reply(200, co_await whole_fleet());
     if (path == "/moves" && q.method == "GET") co_return json_reply(200, co_await moves());
-    for (Register const r : all_registers) {
+    for (Register const r : operator_registers) {
       if (path != "/" + register_name(r)) continue;
       if (q.method == "GET") co_return co_await get(r);
       if (q.method == "PUT") co_return co_await put(r, std::move(q));
@@ -207,7 +208,7 @@
   static std::string quoted(Revision const r) { return "\"" + std::to_string(r) + "\""; }
 
   Task<HttpReply> get(Register const r) {
-    Result<Held> h = co_await register_.read(r, held(r), env_.now() + 2s);
+    Result<RegisterValue> h = co_await register_.read(r, held(r), env_.now() + 2s);
     if (!h) co_return not_vouched(h.error());
     registry_.take(r, *h);
     if (h->revision == 0) co_return json_reply(404, {{"error", "nothing was ever put"}, {"revision", 0}});
@@ -272,7 +273,7 @@
     return j;
   }
 
-  Held const& held(Register const r) const { return registry_.held(r); }
+  RegisterValue const& held(Register const r) const { return registry_.held(r); }
   void note(std::string const& what, Error const& m) { registry_.note(what, m); }
 
   Registry<Env>& registry_;
--- a/source/programs/operator_streams.hpp
+++ b/source/programs/operator_streams.hpp
@@ -174,7 +174,7 @@
       co_return json_reply(400, {{"error", "decision is stay, cross or drop"}, {"step", "open_stream"}});
     if (*readers_ >= most_readers) co_return busy("too many readers");
     Reader const reader(readers_);
-    DecisionsAsk question{*at, at->empty(), DecisionFilter{query["service"], decision, query["cell"]}, 60};
+    DecisionsRequest question{*at, at->empty(), DecisionFilter{query["service"], decision, query["cell"]}, 60};
     Instant told{};
     while (!registry_.leaving()) {
       if (!out.full()) {
@@ -271,12 +271,12 @@
     return p;
   }
 
-  Task<DecisionsReply> gather(DecisionsAsk q) {
+  Task<DecisionsReply> gather(DecisionsRequest q) {
     std::vector<Address> others;
     for (RegistryEntry const& e : registry_.directory())
       if (e.address != registry_.address()) others.push_back(e.address);
     auto replies =
-        co_await ask_all<DecisionsAsk>(env_, others, q, env_.now() + 500ms, [](auto const&) { return false; });
+        co_await ask_all<DecisionsRequest>(env_, others, q, env_.now() + 500ms, [](auto const&) { return false; });
     DecisionsReply all = co_await registry_.decisions(q);
     for (auto& [i, r] : replies)
       if (r) Registry<Env>::merge(all, std::move(*r));
--- a/source/programs/proxy.hpp
+++ b/source/programs/proxy.hpp
@@ -23,7 +23,7 @@
         carried_side_(node_, backend_side_, caller_side_) {}
 
   void start(Dispatcher& dispatcher) {
-    dispatcher.on<StateAsk>([this](StateAsk) -> Task<StateReply> { co_return StateReply{state().dump()}; });
+    dispatcher.on<StateRequest>([this](StateRequest) -> Task<StateReply> { co_return StateReply{state().dump()}; });
     follower_.start(dispatcher);
     backend_side_.start(dispatcher);
     caller_side_.start(dispatcher);
@@ -35,15 +35,15 @@
     return (caller_side_.in_flight() == 0 && carried_side_.in_flight() == 0) || broken_on_purpose("leaves_at_once");
   }
   void leave() {
-    n_.leaving = true;
-    n_.left_at = n_.env.now();
-    n_.rejoin();
+    node_.leaving = true;
+    node_.left_at = node_.env.now();
+    node_.rejoin();
   }
   // Applies the settings that may change at run time.
-  void tune(ProxySettings const& s) {
-    n_.settings.heartbeat_expiry = s.heartbeat_expiry;
-    n_.settings.backend_limit = s.backend_limit;
-    n_.settings.slice_limit = s.slice_limit;
+  void apply_settings(ProxySettings const& s) {
+    node_.settings.heartbeat_expiry = s.heartbeat_expiry;
+    node_.settings.backend_limit = s.backend_limit;
+    node_.settings.slice_limit = s.slice_limit;
   }
   Rules const& rules() const { return *node_.rules; }
 
@@ -60,23 +60,24 @@
     }
     if (path == "/live") return json_reply(200, {{"live", true}});
     if (path == "/ready")
-      return json_reply(
-          ready() ? 200 : 503,
-          {{"ready", ready()}, {"fresh", n_.has_confirmed_values}, {"viewed", n_.has_view}, {"leaving", n_.leaving}});
+      return json_reply(ready() ? 200 : 503, {{"ready", ready()},
+                                              {"fresh", node_.has_confirmed_values},
+                                              {"viewed", node_.has_view},
+                                              {"leaving", node_.leaving}});
     if (path == "/state") return json_reply(200, state());
     if (path == "/mishaps") return json_reply(200, node_.mishaps.json());
     return json_reply(404, {{"error", "no such resource"}, {"path", path}});
   }
 
   Json state() const {
-    Json j = view_json(n_.view);
-    j["node"] = n_.settings.id;
-    j["cell"] = n_.settings.zone;
-    j["gateway"] = n_.settings.gateway;
+    Json j = view_json(node_.view);
+    j["node"] = node_.settings.id;
+    j["cell"] = node_.settings.zone;
+    j["gateway"] = node_.settings.gateway;
     j["epoch"] = follower_.position().epoch;
     j["position"] = follower_.position().seq;
-    j["routing"] = n_.rules->routing;
-    j["catalogue"] = n_.rules->catalogue_revision;
+    j["routing"] = node_.rules->routing;
+    j["catalogue"] = node_.rules->catalogue_revision;
     j["ready"] = ready();
     j["budget"] = caller_side_.budget_json();
     j["calls"] = caller_side_.calls_json();
@@ -88,11 +89,11 @@
   }
 
  private:
-  NodeState<Env> n_;
+  NodeState<Env> node_;
   ProxyZoneFollower<Env> follower_;
-  BackendSide<Env, B> beside_;
-  CallerSide<Env, B> callers_;
-  CarriedSide<Env, B> carried_;
+  BackendSide<Env, B> backend_side_;
+  CallerSide<Env, B> caller_side_;
+  CarriedSide<Env, B> carried_side_;
 };
 
 }  // namespace banktide
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -53,15 +53,15 @@
   void start(Dispatcher& dispatcher) {
     dispatcher.on<Join>([this](Join q) { return join(std::move(q)); });
     dispatcher.on<Follow>([this](Follow q) { return follow(std::move(q)); });
-    dispatcher.on<LayoutsAsk>([this](LayoutsAsk q) { return layouts(q); });
-    dispatcher.on<Meet>([this](Meet q) { return meet(std::move(q)); });
-    dispatcher.on<Beat>([this](Beat q) { return beat(std::move(q)); });
+    dispatcher.on<RegisterValuesRequest>([this](RegisterValuesRequest q) { return layouts(q); });
+    dispatcher.on<RegistryExchange>([this](RegistryExchange q) { return meet(std::move(q)); });
+    dispatcher.on<Heartbeat>([this](Heartbeat q) { return beat(std::move(q)); });
     dispatcher.on<Suspect>([this](Suspect q) { return suspect(std::move(q)); });
-    dispatcher.on<CellTold>([this](CellTold q) { return cell_told(std::move(q)); });
-    dispatcher.on<Chosen>([this](Chosen q) { return chosen(std::move(q)); });
-    dispatcher.on<LeaseAsk>([this](LeaseAsk q) { return lease(std::move(q)); });
-    dispatcher.on<DecisionsAsk>([this](DecisionsAsk q) { return decisions(std::move(q)); });
-    dispatcher.on<StateAsk>([this](StateAsk q) { return state(q); });
+    dispatcher.on<ZoneAnnouncement>([this](ZoneAnnouncement q) { return cell_told(std::move(q)); });
+    dispatcher.on<ChosenValue>([this](ChosenValue q) { return chosen(std::move(q)); });
+    dispatcher.on<LeaseRequest>([this](LeaseRequest q) { return lease(std::move(q)); });
+    dispatcher.on<DecisionsRequest>([this](DecisionsRequest q) { return decisions(std::move(q)); });
+    dispatcher.on<StateRequest>([this](StateRequest q) { return state(q); });
     spawn(env_, meet_loop());
     spawn(env_, reading_.run());
     if (!settings_.voters.empty()) spawn(env_, establish_epoch_floor());
@@ -86,7 +86,7 @@
   Env& world() { return env_; }
   Address const& address() const { return settings_.address; }
   RegisterClient<Env>& registers() { return register_; }
-  Held const& held(Register const r) const { return held_.at(static_cast<std::size_t>(r)); }
+  RegisterValue const& held(Register const r) const { return held_.at(static_cast<std::size_t>(r)); }
   /// The view of the own zone.
   ZoneView const& view() const { return own_feed_->view(); }
   Position position() const { return own_feed_->position(); }
@@ -105,8 +105,8 @@
     return names;
   }
   /// The entries of all zones, the own zone included: what each offers to the others.
-  std::vector<CellEntry> zone_entries() const {
-    std::vector<CellEntry> all{own_feed_->entry()};
+  std::vector<ZoneEntry> zone_entries() const {
+    std::vector<ZoneEntry> all{own_feed_->entry()};
     for (auto const& [zone, entry] : view().cells) all.push_back(entry);
     return all;
   }
@@ -117,8 +117,8 @@
   }
 
   /// Applies a value that a majority has accepted and sends it to the nodes.
-  void take(Register const r, Held const& h) {
-    Held& mine = held_.at(static_cast<std::size_t>(r));
+  void take(Register const r, RegisterValue const& h) {
+    RegisterValue& mine = held_.at(static_cast<std::size_t>(r));
     if (h.revision <= mine.revision) return;
     record_delta(r, mine, h);
     mine = h;
@@ -129,13 +129,13 @@
     for (auto const& [zone, feed] : feeds_) send_to_nodes(*feed, r);
   }
   /// As `take`, and sends the value to the other registries too.
-  void announce(Register const r, Held const& h) {
+  void announce(Register const r, RegisterValue const& h) {
     take(r, h);
     KeyDelta const* const delta = r == Register::keys ? key_deltas_.newest() : nullptr;
     if (delta != nullptr && delta->to == h.revision) {
-      send_to_registries(Chosen{r, Held{}, *delta});
+      send_to_registries(ChosenValue{r, RegisterValue{}, *delta});
     } else {
-      send_to_registries(Chosen{r, held(r).revision == h.revision ? held(r) : h, std::nullopt});
+      send_to_registries(ChosenValue{r, held(r).revision == h.revision ? held(r) : h, std::nullopt});
     }
   }
 
@@ -149,11 +149,11 @@
   bool idle() const { return operators_.idle(); }
 
   // The routing decisions of this zone's nodes, of those that answer in time.
-  Task<DecisionsReply> decisions(DecisionsAsk q) {
+  Task<DecisionsReply> decisions(DecisionsRequest q) {
     std::vector<Address> nodes;
     for (Member const& m : served_nodes()) nodes.push_back(m.address);
     auto replies =
-        co_await ask_all<DecisionsAsk>(env_, nodes, q, env_.now() + 250ms, [](auto const&) { return false; });
+        co_await ask_all<DecisionsRequest>(env_, nodes, q, env_.now() + 250ms, [](auto const&) { return false; });
     DecisionsReply all;
     for (auto& [i, r] : replies)
       if (r) merge(all, std::move(*r));
@@ -167,7 +167,7 @@
   }
 
   // The state of this zone as its registry sees it, with each node's own state.
-  Task<StateReply> state(StateAsk q) {
+  Task<StateReply> state(StateRequest q) {
     Json j = {{"registry", settings_.id},
               {"cell", settings_.cell},
               {"epoch", position().epoch},
@@ -194,9 +194,9 @@
         nodes.push_back(m.address);
         ids.push_back(m.id);
       }
-      StateAsk const question{false};
+      StateRequest const question{false};
       auto const replies =
-          co_await ask_all<StateAsk>(env_, nodes, question, env_.now() + 400ms, [](auto const&) { return false; });
+          co_await ask_all<StateRequest>(env_, nodes, question, env_.now() + 400ms, [](auto const&) { return false; });
       std::set<std::string> silent(ids.begin(), ids.end());
       for (auto const& [i, r] : replies) {
         Json const node = r ? Json::parse(r->json, nullptr, false) : Json();
@@ -229,26 +229,26 @@
 
   // ---- register values
 
-  Task<Told> chosen(Chosen q) {
-    if (static_cast<std::size_t>(q.reg) >= held_.size()) co_return Told{};
+  Task<NoReply> chosen(ChosenValue q) {
+    if (static_cast<std::size_t>(q.reg) >= held_.size()) co_return NoReply{};
     if (!q.key_delta) {
       take(q.reg, q.held);
-      co_return Told{};
+      co_return NoReply{};
     }
     // A delta that doesn't apply can be ignored: the next reading of the register brings the table.
-    Result<Held> const next = apply_key_deltas(held(Register::keys), {*q.key_delta});
+    Result<RegisterValue> const next = apply_key_deltas(held(Register::keys), {*q.key_delta});
     if (next) take(Register::keys, *next);
-    co_return Told{};
+    co_return NoReply{};
   }
 
-  void record_delta(Register const r, Held const& before, Held const& after) {
+  void record_delta(Register const r, RegisterValue const& before, RegisterValue const& after) {
     if (r == Register::keys) key_deltas_.add_or_clear(make_key_delta(before, after));
     if (r == Register::routing) routing_deltas_.add_or_clear(make_text_delta(before, after));
   }
 
   // To a zone's nodes goes what has changed of a large value, where that is known.
   void send_to_nodes(ZoneFeed<Env>& feed, Register const r) {
-    Held const& newest = held(r);
+    RegisterValue const& newest = held(r);
     KeyDelta const* const of_keys = key_deltas_.newest();
     TextDelta const* const of_routing = routing_deltas_.newest();
     if (r == Register::keys && of_keys != nullptr && of_keys->to == newest.revision) {
@@ -260,14 +260,14 @@
     }
   }
 
-  Task<LayoutsReply> layouts(LayoutsAsk q) {
+  Task<RegisterValuesReply> layouts(RegisterValuesRequest q) {
     if (q.fresh || !has_quorum_reading()) co_await reading_.read_fresh(env_.now() + fresh_read_timeout);
-    LayoutsReply reply;
+    RegisterValuesReply reply;
     reply.known = has_quorum_reading();
     if (reply.known) reply.reading_age_ms = static_cast<std::uint32_t>(as_ms(*reading_age()) + 1);  // rounded up
     reply.revisions = revisions();
     if (q.revisions_only) co_return reply;
-    for (Register const r : told_registers) {
+    for (Register const r : published_registers) {
       std::size_t const i = static_cast<std::size_t>(r);
       if (reply.revisions[i] <= q.have[i]) continue;
       std::size_t const whole = held_[i].bytes.size();
@@ -297,7 +297,7 @@
     // Mostly nothing has changed, and one question tells that of all registers.
     std::optional<Revisions> const newest = co_await register_.newest_revisions(deadline);
     bool all = true;
-    for (Register const r : told_registers) {
+    for (Register const r : published_registers) {
       bool const current = newest && (*newest)[static_cast<std::size_t>(r)] <= held(r).revision;
       bool const done = current || co_await read_one(r, deadline);
       all = all && done;
@@ -311,8 +311,8 @@
       bool const current = co_await confirm_keys(std::min(deadline, env_.now() + passive_read_timeout));
       if (current) co_return true;
     }
-    Held const known = held(r);
-    Result<Held> const h = co_await register_.read(r, known, deadline);
+    RegisterValue const known = held(r);
+    Result<RegisterValue> const h = co_await register_.read(r, known, deadline);
     if (h) take(r, *h);
     co_return h.has_value();
   }
@@ -340,15 +340,15 @@
     }
   }
 
-  Task<LeaseReply> lease(LeaseAsk q) { co_return lease_.ask(q); }
+  Task<LeaseReply> lease(LeaseRequest q) { co_return lease_.ask(q); }
 
   // ---- other registries
 
-  Task<MeetReply> meet(Meet q) {
+  Task<RegistryExchangeReply> meet(RegistryExchange q) {
     directory_.learn_addresses(q.registries, env_.now());
-    MeetReply reply;
+    RegistryExchangeReply reply;
     reply.registries = directory_.entries_with_ages(env_.now());
-    std::size_t const cores = s_.voters.empty() ? directory_.entries().size() : s_.voters.size();
+    std::size_t const cores = settings_.voters.empty() ? directory_.entries().size() : settings_.voters.size();
     reply.cores = static_cast<std::uint32_t>(cores);
     co_return reply;
   }
@@ -356,8 +356,8 @@
   // One task for each peer, so that a peer that hangs doesn't delay the others.
   Task<void> meet_one(Address const peer) {
     Instant const asked = env_.now();
-    Meet const question{directory_.entries_with_ages(asked)};
-    Result<MeetReply> const r = co_await ask(env_, peer, question, asked + meet_patience);
+    RegistryExchange const question{directory_.entries_with_ages(asked)};
+    Result<RegistryExchangeReply> const r = co_await ask(env_, peer, question, asked + meet_timeout);
     if (!r) co_return;
     directory_.heard(peer, env_.now());
     directory_.learn_answer(r->registries, asked, env_.now());
@@ -390,23 +390,23 @@
 
   bool serves(std::string const& zone) const { return directory_.registry_of(zone, env_.now()) == settings_.address; }
 
-  Task<Told> cell_told(CellTold q) {
+  Task<NoReply> cell_told(ZoneAnnouncement q) {
     directory_.heard(q.sender, env_.now() - max_message_delay);
     auto const feed = feeds_.find(q.entry.cell);
     bool const kept_here = feed != feeds_.end() && feed->second->has_nodes() && serves(q.entry.cell);
-    CellEntry const* const newer = kept_here ? nullptr : entries_.take(std::move(q), env_.now());
+    ZoneEntry const* const newer = kept_here ? nullptr : entries_.take(std::move(q), env_.now());
     if (newer != nullptr) distribute_entry(*newer);
-    co_return Told{};
+    co_return NoReply{};
   }
 
-  void show(CellEntry const& entry) {
+  void distribute_entry(ZoneEntry const& entry) {
     for (auto const& [zone, feed] : feeds_) feed->update_zone_entry(entry);
   }
 
   void send_entries() {
     for (auto const& [zone, feed] : feeds_) {
       bool const known = feed->warm() && feed->had_nodes() && serves(zone);
-      std::optional<CellTold> told;
+      std::optional<ZoneAnnouncement> told;
       if (known) told = entries_.due(zone, feed->position(), env_.now(), [&] { return feed->entry(); });
       if (!told) continue;
       told->sender = settings_.address;
@@ -422,7 +422,7 @@
     FeedSources sources{[this] { return has_quorum_reading(); }, [this] { return revisions(); }};
     std::shared_ptr<ZoneFeed<Env>> const feed =
         std::make_shared<ZoneFeed<Env>>(env_, std::move(settings), std::move(sources));
-    entries_.each([&](CellEntry const& entry) { feed->update_zone_entry(entry); });
+    entries_.each([&](ZoneEntry const& entry) { feed->update_zone_entry(entry); });
     return feed;
   }
 
@@ -469,16 +469,16 @@
     co_return reply;
   }
 
-  Task<Told> beat(Beat q) {
+  Task<NoReply> beat(Heartbeat q) {
     std::shared_ptr<ZoneFeed<Env>> const feed = feed_of(q.zone);
     if (feed) feed->on_heartbeat(q);
-    co_return Told{};
+    co_return NoReply{};
   }
 
-  Task<Told> suspect(Suspect q) {
+  Task<NoReply> suspect(Suspect q) {
     std::shared_ptr<ZoneFeed<Env>> const feed = feed_of(q.zone);
     if (feed) feed->suspect(q);
-    co_return Told{};
+    co_return NoReply{};
   }
 
   Task<void> pulse_loop() {
@@ -495,7 +495,7 @@
       for (auto const& [zone, feed] : feeds_)
         if (feed == own_feed_ || serves(zone)) feed->watch();
       drop_empty_feeds();
-      for (CellEntry const& gone : entries_.forget(env_.now())) distribute_entry(gone);
+      for (ZoneEntry const& gone : entries_.forget(env_.now())) distribute_entry(gone);
     }
   }
 
@@ -516,7 +516,7 @@
   Instant const started_;
   RecentErrors mishaps_;
   RegistryDirectory directory_;
-  std::array<Held, register_count> held_;
+  std::array<RegisterValue, register_count> held_;
   DeltaHistory<KeyDelta> key_deltas_;       // up to the current key table, if any
   DeltaHistory<TextDelta> routing_deltas_;  // up to the current configuration, if any
   bool leaving_ = false;
--- a/source/protocol/call.hpp
+++ b/source/protocol/call.hpp
@@ -17,7 +17,7 @@
   return names[static_cast<std::size_t>(s)];
 }
 
-inline bool may_step(CallState const from, CallState const to) {
+inline bool is_valid_transition(CallState const from, CallState const to) {
   switch (from) {
     case CallState::read:
       return to == CallState::admitted || to == CallState::dropped;
@@ -36,11 +36,11 @@
   return false;
 }
 
-class CallChart {
+class CallStateMachine {
  public:
   CallState state() const { return state_; }
   bool step(CallState const to) {
-    if (!may_step(state_, to)) return false;
+    if (!is_valid_transition(state_, to)) return false;
     state_ = to;
     return true;
   }
--- a/source/protocol/call_messages.hpp
+++ b/source/protocol/call_messages.hpp
@@ -34,7 +34,7 @@
 
 enum class Outcome : std::uint8_t { answered = 0, not_run = 1, unknown = 2 };
 
-struct CarryReply {
+struct ForwardCallReply {
   Outcome outcome = Outcome::unknown;
   HttpReply reply;
   std::string step;
@@ -42,9 +42,9 @@
   std::string reason;
   BANKTIDE_FIELDS(outcome, reply, step, peer, reason)
 };
-struct Carry {
+struct ForwardCall {
   static constexpr std::uint8_t kind = 40;
-  using Reply = CarryReply;
+  using Reply = ForwardCallReply;
   std::string service;
   std::string instance;  // empty: the gateway picks
   bool crossed = false;
@@ -66,7 +66,7 @@
   std::int64_t clock_us = 0;
   BANKTIDE_FIELDS(sender, clock_us)
 };
-struct ClockAsk {
+struct ClockRequest {
   static constexpr std::uint8_t kind = 41;
   using Reply = ClockReply;
   std::uint8_t nothing = 0;
--- a/source/protocol/forward_messages.hpp
+++ b/source/protocol/forward_messages.hpp
@@ -47,8 +47,8 @@
   /** When a refused request may be worth sending again, in milliseconds. */
   std::uint32_t retry_after_ms = 0;
   /** From the request's arrival at the node that answers until this reply, in microseconds; 0: not measured. */
-  std::uint32_t here_us = 0;
-  BANKTIDE_FIELDS(outcome, refusal, reply, reason, load, retry_after_ms, here_us)
+  std::uint32_t elapsed_us = 0;
+  BANKTIDE_FIELDS(outcome, refusal, reply, reason, load, retry_after_ms, elapsed_us)
 };
 
 struct Forward {
@@ -66,14 +66,14 @@
   std::uint32_t work_class = 0;
   std::uint32_t remaining_ms = 0;
   /** Within which the answer is wanted, counted from the arrival; 0: not stated. */
-  std::uint32_t aim_ms = 0;
+  std::uint32_t target_latency_ms = 0;
   std::string calling_service;
   /** In whose name it runs; empty: nobody's. */
   std::string tenant;
   std::string attempt_id;
   HttpRequest request;
-  BANKTIDE_FIELDS(service, crossed, keyed, key, repeatable, rank, work_class, remaining_ms, aim_ms, calling_service,
-                  tenant, attempt_id, request)
+  BANKTIDE_FIELDS(service, crossed, keyed, key, repeatable, rank, work_class, remaining_ms, target_latency_ms,
+                  calling_service, tenant, attempt_id, request)
 };
 
 }  // namespace banktide
--- a/source/protocol/http_words.hpp
+++ b/source/protocol/http_words.hpp
@@ -56,8 +56,8 @@
 }
 
 // The answer to the node that carried a call here: nothing of it ran or will.
-inline CarryReply not_run(std::string step, std::string peer, std::string reason) {
-  return CarryReply{Outcome::not_run, {}, std::move(step), std::move(peer), std::move(reason)};
+inline ForwardCallReply not_run(std::string step, std::string peer, std::string reason) {
+  return ForwardCallReply{Outcome::not_run, {}, std::move(step), std::move(peer), std::move(reason)};
 }
 
 }  // namespace banktide
--- a/source/protocol/message.hpp
+++ b/source/protocol/message.hpp
@@ -16,7 +16,7 @@
 
 using Revision = std::uint64_t;
 
-struct Told {
+struct NoReply {
   template <class A>
   void serialize(A&) {}
 };
--- a/source/protocol/message_names.cpp
+++ b/source/protocol/message_names.cpp
@@ -17,17 +17,17 @@
 };
 
 constexpr NamedKind named_kinds[] = {
-    {PeekRevisions::kind, "peek_revisions"},
-    {Peek::kind, "peek"},
-    {News::kind, "news"},
+    {ReadRevisions::kind, "peek_revisions"},
+    {ReadRegister::kind, "peek"},
+    {ZoneUpdate::kind, "news"},
     {Follow::kind, "follow"},
-    {LayoutsAsk::kind, "values"},
+    {RegisterValuesRequest::kind, "values"},
     {Join::kind, "join"},
-    {Meet::kind, "meet"},
-    {Beat::kind, "heartbeat"},
+    {RegistryExchange::kind, "meet"},
+    {Heartbeat::kind, "heartbeat"},
     {Suspect::kind, "suspect"},
-    {CellTold::kind, "entry"},
-    {Chosen::kind, "chosen"},
+    {ZoneAnnouncement::kind, "entry"},
+    {ChosenValue::kind, "chosen"},
     {Forward::kind, "forward"},
     {KeyReport::kind, "key_report"},
 };
--- a/source/protocol/operator_messages.hpp
+++ b/source/protocol/operator_messages.hpp
@@ -47,7 +47,7 @@
   Positions next;
   BANKTIDE_FIELDS(events, gaps, next)
 };
-struct DecisionsAsk {
+struct DecisionsRequest {
   static constexpr std::uint8_t kind = 50;
   using Reply = DecisionsReply;
   Positions after;
@@ -62,7 +62,7 @@
   std::string json;
   BANKTIDE_FIELDS(json)
 };
-struct StateAsk {
+struct StateRequest {
   static constexpr std::uint8_t kind = 51;
   using Reply = StateReply;
   bool with_nodes = false;
--- a/source/protocol/register_messages.hpp
+++ b/source/protocol/register_messages.hpp
@@ -20,10 +20,10 @@
 // `maintenance` the windows in which zones carry no traffic.
 enum class Register : std::uint8_t { routing = 0, catalogue = 1, keys = 2, voters = 3, maintenance = 4 };
 inline constexpr std::size_t register_count = 5;
-inline constexpr std::array<Register, register_count> kept_registers{
+inline constexpr std::array<Register, register_count> stored_registers{
     Register::routing, Register::catalogue, Register::keys, Register::voters, Register::maintenance};
 // The two that operators write.
-inline constexpr std::array<Register, 2> all_registers{Register::routing, Register::catalogue};
+inline constexpr std::array<Register, 2> operator_registers{Register::routing, Register::catalogue};
 inline std::string register_name(Register const r) {
   switch (r) {
     case Register::routing:
@@ -73,29 +73,29 @@
 
 // The value of a register: the newest revision's exact bytes, and which
 // operator requests made the last few, so that a repeat finds its first.
-struct Held {
+struct RegisterValue {
   Revision revision = 0;
   std::string bytes;
   std::uint64_t digest = 0;
   std::vector<std::pair<std::string, Revision>> requests;
-  bool operator==(Held const&) const = default;
+  bool operator==(RegisterValue const&) const = default;
   BANKTIDE_FIELDS(revision, bytes, digest, requests)
 };
 
-struct Slot {
+struct RegisterSlot {
   Ballot promised;
   Ballot accepted;
-  Held held;
-  bool operator==(Slot const&) const = default;
+  RegisterValue held;
+  bool operator==(RegisterSlot const&) const = default;
   BANKTIDE_FIELDS(promised, accepted, held)
 };
-using Slots = std::array<Slot, register_count>;
+using RegisterSlots = std::array<RegisterSlot, register_count>;
 
 // `newer`, in each reply: the voter knows a newer set than the question's.
 struct PrepareReply {
   bool voting = false;
   bool promised = false;
-  Slot slot;
+  RegisterSlot slot;
   std::optional<VoterSet> newer;
   BANKTIDE_FIELDS(voting, promised, slot, newer)
 };
@@ -119,21 +119,21 @@
   using Reply = AcceptReply;
   Register reg{};
   Ballot ballot;
-  Held held;
+  RegisterValue held;
   BANKTIDE_FIELDS(reg, ballot, held)
 };
 
-struct PeekReply {
+struct ReadRegisterReply {
   bool voting = false;
   Ballot accepted;
   Revision revision = 0;
-  Held held;  // only if newer than the asker's
+  RegisterValue held;  // only if newer than the asker's
   std::optional<VoterSet> newer;
   BANKTIDE_FIELDS(voting, accepted, revision, held, newer)
 };
-struct Peek {
+struct ReadRegister {
   static constexpr std::uint8_t kind = 3;
-  using Reply = PeekReply;
+  using Reply = ReadRegisterReply;
   Register reg{};
   Revision have = 0;
   std::uint64_t epoch = 0;
@@ -142,15 +142,15 @@
 };
 
 // How new each register's value is, in one question: nothing travels that hasn't changed.
-struct PeekRevisionsReply {
+struct ReadRevisionsReply {
   bool voting = false;
   std::array<Revision, register_count> revisions{};
   std::optional<VoterSet> newer;
   BANKTIDE_FIELDS(voting, revisions, newer)
 };
-struct PeekRevisions {
+struct ReadRevisions {
   static constexpr std::uint8_t kind = 20;
-  using Reply = PeekRevisionsReply;
+  using Reply = ReadRevisionsReply;
   std::uint64_t epoch = 0;
   BANKTIDE_FIELDS(epoch)
 };
@@ -158,17 +158,17 @@
 // ---- founding a register and joining it again
 
 enum class Phase : std::uint8_t { blank = 0, prepared = 1, voting = 2 };
-struct FoundReply {
+struct BootstrapReply {
   Phase phase = Phase::blank;
-  std::uint64_t founding = 0;
-  BANKTIDE_FIELDS(phase, founding)
+  std::uint64_t bootstrap_id = 0;
+  BANKTIDE_FIELDS(phase, bootstrap_id)
 };
-struct Found {
+struct Bootstrap {
   static constexpr std::uint8_t kind = 4;
-  using Reply = FoundReply;
+  using Reply = BootstrapReply;
   Phase want = Phase::blank;  // blank: only ask
-  std::uint64_t founding = 0;
-  BANKTIDE_FIELDS(want, founding)
+  std::uint64_t bootstrap_id = 0;
+  BANKTIDE_FIELDS(want, bootstrap_id)
 };
 
 // ---- the set of voters and its changes
@@ -180,7 +180,7 @@
   VoterSet set;
   BANKTIDE_FIELDS(member, active, set)
 };
-struct VotersAsk {
+struct VotersRequest {
   static constexpr std::uint8_t kind = 5;
   using Reply = VotersReply;
   std::string from;  // the store that asks; none: a client
@@ -191,10 +191,10 @@
 struct SealReply {
   bool sealed = false;
   bool active = false;  // it votes in the new set already, so it holds all that was acknowledged before
-  std::uint64_t founding = 0;
-  Slots slots;
+  std::uint64_t bootstrap_id = 0;
+  RegisterSlots slots;
   std::optional<VoterSet> newer;
-  BANKTIDE_FIELDS(sealed, active, founding, slots, newer)
+  BANKTIDE_FIELDS(sealed, active, bootstrap_id, slots, newer)
 };
 struct Seal {
   static constexpr std::uint8_t kind = 6;
@@ -213,25 +213,25 @@
   static constexpr std::uint8_t kind = 7;
   using Reply = ActivateReply;
   VoterSet set;
-  std::uint64_t founding = 0;
-  Slots slots;
-  BANKTIDE_FIELDS(set, founding, slots)
+  std::uint64_t bootstrap_id = 0;
+  RegisterSlots slots;
+  BANKTIDE_FIELDS(set, bootstrap_id, slots)
 };
 
-struct SetReply {
+struct VoterSetReply {
   bool done = false;
   VoterSet set;
   BANKTIDE_FIELDS(done, set)
 };
 struct AddVoter {
   static constexpr std::uint8_t kind = 8;
-  using Reply = SetReply;
+  using Reply = VoterSetReply;
   VoterEntry entry;
   BANKTIDE_FIELDS(entry)
 };
 struct RemoveVoter {
   static constexpr std::uint8_t kind = 9;
-  using Reply = SetReply;
+  using Reply = VoterSetReply;
   std::string address;
   BANKTIDE_FIELDS(address)
 };
--- a/source/protocol/slice_lease_messages.hpp
+++ b/source/protocol/slice_lease_messages.hpp
@@ -32,7 +32,7 @@
   std::vector<std::uint64_t> epochs;
   BANKTIDE_FIELDS(voting, granted, epochs)
 };
-struct LeaseAsk {
+struct LeaseRequest {
   static constexpr std::uint8_t kind = 30;
   using Reply = LeaseReply;
   std::string holder;
--- a/source/protocol/zone_messages.hpp
+++ b/source/protocol/zone_messages.hpp
@@ -50,12 +50,12 @@
 };
 
 // A remote cell as the others see it: its gateways and what they offer.
-struct CellEntry {
+struct ZoneEntry {
   std::string cell;
   std::vector<Member> gateways;
   std::vector<std::string> offers;
   std::vector<ServiceOffer> services;
-  bool operator==(CellEntry const&) const = default;
+  bool operator==(ZoneEntry const&) const = default;
   BANKTIDE_FIELDS(cell, gateways, offers, services)
 };
 
@@ -70,7 +70,7 @@
 
 // What has changed of a zone's entry, from one change of the feed to another; made and
 // applied by state/zone_entry_delta.hpp. Indexes are those before the change.
-struct CellEntryDelta {
+struct ZoneEntryDelta {
   std::string cell;
   std::vector<OfferLoad> loads;
   std::vector<std::uint16_t> offers_removed;  // rising
@@ -78,13 +78,13 @@
   std::vector<std::string> gateways_removed;
   std::vector<Member> gateways_set;
   std::optional<std::vector<std::string>> service_names;  // `offers`, if they changed
-  bool operator==(CellEntryDelta const&) const = default;
+  bool operator==(ZoneEntryDelta const&) const = default;
   BANKTIDE_FIELDS(cell, loads, offers_removed, offers_set, gateways_removed, gateways_set, service_names)
 };
 
 // The registers whose values go to every node.
-inline constexpr std::array<Register, 4> told_registers{Register::routing, Register::catalogue, Register::keys,
-                                                        Register::maintenance};
+inline constexpr std::array<Register, 4> published_registers{Register::routing, Register::catalogue, Register::keys,
+                                                             Register::maintenance};
 // By register; 0 for one that isn't told.
 using Revisions = std::array<Revision, register_count>;
 
@@ -95,9 +95,9 @@
   BANKTIDE_FIELDS(epoch, seq)
 };
 
-struct Layouts {
-  Held routing;
-  Held catalogue;
+struct LayoutValues {
+  RegisterValue routing;
+  RegisterValue catalogue;
   BANKTIDE_FIELDS(routing, catalogue)
 };
 
@@ -105,8 +105,8 @@
   std::uint64_t seq = 0;
   std::optional<Member> member;
   std::optional<BackendRecord> backend;
-  std::optional<CellEntry> cell;
-  std::optional<CellEntryDelta> entry_delta{};  // of a zone whose entry came before
+  std::optional<ZoneEntry> cell;
+  std::optional<ZoneEntryDelta> entry_delta{};  // of a zone whose entry came before
   BANKTIDE_FIELDS(seq, member, backend, cell, entry_delta)
 };
 
@@ -114,7 +114,7 @@
   Position at;
   std::vector<Member> members;
   std::vector<BackendRecord> backends;
-  std::vector<CellEntry> cells;
+  std::vector<ZoneEntry> cells;
   BANKTIDE_FIELDS(at, members, backends, cells)
 };
 
@@ -139,16 +139,16 @@
   BANKTIDE_FIELDS(from, to, bytes)
 };
 
-struct News {
+struct ZoneUpdate {
   static constexpr std::uint8_t kind = 10;
-  using Reply = Told;
+  using Reply = NoReply;
   Position at;  // the root's position when it was sent: a pulse as well as news
   std::uint64_t pulse = 0;
   bool vouched = false;  // the root has a recent reading of a majority
   std::string root;      // the address of the registry that sent it
   std::vector<Change> changes;
   Revisions revisions{};
-  std::vector<std::pair<Register, Held>> layouts;
+  std::vector<std::pair<Register, RegisterValue>> layouts;
   std::vector<KeyDelta> key_deltas;  // each from where the one before ends
   std::vector<TextDelta> routing_deltas;
   BANKTIDE_FIELDS(at, pulse, vouched, root, changes, revisions, layouts, key_deltas, routing_deltas)
@@ -169,18 +169,18 @@
   BANKTIDE_FIELDS(have, zone)
 };
 
-struct LayoutsReply {
+struct RegisterValuesReply {
   bool known = false;  // vouched for by a majority reading
-  std::vector<std::pair<Register, Held>> newer;
+  std::vector<std::pair<Register, RegisterValue>> newer;
   Revisions revisions{};
   std::vector<KeyDelta> key_deltas;       // from the asker's revision, in place of the whole table
   std::vector<TextDelta> routing_deltas;  // the same of the configuration
   std::uint32_t reading_age_ms = 0;       // when known: the reading was begun at most so long before this reply
   BANKTIDE_FIELDS(known, newer, revisions, key_deltas, routing_deltas, reading_age_ms)
 };
-struct LayoutsAsk {
+struct RegisterValuesRequest {
   static constexpr std::uint8_t kind = 12;
-  using Reply = LayoutsReply;
+  using Reply = RegisterValuesReply;
   Revisions have{};
   bool fresh = false;           // a new majority reading, not the last known
   bool revisions_only = false;  // no values: the asker fetches them from one of those that it asks
@@ -211,21 +211,21 @@
   bool operator==(RegistryEntry const& o) const { return cell == o.cell && address == o.address; }
   BANKTIDE_FIELDS(cell, address, age_ms)
 };
-struct MeetReply {
+struct RegistryExchangeReply {
   std::vector<RegistryEntry> registries;
   std::uint32_t cores = 0;  // how many there are by settings, so that a majority is of all
   BANKTIDE_FIELDS(registries, cores)
 };
-struct Meet {
+struct RegistryExchange {
   static constexpr std::uint8_t kind = 14;
-  using Reply = MeetReply;
+  using Reply = RegistryExchangeReply;
   std::vector<RegistryEntry> registries;
   BANKTIDE_FIELDS(registries)
 };
 
-struct Beat {
+struct Heartbeat {
   static constexpr std::uint8_t kind = 15;
-  using Reply = Told;
+  using Reply = NoReply;
   std::string id;
   std::string address;
   std::uint64_t incarnation = 0;
@@ -237,7 +237,7 @@
 
 struct Suspect {
   static constexpr std::uint8_t kind = 16;
-  using Reply = Told;
+  using Reply = NoReply;
   std::string id;
   std::uint64_t incarnation = 0;
   std::string by;
@@ -247,25 +247,25 @@
 
 struct Drain {
   static constexpr std::uint8_t kind = 17;
-  using Reply = Told;
+  using Reply = NoReply;
   BackendRecord backend;
   BANKTIDE_FIELDS(backend)
 };
 
-struct CellTold {
+struct ZoneAnnouncement {
   static constexpr std::uint8_t kind = 18;
-  using Reply = Told;
-  CellEntry entry;
+  using Reply = NoReply;
+  ZoneEntry entry;
   std::string sender;  // the address of the registry that keeps the cell
   Position at;         // of the feed that it was taken from
   BANKTIDE_FIELDS(entry, sender, at)
 };
 
-struct Chosen {
+struct ChosenValue {
   static constexpr std::uint8_t kind = 19;
-  using Reply = Told;
+  using Reply = NoReply;
   Register reg{};
-  Held held;                          // empty if there is a delta
+  RegisterValue held;                 // empty if there is a delta
   std::optional<KeyDelta> key_delta;  // from the revision before
   BANKTIDE_FIELDS(reg, held, key_delta)
 };
--- a/source/simulation/history.hpp
+++ b/source/simulation/history.hpp
@@ -274,7 +274,7 @@
         latest = std::max(latest, r->sent);
       }
     }
-    for (Register const reg : all_registers) {
+    for (Register const reg : operator_registers) {
       std::size_t const i = static_cast<std::size_t>(reg);
       bool const maybe = std::any_of(revisions.begin(), revisions.end(), [&](RevisionSeen const& r) {
         return r.reg == reg && r.maybe && r.bytes == readback[i];
@@ -286,7 +286,7 @@
     // In force within 2 s of the acknowledgement, or of the moment from which
     // the machine could hear of it; no step back.
     for (auto const& [machine, seen] : forces)
-      for (Register const reg : all_registers) {
+      for (Register const reg : operator_registers) {
         std::size_t const i = static_cast<std::size_t>(reg);
         Revision top = 0;
         Instant back_since{}, excused_at{};
--- a/source/simulation/sim_traffic.hpp
+++ b/source/simulation/sim_traffic.hpp
@@ -17,8 +17,8 @@
     ways_["/promo"] = "promo";
     net_.tap = [this](SimProcess const& from, Address const& to, std::uint8_t const kind, Bytes const& raw) {
       if (kind == Accept::kind) tapped_accept(from);
-      if (kind != Carry::kind) return;
-      Result<Carry> const c = unpack<Carry>(raw);
+      if (kind != ForwardCall::kind) return;
+      Result<ForwardCall> const c = unpack<ForwardCall>(raw);
       if (c)
         history_.tries.push_back(TrySeen{sim_.now, header_of(c->request, "call-id"), from.machine, c->instance,
                                          linked(from.machine, net_.machine_of[to])});
@@ -348,7 +348,7 @@
     std::size_t at = anyone();
     while (!controls_[at].process->alive) at = (at + 1) % controls_.size();
     Control& c = controls_[at];
-    for (Register const reg : all_registers) spawn(*c.process, read_once(c.registry, reg));
+    for (Register const reg : operator_registers) spawn(*c.process, read_once(c.registry, reg));
     sim_.run_until(sim_.now + 3s);
   }
   Task<void> read_once(std::shared_ptr<Registry<SimProcess>> registry, Register reg) {
--- a/source/state/cell_view.hpp
+++ b/source/state/cell_view.hpp
@@ -14,7 +14,7 @@
  public:
   std::map<std::string, Member> members;
   std::map<std::pair<std::string, std::string>, BackendRecord> backends;
-  std::map<std::string, CellEntry> cells;
+  std::map<std::string, ZoneEntry> cells;
 
   /// Counts how often members came, went or changed their role or standing.
   std::uint64_t membership() const { return membership_; }
@@ -49,7 +49,7 @@
     cells.clear();
     for (Member const& m : s.members) members[m.id] = m;
     for (BackendRecord const& b : s.backends) backends[{b.service, b.instance}] = b;
-    for (CellEntry const& c : s.cells) cells[c.cell] = c;
+    for (ZoneEntry const& c : s.cells) cells[c.cell] = c;
   }
 
   Snapshot snapshot(Position const at) const {
@@ -70,7 +70,7 @@
   static bool changes_place(Member const& before, Member const& after) {
     return before.role != after.role || before.standing != after.standing;
   }
-  void fold_entry(CellEntryDelta const& delta) {
+  void fold_entry(ZoneEntryDelta const& delta) {
     auto const known = cells.find(delta.cell);
     if (known != cells.end()) apply_entry_delta(known->second, delta);
   }
--- a/source/state/decisions.hpp
+++ b/source/state/decisions.hpp
@@ -19,7 +19,7 @@
     journal_.append(std::move(e));
   }
 
-  DecisionsReply since(DecisionsAsk const& q) const {
+  DecisionsReply since(DecisionsRequest const& q) const {
     DecisionsReply reply;
     std::uint64_t from = q.from_now ? journal_.last() : 0;
     auto const had = q.after.find(node_);
--- a/source/state/key_table_delta.cpp
+++ b/source/state/key_table_delta.cpp
@@ -215,7 +215,7 @@
 
 }  // namespace
 
-std::optional<KeyDelta> make_key_delta(Held const& base, Held const& target) {
+std::optional<KeyDelta> make_key_delta(RegisterValue const& base, RegisterValue const& target) {
   if (base.revision >= target.revision || base.bytes.empty()) return std::nullopt;
   Result<KeyTable> const before = unpack_key_table(base.bytes, base.revision);
   Result<KeyTable> const after = unpack_key_table(target.bytes, target.revision);
@@ -229,14 +229,14 @@
   return delta;
 }
 
-Result<Held> apply_key_deltas(Held const& base, std::vector<KeyDelta> const& deltas) {
+Result<RegisterValue> apply_key_deltas(RegisterValue const& base, std::vector<KeyDelta> const& deltas) {
   std::vector<KeyDelta>::const_iterator next =
       std::find_if(deltas.begin(), deltas.end(), [&](KeyDelta const& delta) { return delta.to > base.revision; });
   if (next == deltas.end()) return make_error("key table delta", "", "nothing newer");
   if (next->from != base.revision) return make_error("key table delta", "", "made from another version");
   Result<KeyTable> table = unpack_key_table(base.bytes, base.revision);
   if (!table) return tl::unexpected<Error>(table.error());
-  Held target;
+  RegisterValue target;
   try {
     for (; next != deltas.end(); ++next) {
       if (next->from != table->revision || next->to <= next->from) refuse("versions out of order");
--- a/source/state/key_table_delta.hpp
+++ b/source/state/key_table_delta.hpp
@@ -12,12 +12,12 @@
 /// The delta between two values of the register of keys. None if one of them is no
 /// table or if the whole value is as small. What the values say of requests that
 /// made them is left out: only the register's voters need it.
-std::optional<KeyDelta> make_key_delta(Held const& base, Held const& target);
+std::optional<KeyDelta> make_key_delta(RegisterValue const& base, RegisterValue const& target);
 
 /// The value after a chain of deltas, each of which begins at the revision where
 /// the one before ends; those that end at the base or before it are skipped. A
 /// mishap if the chain doesn't begin at the base's revision, if its bytes are spoilt,
 /// or if the result isn't the value that the last delta was made for.
-Result<Held> apply_key_deltas(Held const& base, std::vector<KeyDelta> const& deltas);
+Result<RegisterValue> apply_key_deltas(RegisterValue const& base, std::vector<KeyDelta> const& deltas);
 
 }  // namespace banktide
--- a/source/state/sqlite_disk.hpp
+++ b/source/state/sqlite_disk.hpp
@@ -15,18 +15,18 @@
 /// A voter's record as it was before the register of maintenance windows.
 struct VoterRecordFormat2 {
   Phase phase = Phase::blank;
-  std::uint64_t founding = 0;
-  std::array<Slot, 4> slots;
+  std::uint64_t bootstrap_id = 0;
+  std::array<RegisterSlot, 4> slots;
   VoterSet set;
   std::uint64_t active_epoch = 0;
   std::uint64_t disk = 0;
-  BANKTIDE_FIELDS(phase, founding, slots, set, active_epoch, disk)
+  BANKTIDE_FIELDS(phase, bootstrap_id, slots, set, active_epoch, disk)
 
   /// The same record, with nothing in the new register.
   VoterRecord upgraded() const {
     VoterRecord record;
     record.phase = phase;
-    record.founding = founding;
+    record.bootstrap_id = bootstrap_id;
     for (std::size_t i = 0; i < slots.size(); ++i) record.slots[i] = slots[i];
     record.set = set;
     record.active_epoch = active_epoch;
--- a/source/state/text_delta.cpp
+++ b/source/state/text_delta.cpp
@@ -65,7 +65,7 @@
 
 }  // namespace
 
-std::optional<TextDelta> make_text_delta(Held const& base, Held const& target) {
+std::optional<TextDelta> make_text_delta(RegisterValue const& base, RegisterValue const& target) {
   if (base.revision >= target.revision) return std::nullopt;
   Result<std::string> const before = decompress(base.bytes);
   Result<std::string> const after = decompress(target.bytes);
@@ -75,14 +75,14 @@
   return TextDelta{base.revision, target.revision, std::move(*bytes)};
 }
 
-Result<Held> apply_text_deltas(Held const& base, std::vector<TextDelta> const& deltas) {
+Result<RegisterValue> apply_text_deltas(RegisterValue const& base, std::vector<TextDelta> const& deltas) {
   auto next =
       std::find_if(deltas.begin(), deltas.end(), [&](TextDelta const& delta) { return delta.to > base.revision; });
   if (next == deltas.end()) return mishap("nothing newer");
   if (next->from != base.revision) return mishap("made from another version");
   Result<std::string> text = decompress(base.bytes);
   if (!text) return tl::unexpected<Error>(text.error());
-  Held target;
+  RegisterValue target;
   target.revision = base.revision;
   for (; next != deltas.end(); ++next) {
     if (next->from != target.revision || next->to <= next->from) return mishap("versions out of order");
--- a/source/state/text_delta.hpp
+++ b/source/state/text_delta.hpp
@@ -9,11 +9,11 @@
 
 /// The delta between two values whose bytes are compressed texts (`compressed_text.hpp`). None if one of them isn't, or
 /// if the whole value is as small.
-std::optional<TextDelta> make_text_delta(Held const& base, Held const& target);
+std::optional<TextDelta> make_text_delta(RegisterValue const& base, RegisterValue const& target);
 
 /// The value after a chain of deltas, each of which begins at the revision where the one before ends; those that end at
 /// the base or before it are skipped. Its bytes give the later text, and need not be those of the register. A mishap
 /// of the step "text delta" if the chain doesn't begin at the base's revision, or leads to another text than was meant.
-Result<Held> apply_text_deltas(Held const& base, std::vector<TextDelta> const& deltas);
+Result<RegisterValue> apply_text_deltas(RegisterValue const& base, std::vector<TextDelta> const& deltas);
 
 }  // namespace banktide
--- a/source/state/version_claims.cpp
+++ b/source/state/version_claims.cpp
@@ -20,22 +20,23 @@
   return claim;
 }
 
-void add(Held& held, std::string claim, Revision const version) {
+void add(RegisterValue& held, std::string claim, Revision const version) {
   held.requests.emplace_back(std::move(claim), version);
   if (held.requests.size() > remembered_claims) held.requests.erase(held.requests.begin());
 }
 
 }  // namespace
 
-VersionClaim find_claim(Held const& held, Revision const version, std::string_view const content) {
+VersionClaim find_claim(RegisterValue const& held, Revision const version, std::string_view const content) {
   auto const claimed = std::find_if(held.requests.begin(), held.requests.end(),
                                     [version](auto const& claim) { return claim.second == version; });
   if (claimed == held.requests.end()) return VersionClaim::free;
   return claimed->first == claim_of(content) ? VersionClaim::same_content : VersionClaim::other_content;
 }
 
-Held claim_version(Held const& now, Revision const version, std::string_view const content, std::string const& bytes) {
-  Held next = now;
+RegisterValue claim_version(RegisterValue const& now, Revision const version, std::string_view const content,
+                            std::string const& bytes) {
+  RegisterValue next = now;
   if (find_claim(now, version, content) == VersionClaim::free) {
     bool const held_without_claim = now.revision == version && now.bytes != bytes;
     add(next, held_without_claim ? unknown_content : claim_of(content), version);
--- a/source/state/version_claims.hpp
+++ b/source/state/version_claims.hpp
@@ -21,11 +21,12 @@
   other_content,  // it was claimed with another one
 };
 
-VersionClaim find_claim(Held const& held, Revision const version, std::string_view const content);
+VersionClaim find_claim(RegisterValue const& held, Revision const version, std::string_view const content);
 
 /// The value after an operator has sent `content` under `version`, given the newest value
 /// `now`: the new one if its number is higher, else `now` with the claim noted.
 /// `bytes` is how the content is kept.
-Held claim_version(Held const& now, Revision const version, std::string_view const content, std::string const& bytes);
+RegisterValue claim_version(RegisterValue const& now, Revision const version, std::string_view const content,
+                            std::string const& bytes);
 
 }  // namespace banktide
--- a/source/state/zone_entry_delta.cpp
+++ b/source/state/zone_entry_delta.cpp
@@ -22,7 +22,7 @@
   return fits && a.address == b.address && a.slots == b.slots;
 }
 
-void compare_offer(CellEntryDelta& delta, std::size_t const index, ServiceOffer const& before,
+void compare_offer(ZoneEntryDelta& delta, std::size_t const index, ServiceOffer const& before,
                    ServiceOffer const& after) {
   if (before == after) return;
   if (differs_by_load_only(before, after)) {
@@ -33,7 +33,7 @@
   }
 }
 
-void compare_offers(CellEntryDelta& delta, std::vector<ServiceOffer> const& before,
+void compare_offers(ZoneEntryDelta& delta, std::vector<ServiceOffer> const& before,
                     std::vector<ServiceOffer> const& after) {
   auto next = after.begin();
   for (std::size_t i = 0; i < before.size(); ++i) {
@@ -48,7 +48,7 @@
   delta.offers_set.insert(delta.offers_set.end(), next, after.end());
 }
 
-void compare_gateways(CellEntryDelta& delta, std::vector<Member> const& before, std::vector<Member> const& after) {
+void compare_gateways(ZoneEntryDelta& delta, std::vector<Member> const& before, std::vector<Member> const& after) {
   for (Member const& gateway : after)
     if (std::find(before.begin(), before.end(), gateway) == before.end()) delta.gateways_set.push_back(gateway);
   for (Member const& gateway : before) {
@@ -70,28 +70,28 @@
 
 }  // namespace
 
-std::optional<CellEntryDelta> make_entry_delta(CellEntry const& before, CellEntry const& after) {
+std::optional<ZoneEntryDelta> make_entry_delta(ZoneEntry const& before, ZoneEntry const& after) {
   if (before.services.size() > largest_index) return std::nullopt;
-  CellEntryDelta delta;
+  ZoneEntryDelta delta;
   delta.cell = after.cell;
   compare_offers(delta, before.services, after.services);
   compare_gateways(delta, before.gateways, after.gateways);
   if (before.offers != after.offers) delta.service_names = after.offers;
   // Entries that aren't in order can't be told this way.
-  CellEntry reached = before;
+  ZoneEntry reached = before;
   apply_entry_delta(reached, delta);
   if (!(reached == after)) return std::nullopt;
   return delta;
 }
 
-bool tells_loads_only(CellEntryDelta const& delta) {
-  CellEntryDelta loads;
+bool tells_loads_only(ZoneEntryDelta const& delta) {
+  ZoneEntryDelta loads;
   loads.cell = delta.cell;
   loads.loads = delta.loads;
   return loads == delta;
 }
 
-void apply_entry_delta(CellEntry& entry, CellEntryDelta const& delta) {
+void apply_entry_delta(ZoneEntry& entry, ZoneEntryDelta const& delta) {
   for (OfferLoad const& load : delta.loads) {
     if (load.index >= entry.services.size()) continue;
     entry.services[load.index].burden = load.burden;
--- a/source/state/zone_entry_delta.hpp
+++ b/source/state/zone_entry_delta.hpp
@@ -10,12 +10,12 @@
 namespace banktide {
 
 /// What turns `before` into `after`, which are entries of one zone; nothing if no delta leads there exactly.
-std::optional<CellEntryDelta> make_entry_delta(CellEntry const& before, CellEntry const& after);
+std::optional<ZoneEntryDelta> make_entry_delta(ZoneEntry const& before, ZoneEntry const& after);
 
 /// Whether the delta changes nothing but loads.
-bool tells_loads_only(CellEntryDelta const& delta);
+bool tells_loads_only(ZoneEntryDelta const& delta);
 
 /// Applies a delta to the very entry that it was made from. Indexes that don't exist there are passed over.
-void apply_entry_delta(CellEntry& entry, CellEntryDelta const& delta);
+void apply_entry_delta(ZoneEntry& entry, ZoneEntryDelta const& delta);
 
 }  // namespace banktide
--- a/tests/coordination/held_values_test.cpp
+++ b/tests/coordination/held_values_test.cpp
@@ -18,10 +18,10 @@
 
 TEST(HeldValues, takes_only_what_is_newer_and_whole) {
   HeldValues values;
-  Held const second = compressed_value(2, "two");
+  RegisterValue const second = compressed_value(2, "two");
   EXPECT_EQ(values.accept({{Register::routing, second}}), std::vector<Register>{Register::routing});
   EXPECT_TRUE(values.accept({{Register::routing, compressed_value(1, "one")}}).empty());
-  Held spoilt = compressed_value(3, "three");
+  RegisterValue spoilt = compressed_value(3, "three");
   spoilt.bytes.back() = static_cast<char>(spoilt.bytes.back() ^ 1);
   EXPECT_TRUE(values.accept({{Register::routing, spoilt}}).empty());
   EXPECT_EQ(values.of(Register::routing), second);
@@ -39,7 +39,7 @@
 
 TEST(HeldValues, a_configuration_comes_by_deltas_one_after_the_other) {
   HeldValues values;
-  std::vector<Held> versions;
+  std::vector<RegisterValue> versions;
   for (Revision n = 1; n <= 4; ++n) versions.push_back(compressed_value(n, numbered_lines(n * 20)));
   values.accept({{Register::routing, versions[0]}});
   for (std::size_t i = 1; i < versions.size(); ++i)
@@ -50,9 +50,9 @@
 }
 
 TEST(HeldValues, a_delta_from_another_version_changes_nothing_and_a_spoilt_one_has_the_whole_asked_for) {
-  Held const first = compressed_value(1, numbered_lines(10));
-  Held const second = compressed_value(2, numbered_lines(20));
-  Held const third = compressed_value(3, numbered_lines(30));
+  RegisterValue const first = compressed_value(1, numbered_lines(10));
+  RegisterValue const second = compressed_value(2, numbered_lines(20));
+  RegisterValue const third = compressed_value(3, numbered_lines(30));
   HeldValues values;
   values.accept({{Register::routing, first}});
   EXPECT_TRUE(values.accept_routing_deltas({*make_text_delta(second, third)}).empty());
--- a/tests/coordination/key_coordinator_test.cpp
+++ b/tests/coordination/key_coordinator_test.cpp
@@ -10,15 +10,15 @@
 namespace {
 
 struct OneValueStore {
-  Held held;
+  RegisterValue held;
   std::size_t conflicts = 0;
   std::function<void()> before_change;
 
-  Task<Result<Held>> read(Register, Held, Instant) { co_return held; }
+  Task<Result<RegisterValue>> read(Register, RegisterValue, Instant) { co_return held; }
   template <class Step>
-  Task<Result<Held>> change(Register, std::string, Instant, Step step) {
+  Task<Result<RegisterValue>> change(Register, std::string, Instant, Step step) {
     if (before_change) before_change();
-    Result<Held> next = step(held);
+    Result<RegisterValue> next = step(held);
     if (next) {
       held = *next;
     } else {
--- a/tests/coordination/key_table_feed_test.cpp
+++ b/tests/coordination/key_table_feed_test.cpp
@@ -13,38 +13,38 @@
 struct TableBytes {
   std::size_t whole = 0, deltas = 0, wholes = 0, read_wholes = 0;
 
-  void add(Held const& held) {
+  void add(RegisterValue const& held) {
     whole += held.bytes.size();
     wholes += !held.bytes.empty();
   }
   void add(KeyDelta const& delta) { deltas += delta.bytes.size() + delta_frame_bytes; }
-  void add_values(std::vector<std::pair<Register, Held>> const& values) {
+  void add_values(std::vector<std::pair<Register, RegisterValue>> const& values) {
     for (auto const& [r, held] : values)
       if (r == Register::keys) add(held);
   }
   void add_told(std::uint8_t const kind, Bytes const& raw) {
-    if (kind == News::kind) {
-      Result<News> const news = unpack<News>(raw);
+    if (kind == ZoneUpdate::kind) {
+      Result<ZoneUpdate> const news = unpack<ZoneUpdate>(raw);
       ASSERT_TRUE(news);
       add_values(news->layouts);
       for (KeyDelta const& delta : news->key_deltas) add(delta);
     }
-    if (kind == Chosen::kind) {
-      Result<Chosen> const chosen = unpack<Chosen>(raw);
+    if (kind == ChosenValue::kind) {
+      Result<ChosenValue> const chosen = unpack<ChosenValue>(raw);
       ASSERT_TRUE(chosen);
       add_values({{chosen->reg, chosen->held}});
       if (chosen->key_delta) add(*chosen->key_delta);
     }
   }
   void add_answer(std::uint8_t const kind, Bytes const& raw) {
-    if (kind == LayoutsAsk::kind) {
-      Result<LayoutsReply> const reply = unpack<LayoutsReply>(raw);
+    if (kind == RegisterValuesRequest::kind) {
+      Result<RegisterValuesReply> const reply = unpack<RegisterValuesReply>(raw);
       ASSERT_TRUE(reply);
       add_values(reply->newer);
       for (KeyDelta const& delta : reply->key_deltas) add(delta);
     }
-    if (kind == Peek::kind) {
-      Result<PeekReply> const reply = unpack<PeekReply>(raw);
+    if (kind == ReadRegister::kind) {
+      Result<ReadRegisterReply> const reply = unpack<ReadRegisterReply>(raw);
       ASSERT_TRUE(reply);
       add(reply->held);
       read_wholes += !reply->held.bytes.empty();
@@ -54,13 +54,13 @@
 
 // Counts the answers that leave a process.
 void watch_answers(Dispatcher& dispatcher, TableBytes& bytes) {
-  for (std::uint8_t const kind : {LayoutsAsk::kind, Peek::kind}) {
+  for (std::uint8_t const kind : {RegisterValuesRequest::kind, ReadRegister::kind}) {
     PeerHandler const handler = dispatcher.handlers[kind];
     if (!handler) continue;
     dispatcher.handlers[kind] = [handler, kind, &bytes](Bytes raw,
                                                         SharedCancellation cancellation) -> Task<Result<Bytes>> {
-      Result<Peek> const peek = unpack<Peek>(raw);
-      bool const of_keys = kind != Peek::kind || (peek && peek->reg == Register::keys);
+      Result<ReadRegister> const peek = unpack<ReadRegister>(raw);
+      bool const of_keys = kind != ReadRegister::kind || (peek && peek->reg == Register::keys);
       Result<Bytes> answer = co_await handler(std::move(raw), std::move(cancellation));
       if (answer && of_keys) bytes.add_answer(kind, *answer);
       co_return answer;
@@ -89,15 +89,15 @@
 
   Task<void> write(std::string const by, std::shared_ptr<bool> const done) {
     std::shared_ptr<Registry<SimProcess>> const registry = controls.at(by).registry;
-    auto const step = [this](Held const& now) -> Result<Held> {
+    auto const step = [this](RegisterValue const& now) -> Result<RegisterValue> {
       Result<KeyTable> const table = unpack_key_table(now.bytes, now.revision);
       KeyTable const next = now.revision == 0 ? changes.first(264, 44) : changes.next(*table);
-      Held made = held_of(next);
+      RegisterValue made = held_of(next);
       made.requests = now.requests;
       return made;
     };
     std::string const request = "keys-" + std::to_string(++requests);
-    Result<Held> const written =
+    Result<RegisterValue> const written =
         co_await registry->registers().change(Register::keys, request, controls.at(by).process->now() + 2s, step);
     if (written) {
       newest = *written;
@@ -118,7 +118,7 @@
   }
   bool all_have_newest() {
     for (auto const& [id, n] : nodes) {
-      Held const& held = n.follower->held(Register::keys);
+      RegisterValue const& held = n.follower->held(Register::keys);
       if (held.revision != newest.revision || held.bytes != newest.bytes) return false;
     }
     return true;
@@ -127,7 +127,7 @@
   KeyTableChanges changes;
   TableBytes bytes;
   std::size_t watched = 0, written = 0, requests = 0, whole_tables_cost = 0;
-  Held newest;
+  RegisterValue newest;
 };
 
 TEST(KeyTableFeed, changes_reach_every_node_by_deltas_only) {
@@ -206,9 +206,9 @@
   t.write_some("ra", 3);
   ASSERT_TRUE(t.run_until([&] { return t.all_have_newest(); }, 2s));
   t.bytes = {};
-  PeerHandler& at_node = t.net.at.at("a2:1")->dispatcher->handlers[News::kind];
+  PeerHandler& at_node = t.net.at.at("a2:1")->dispatcher->handlers[ZoneUpdate::kind];
   at_node = [whole = at_node](Bytes raw, SharedCancellation cancellation) -> Task<Result<Bytes>> {
-    Result<News> news = unpack<News>(raw);
+    Result<ZoneUpdate> news = unpack<ZoneUpdate>(raw);
     for (KeyDelta& delta : news->key_deltas) ++delta.digest;
     Result<Bytes> answer = co_await whole(pack(*news), std::move(cancellation));
     co_return answer;
@@ -277,7 +277,7 @@
 // rounds compete.
 void hold_apart(ReadingTrial& t, Revision const first) {
   for (std::size_t i = 0; i < t.addresses.size(); ++i) {
-    Accept alone{Register::keys, Ballot{t.acceptors[i]->set().epoch, 1000 + i, 7}, Held{}};
+    Accept alone{Register::keys, Ballot{t.acceptors[i]->set().epoch, 1000 + i, 7}, RegisterValue{}};
     alone.held.revision = first + i;
     alone.held.bytes = "apart";
     std::optional<bool> accepted;
@@ -297,7 +297,7 @@
   hold_apart(t, 8);
   std::size_t questions = 0;
   t.net.struck = [&](SimProcess&, std::uint8_t const kind) {
-    questions += kind == Peek::kind;
+    questions += kind == ReadRegister::kind;
     return false;
   };
   Result<ConfirmedRevision> const newest = t.confirm_revision(1, 2s);
@@ -328,10 +328,10 @@
     prepares += kind == Prepare::kind;
     return false;
   };
-  Held known;
+  RegisterValue known;
   known.revision = 11;
   known.bytes = "known";
-  std::optional<Result<Held>> read;
+  std::optional<Result<RegisterValue>> read;
   auto const read_it = [&]() -> Task<void> {
     read = co_await t.registers[1]->read(Register::keys, known, t.clients[1]->now() + 1s);
   };
@@ -348,7 +348,7 @@
   for (std::size_t i = 0; i < 3; ++i) t.power_off(i);
   std::size_t questions = 0;
   t.net.struck = [&](SimProcess&, std::uint8_t const kind) {
-    questions += kind == Peek::kind;
+    questions += kind == ReadRegister::kind;
     return false;
   };
   EXPECT_FALSE(t.confirm_revision(1, 10s));
@@ -361,19 +361,19 @@
   ASSERT_TRUE(t.put(0, Register::keys, 7, "seven"));
   ASSERT_TRUE(t.confirm_revision(1, 2s));
   t.run_for(1s);
-  Result<ConfirmedValue> const read = t.confirm(1, Register::keys, Held{}, 2s);
+  Result<ConfirmedValue> const read = t.confirm(1, Register::keys, RegisterValue{}, 2s);
   ASSERT_TRUE(read);
   EXPECT_EQ(read->held.bytes, "seven");
   EXPECT_EQ(t.bytes.wholes, 1u);
   // A voter that loses its power as it is about to send the value.
   std::size_t struck = 0;
   t.net.struck = [&](SimProcess& voter, std::uint8_t const kind) {
-    if (kind != Peek::kind || t.bytes.wholes != 2 || struck > 0) return false;
+    if (kind != ReadRegister::kind || t.bytes.wholes != 2 || struck > 0) return false;
     ++struck;
     voter.kill();
     return true;
   };
-  Result<ConfirmedValue> const again = t.confirm(2, Register::keys, Held{}, 3s);
+  Result<ConfirmedValue> const again = t.confirm(2, Register::keys, RegisterValue{}, 3s);
   ASSERT_TRUE(again);
   EXPECT_EQ(again->held.bytes, "seven");
   EXPECT_EQ(struck, 1u);
--- a/tests/coordination/key_trial_test.cpp
+++ b/tests/coordination/key_trial_test.cpp
@@ -78,7 +78,7 @@
   std::shared_ptr<Backend> backend;
   std::function<void()> pending;  // answers the beat that waits
   std::uint64_t pending_number = 0;
-  Held known;
+  RegisterValue known;
 };
 
 struct Trial {
@@ -122,7 +122,7 @@
       if (!node.core_cut && !core_down)
         loop.after(loop.between(1, 60), [this, &node, life, sent] {
           if (core_down || loop.one_in(20)) return;
-          Held const read = held;
+          RegisterValue const read = held;
           loop.after(loop.between(1, 60), [this, &node, life, sent, read] {
             on_node(node, life, [this, &node, life, sent, read] {
               if (tables_come_apart) return confirm_version(node, life, sent, read.revision);
@@ -143,7 +143,7 @@
     push(node);
     if (node.holder->table_revision() >= revision || loop.one_in(4)) return;
     loop.after(loop.between(1, 400), [this, &node, life] {
-      Held const read = held;
+      RegisterValue const read = held;
       loop.after(loop.between(1, 60), [this, &node, life, read] {
         on_node(node, life, [this, &node, read] {
           node.holder->on_table(*unpack_key_table(read.bytes, read.revision));
@@ -483,7 +483,7 @@
 
   KeySettings planning_settings;
   Loop loop;
-  Held held;
+  RegisterValue held;
   std::vector<std::unique_ptr<KeyPlanner>> planners;
   std::array<bool, 2> acting{}, writing{}, fresh{};
   std::array<std::uint64_t, 2> planner_life{};
--- a/tests/coordination/lease_voter_test.cpp
+++ b/tests/coordination/lease_voter_test.cpp
@@ -14,11 +14,11 @@
   std::shared_ptr<SimProcess> p = std::make_shared<SimProcess>(sim, net, "m", "a:1", 1);
   LeaseVoter<SimProcess> v{*p};
   bool grants(std::string const& holder, Slice const& s, std::uint64_t const epoch) {
-    LeaseReply const r = v.ask(LeaseAsk{holder, {SliceClaim{s, epoch}}, {}});
+    LeaseReply const r = v.ask(LeaseRequest{holder, {SliceClaim{s, epoch}}, {}});
     return r.voting && r.granted[0];
   }
   void release(std::string const& holder, Slice const& s, std::uint64_t const epoch) {
-    v.ask(LeaseAsk{holder, {}, {SliceClaim{s, epoch}}});
+    v.ask(LeaseRequest{holder, {}, {SliceClaim{s, epoch}}});
   }
 };
 
@@ -31,7 +31,7 @@
   EXPECT_TRUE(grants("a", s, 101));
   LeaseVoter<SimProcess> blank(*p);
   sim.run_until(sim.now + lease_term);
-  EXPECT_FALSE(blank.ask(LeaseAsk{"a", {SliceClaim{s, 5}}, {}}).voting);
+  EXPECT_FALSE(blank.ask(LeaseRequest{"a", {SliceClaim{s, 5}}, {}}).voting);
 }
 
 TEST_F(LeaseVoterTest, a_new_holder_needs_a_greater_epoch_and_a_free_slice) {
--- a/tests/coordination/register_client_test.cpp
+++ b/tests/coordination/register_client_test.cpp
@@ -49,20 +49,22 @@
   Task<void> keep_changing(std::size_t const c) {
     while (!over) {
       std::string const id = std::to_string(c) + "." + std::to_string(++made) + ";";
-      auto const append = [id](Held const& now) -> Result<Held> {
-        Held next = now;
+      auto const append = [id](RegisterValue const& now) -> Result<RegisterValue> {
+        RegisterValue next = now;
         ++next.revision;
         next.bytes += id;
         return next;
       };
       std::size_t const known = acked.size();
-      Result<Held> const r = co_await coordinators[c]->change(Register::routing, id, clients[c]->now() + 3s, append);
+      Result<RegisterValue> const r =
+          co_await coordinators[c]->change(Register::routing, id, clients[c]->now() + 3s, append);
       if (r)
         acked.push_back(id);
       else if (r.error().proof == Proof::not_run)
         refused.push_back(id);
-      Held const none{};
-      Result<Held> const seen = co_await coordinators[c]->read(Register::routing, none, clients[c]->now() + 3s);
+      RegisterValue const none{};
+      Result<RegisterValue> const seen =
+          co_await coordinators[c]->read(Register::routing, none, clients[c]->now() + 3s);
       if (seen) {
         for (std::size_t i = 0; i < known; ++i)
           EXPECT_NE((";" + seen->bytes).find(";" + acked[i]), std::string::npos) << "stale reading";
@@ -75,8 +77,8 @@
     }
   }
 
-  static Result<Held> kept(Held const& now) {
-    Held next = now;
+  static Result<RegisterValue> kept(RegisterValue const& now) {
+    RegisterValue next = now;
     next.revision = 1;
     next.bytes = "kept";
     return next;
@@ -85,7 +87,7 @@
     written = co_await coordinators[0]->change(Register::routing, "r", clients[0]->now() + 3s, &kept);
   }
   Task<void> read_once() {
-    Held const none{};
+    RegisterValue const none{};
     seen = co_await coordinators[1]->read(Register::routing, none, clients[1]->now() + 3s);
   }
 
@@ -129,7 +131,7 @@
   std::vector<std::unique_ptr<Dispatcher>> dispatchers;
   std::vector<std::unique_ptr<RegisterClient<SimProcess>>> coordinators;
   std::vector<std::string> acked, refused;
-  Result<Held> written = make_error("", "", ""), seen = make_error("", "", "");
+  Result<RegisterValue> written = make_error("", "", ""), seen = make_error("", "", "");
   std::string last;
   std::uint64_t runs = 0, made = 0;
   bool over = false, down = false;
--- a/tests/coordination/register_stand_in.hpp
+++ b/tests/coordination/register_stand_in.hpp
@@ -7,7 +7,7 @@
 
 /** The register as a registry's client sees it: one value, changed at a distance. */
 struct OneRegister {
-  Held held;
+  RegisterValue held;
   bool reachable = true;
   std::size_t writings = 0;
 };
@@ -16,10 +16,10 @@
  public:
   RegisterStandIn(SimProcess& process, OneRegister& shared) : process_(process), shared_(shared) {}
   template <class Step>
-  Task<Result<Held>> change(Register, std::string, Instant, Step step) {
+  Task<Result<RegisterValue>> change(Register, std::string, Instant, Step step) {
     co_await sleep_for(process_, std::chrono::milliseconds(1 + process_.chance()() % 30));
     if (!shared_.reachable) co_return make_error("change", "", "no majority", Proof::not_run);
-    Result<Held> next = step(shared_.held);
+    Result<RegisterValue> next = step(shared_.held);
     if (next && next->revision != shared_.held.revision) ++shared_.writings;
     if (next) shared_.held = *next;
     co_await sleep_for(process_, std::chrono::milliseconds(1 + process_.chance()() % 30));
--- a/tests/coordination/register_test.cpp
+++ b/tests/coordination/register_test.cpp
@@ -16,12 +16,12 @@
   ASSERT_TRUE(t.run_until([&] { return t.all_vote(4); }, 20s));
   EXPECT_EQ(t.put(0, Register::routing, 12, "twelve")->revision, 12u);
   EXPECT_EQ(t.put(1, Register::routing, 900, "nine hundred")->revision, 900u);
-  Result<Held> const older = t.put(2, Register::routing, 13, "thirteen");
+  Result<RegisterValue> const older = t.put(2, Register::routing, 13, "thirteen");
   ASSERT_TRUE(older);
   EXPECT_EQ(older->revision, 900u);
   ASSERT_TRUE(t.put(2, Register::routing, 900, "another nine hundred"));
   for (std::size_t client = 0; client < 3; ++client) {
-    Result<Held> const seen = t.get(client, Register::routing);
+    Result<RegisterValue> const seen = t.get(client, Register::routing);
     ASSERT_TRUE(seen);
     EXPECT_EQ(seen->revision, 900u);
     EXPECT_EQ(seen->bytes, "nine hundred");
@@ -34,11 +34,11 @@
     StoreTrial t(seed, 4, 1);
     t.start_all(true);
     ASSERT_TRUE(t.run_until([&] { return t.all_vote(4); }, 20s));
-    std::array<std::optional<Result<Held>>, 2> done;
+    std::array<std::optional<Result<RegisterValue>>, 2> done;
     for (std::size_t c = 0; c < 2; ++c) {
       Revision const revision = 20 + 10 * c;
-      auto const newer = [revision](Held const& now) -> Result<Held> {
-        Held next = now;
+      auto const newer = [revision](RegisterValue const& now) -> Result<RegisterValue> {
+        RegisterValue next = now;
         if (revision <= now.revision) return next;
         next.revision = revision;
         next.bytes = std::to_string(revision);
@@ -57,7 +57,7 @@
   StoreTrial t(2, 4, 1);
   t.start_all(true);
   ASSERT_TRUE(t.run_until([&] { return t.all_vote(4); }, 20s));
-  Held known;
+  RegisterValue known;
   for (Revision n = 1; n <= 30; ++n) {
     t.net.sim.cut("core-" + std::to_string(n % 4), "client-0");
     ASSERT_TRUE(t.put(0, Register::keys, n, std::to_string(n)));
@@ -96,14 +96,14 @@
 
 TEST(Register, confirm_says_no_without_a_majority_and_without_a_set_told_by_a_voter) {
   StoreTrial t(3, 4, 1);
-  EXPECT_FALSE(t.confirm(0, Register::keys, Held{}, 1s));
+  EXPECT_FALSE(t.confirm(0, Register::keys, RegisterValue{}, 1s));
   EXPECT_FALSE(t.registers[0]->knows_voters());
   t.start_all(true);
   ASSERT_TRUE(t.run_until([&] { return t.all_vote(4); }, 20s));
   ASSERT_TRUE(t.put(0, Register::keys, 1, "one"));
   t.power_off(0);
   t.power_off(3);
-  EXPECT_FALSE(t.confirm(0, Register::keys, Held{}, 1s));
+  EXPECT_FALSE(t.confirm(0, Register::keys, RegisterValue{}, 1s));
 }
 
 // For each set of up to `losses` disks: a value that was just acknowledged is
@@ -136,7 +136,7 @@
       if ((wiped >> i & 1) != 0) t.wipe(i);
       t.start(i, false);
     }
-    Result<Held> const soon = t.get(1, Register::routing, 20s);
+    Result<RegisterValue> const soon = t.get(1, Register::routing, 20s);
     ASSERT_TRUE(soon) << "wiped " << wiped << ": " << soon.error().reason;
     EXPECT_EQ(soon->bytes, "acknowledged") << "wiped " << wiped;
     ASSERT_TRUE(t.run_until([&] { return t.all_vote(core.voters); }, 20s)) << "rejoining, wiped " << wiped;
--- a/tests/coordination/store_trial.hpp
+++ b/tests/coordination/store_trial.hpp
@@ -92,27 +92,27 @@
   }
 
   // Whole calls, run to their end.
-  Result<Held> put(std::size_t const client, Register const reg, Revision const revision, std::string const bytes,
-                   Duration const patience = 5s) {
-    auto const newer = [&](Held const& now) -> Result<Held> {
-      Held next = now;
+  Result<RegisterValue> put(std::size_t const client, Register const reg, Revision const revision,
+                            std::string const bytes, Duration const patience = 5s) {
+    auto const newer = [&](RegisterValue const& now) -> Result<RegisterValue> {
+      RegisterValue next = now;
       if (revision <= now.revision) return next;
       next.revision = revision;
       next.bytes = bytes;
       return next;
     };
-    std::optional<Result<Held>> done;
+    std::optional<Result<RegisterValue>> done;
     spawn(*clients[client], put_one(client, reg, newer, patience, done));
     run_until([&] { return done.has_value(); }, patience + 2s);
-    return done ? *done : Result<Held>(make_error("put", "", "no end"));
+    return done ? *done : Result<RegisterValue>(make_error("put", "", "no end"));
   }
-  Result<Held> get(std::size_t const client, Register const reg, Duration const patience = 5s) {
-    std::optional<Result<Held>> done;
+  Result<RegisterValue> get(std::size_t const client, Register const reg, Duration const patience = 5s) {
+    std::optional<Result<RegisterValue>> done;
     spawn(*clients[client], get_one(client, reg, patience, done));
     run_until([&] { return done.has_value(); }, patience + 2s);
-    return done ? *done : Result<Held>(make_error("get", "", "no end"));
+    return done ? *done : Result<RegisterValue>(make_error("get", "", "no end"));
   }
-  Result<ConfirmedValue> confirm(std::size_t const client, Register const reg, Held const known,
+  Result<ConfirmedValue> confirm(std::size_t const client, Register const reg, RegisterValue const known,
                                  Duration const patience) {
     std::optional<Result<ConfirmedValue>> done;
     spawn(*clients[client], confirm_one(client, reg, known, patience, done));
@@ -133,15 +133,15 @@
 
   template <class F>
   Task<void> put_one(std::size_t const c, Register const reg, F newer, Duration const patience,
-                     std::optional<Result<Held>>& done) {
+                     std::optional<Result<RegisterValue>>& done) {
     done = co_await registers[c]->change(reg, "", clients[c]->now() + patience, newer);
   }
   Task<void> get_one(std::size_t const c, Register const reg, Duration const patience,
-                     std::optional<Result<Held>>& done) {
-    Held const none{};
+                     std::optional<Result<RegisterValue>>& done) {
+    RegisterValue const none{};
     done = co_await registers[c]->read(reg, none, clients[c]->now() + patience);
   }
-  Task<void> confirm_one(std::size_t const c, Register const reg, Held const known, Duration const patience,
+  Task<void> confirm_one(std::size_t const c, Register const reg, RegisterValue const known, Duration const patience,
                          std::optional<Result<ConfirmedValue>>& done) {
     done = co_await registers[c]->confirm(reg, known, clients[c]->now() + patience);
   }
--- a/tests/coordination/voter_replacement_test.cpp
+++ b/tests/coordination/voter_replacement_test.cpp
@@ -132,11 +132,11 @@
   for (std::size_t const i : {0u, 1u, 3u}) come_back(i);
   for (std::size_t look = 0; look < 10; ++look) {
     t.run_for(1s);
-    Result<Held> const seen = t.get(1, Register::routing, 500ms);
+    Result<RegisterValue> const seen = t.get(1, Register::routing, 500ms);
     EXPECT_FALSE(seen && seen->bytes == "old");
   }
   for (std::size_t const i : {2u, 4u}) come_back(i);
-  Result<Held> const seen = t.get(1, Register::routing, 15s);
+  Result<RegisterValue> const seen = t.get(1, Register::routing, 15s);
   ASSERT_TRUE(seen);
   EXPECT_EQ(seen->bytes, "new");
 }
--- a/tests/coordination/voter_replacement_trial.hpp
+++ b/tests/coordination/voter_replacement_trial.hpp
@@ -190,13 +190,13 @@
 
   bool acknowledge(char const* const when) {
     ++last_;
-    Result<Held> const done = t_.put(0, Register::routing, last_, std::to_string(last_), patience);
+    Result<RegisterValue> const done = t_.put(0, Register::routing, last_, std::to_string(last_), patience);
     EXPECT_TRUE(done) << when << ": " << done.error().reason;
     return done.has_value();
   }
 
   bool read_back() {
-    Result<Held> const seen = t_.get(1, Register::routing, patience);
+    Result<RegisterValue> const seen = t_.get(1, Register::routing, patience);
     EXPECT_TRUE(seen) << "read back: " << seen.error().reason;
     if (!seen) return false;
     EXPECT_EQ(seen->bytes, std::to_string(last_));
--- a/tests/coordination/voter_set_test.cpp
+++ b/tests/coordination/voter_set_test.cpp
@@ -42,7 +42,7 @@
     before = initial_set({"store-0:1", "a:1", "b:1"}, 1);
     after = with_voter_added(before, VoterEntry{"store-1:1", 77});
     trial.disks[0].durable.phase = Phase::voting;
-    trial.disks[0].durable.founding = 9;
+    trial.disks[0].durable.bootstrap_id = 9;
     trial.disks[0].durable.set = before;
     trial.disks[0].durable.disk = 5;
     trial.disks[1].durable.disk = 76;
@@ -91,7 +91,7 @@
   Activate activate() const {
     Activate q;
     q.set = after;
-    q.founding = 9;
+    q.bootstrap_id = 9;
     q.slots[2].accepted.round = 3;
     q.slots[2].held.bytes = "copied";
     return q;
@@ -112,14 +112,14 @@
   EXPECT_FALSE(old.voting);
   ASSERT_TRUE(old.newer);
   EXPECT_EQ(*old.newer, v.after);
-  Peek look;
+  ReadRegister look;
   look.reg = Register::keys;
   EXPECT_FALSE(v.said(0, look).voting);
   EXPECT_FALSE(v.said(0, LoneVoter::value(1, 5, "early")).voting);
   EXPECT_EQ(v.trial.disks[0].durable.set, v.after);  // kept, for a restart
   EXPECT_TRUE(v.said(0, v.activate()).active);
   look.epoch = 1;
-  PeekReply const now = v.said(0, look);
+  ReadRegisterReply const now = v.said(0, look);
   EXPECT_TRUE(now.voting);
   EXPECT_EQ(now.revision, 4u);  // its own was newer than what it was told
   EXPECT_TRUE(v.said(0, LoneVoter::value(1, 5, "next")).accepted);
@@ -154,7 +154,7 @@
   VoterSet const before = initial_set({"store-0:1", "store-1:1"}, 0);
   for (std::size_t i = 0; i < 3; ++i) {
     t.disks[i].durable.phase = Phase::voting;
-    t.disks[i].durable.founding = 9;
+    t.disks[i].durable.bootstrap_id = 9;
     t.disks[i].durable.disk = i + 1;
     t.disks[i].durable.set = with_voter_added(before, VoterEntry{"store-2:1", 3});
     t.disks[i].durable.active_epoch = 1;
@@ -162,9 +162,9 @@
     t.disks[i].durable.slots[2].held.revision = 4;
     t.start(i, false);
   }
-  EXPECT_FALSE(t.confirm(0, Register::keys, Held{}, 1s));
+  EXPECT_FALSE(t.confirm(0, Register::keys, RegisterValue{}, 1s));
   EXPECT_EQ(t.get(0, Register::keys)->revision, 4u);  // writes it in the new set
-  EXPECT_TRUE(t.confirm(0, Register::keys, Held{}, 1s));
+  EXPECT_TRUE(t.confirm(0, Register::keys, RegisterValue{}, 1s));
 }
 
 TEST(VoterSet, three_seeds_found_the_register_and_every_other_store_is_added) {
@@ -223,20 +223,21 @@
   Task<void> keep_putting(std::size_t const c) {
     while (!over) {
       Revision const mine = ++made * 3 + c;
-      auto const newer = [mine](Held const& now) -> Result<Held> {
-        Held next = now;
+      auto const newer = [mine](RegisterValue const& now) -> Result<RegisterValue> {
+        RegisterValue next = now;
         if (mine <= now.revision) return next;
         next.revision = mine;
         next.bytes = std::to_string(mine);
         return next;
       };
-      Result<Held> const r = co_await t.registers[c]->change(Register::keys, "", t.clients[c]->now() + 3s, newer);
+      Result<RegisterValue> const r =
+          co_await t.registers[c]->change(Register::keys, "", t.clients[c]->now() + 3s, newer);
       if (r) {
         acknowledged = std::max(acknowledged, r->revision);
         ++puts;
       }
       Revision const floor = acknowledged;
-      Held const none{};
+      RegisterValue const none{};
       Result<ConfirmedValue> const seen =
           co_await t.registers[c]->confirm(Register::keys, none, t.clients[c]->now() + 100ms);
       if (seen) {
@@ -310,7 +311,7 @@
     for (std::size_t i = 0; i < 6; ++i)
       if (!s.t.net.at.contains(s.t.addresses[i]) || !s.t.net.at[s.t.addresses[i]]->alive) s.t.start(i, false);
     EXPECT_TRUE(s.t.run_until([&] { return s.t.all_vote(6); }, 40s)) << "seed " << seed;
-    Result<Held> const seen = s.t.get(0, Register::keys);
+    Result<RegisterValue> const seen = s.t.get(0, Register::keys);
     ASSERT_TRUE(seen) << "seed " << seed;
     EXPECT_GE(seen->revision, s.acknowledged) << "seed " << seed;
     puts += s.puts;
--- a/tests/coordination/zone_feed_test.cpp
+++ b/tests/coordination/zone_feed_test.cpp
@@ -37,7 +37,7 @@
     for (Instant const end = sim.now + d; sim.now < end;) {
       run_for(200ms);
       for (auto const& [id, m] : feed->view().members)
-        if (id != silent) feed->on_heartbeat(Beat{id, m.address, 1, Position{}, "a"});
+        if (id != silent) feed->on_heartbeat(Heartbeat{id, m.address, 1, Position{}, "a"});
       feed->watch();
     }
   }
@@ -104,7 +104,7 @@
   FeedTrial t;
   t.join("n1", {});
   t.run_for(2s);
-  CellEntry entry;
+  ZoneEntry entry;
   entry.cell = "b";
   for (int i = 10; i < 58; ++i) {
     std::string const node = "machine-in-zone-b-" + std::to_string(i);
@@ -143,7 +143,7 @@
   FeedTrial t;
   t.join("n1", {backend("s", "i1", 32, 5, 1), backend("s", "i2", 32, 4)});
   t.join("n2", {backend("s", "i3", 8, 3), backend("other", "i4", 0, 77, 7)});
-  CellEntry const e = t.feed->entry();
+  ZoneEntry const e = t.feed->entry();
   EXPECT_EQ(e.offers, (std::vector<std::string>{"other", "s"}));
   EXPECT_EQ(e.gateways.size(), 2u);
   std::vector<ServiceOffer> const offers{
@@ -246,9 +246,9 @@
 
 TEST(ZoneFeed, loads_go_with_the_next_pulse_and_what_is_urgent_goes_at_once_with_them) {
   FeedTrial t;
-  std::vector<News> sent;
+  std::vector<ZoneUpdate> sent;
   t.net.tap = [&](SimProcess const&, Address const& to, std::uint8_t const kind, Bytes const& raw) {
-    if (kind == News::kind && to == "n1:1") sent.push_back(*unpack<News>(raw));
+    if (kind == ZoneUpdate::kind && to == "n1:1") sent.push_back(*unpack<ZoneUpdate>(raw));
   };
   t.join("n1", {backend("s", "i", 8, 0)});
   t.run_for(2s);
@@ -274,7 +274,7 @@
   FeedTrial t;
   std::vector<Position> told;
   t.net.tap = [&](SimProcess const&, Address const&, std::uint8_t const kind, Bytes const& raw) {
-    if (kind == Beat::kind) told.push_back(unpack<Beat>(raw)->at);
+    if (kind == Heartbeat::kind) told.push_back(unpack<Heartbeat>(raw)->at);
   };
   t.join("n1", {backend("s", "i", 8, 0)});
   t.run_for(2s);
@@ -290,8 +290,8 @@
 
 // ---- what zones tell each other
 
-CellEntry entry_with(std::size_t const gateways) {
-  CellEntry e;
+ZoneEntry entry_with(std::size_t const gateways) {
+  ZoneEntry e;
   e.cell = "a";
   for (std::size_t i = 0; i < gateways; ++i) {
     std::string const id = "g" + std::to_string(i);
@@ -323,17 +323,18 @@
   FeedTiming const timing;
   ZoneEntries entries(timing);
   Instant const start{std::chrono::hours(1)};
-  EXPECT_NE(entries.take(CellTold{entry_with(2), "x", {1, 5}}, start), nullptr);
-  EXPECT_EQ(entries.take(CellTold{entry_with(2), "x", {1, 4}}, start), nullptr) << "overtaken on its way";
-  EXPECT_NE(entries.take(CellTold{entry_with(1), "x", {2, 1}}, start), nullptr) << "the registry has started again";
-  EXPECT_EQ(entries.take(CellTold{entry_with(1), "y", {9, 1}}, start + 1s), nullptr);
-  EXPECT_NE(entries.take(CellTold{entry_with(2), "y", {9, 2}}, start + 1s), nullptr);
-  EXPECT_EQ(entries.take(CellTold{entry_with(0), "x", {2, 3}}, start + 2s), nullptr);
-  EXPECT_NE(entries.take(CellTold{entry_with(1), "x", {2, 4}}, start + 5s), nullptr);
+  EXPECT_NE(entries.take(ZoneAnnouncement{entry_with(2), "x", {1, 5}}, start), nullptr);
+  EXPECT_EQ(entries.take(ZoneAnnouncement{entry_with(2), "x", {1, 4}}, start), nullptr) << "overtaken on its way";
+  EXPECT_NE(entries.take(ZoneAnnouncement{entry_with(1), "x", {2, 1}}, start), nullptr)
+      << "the registry has started again";
+  EXPECT_EQ(entries.take(ZoneAnnouncement{entry_with(1), "y", {9, 1}}, start + 1s), nullptr);
+  EXPECT_NE(entries.take(ZoneAnnouncement{entry_with(2), "y", {9, 2}}, start + 1s), nullptr);
+  EXPECT_EQ(entries.take(ZoneAnnouncement{entry_with(0), "x", {2, 3}}, start + 2s), nullptr);
+  EXPECT_NE(entries.take(ZoneAnnouncement{entry_with(1), "x", {2, 4}}, start + 5s), nullptr);
   EXPECT_TRUE(entries.forget(start + 30s).empty());
-  std::vector<CellEntry> const gone = entries.forget(start + 66s);
+  std::vector<ZoneEntry> const gone = entries.forget(start + 66s);
   ASSERT_EQ(gone.size(), 1u);
-  EXPECT_EQ(gone[0], CellEntry({"a", {}, {}, {}}));
+  EXPECT_EQ(gone[0], ZoneEntry({"a", {}, {}, {}}));
 }
 
 // ---- whole zones
@@ -438,12 +439,14 @@
   for (int i = 0; i < 4; ++i) t.add_node("a" + std::to_string(i), "a", "s");
   for (int i = 0; i < 4; ++i) t.add_node("c" + std::to_string(i), "c", "s");
   ASSERT_TRUE(t.run_until([&] { return t.nodes_seen("a3") == 4 && t.nodes_seen("c3") == 4; }, 15s));
-  for (Register const reg : told_registers) {
+  for (Register const reg : published_registers) {
     auto const write = [](ZoneTrial& trial, Register const which) -> Task<void> {
       Registry<SimProcess>& registry = trial.registry("rb");
       std::string const bytes = "value of " + register_name(which);
-      auto const step = [bytes](Held const&) -> Result<Held> { return Held{1000, bytes, digest_of(bytes), {}}; };
-      Result<Held> const done =
+      auto const step = [bytes](RegisterValue const&) -> Result<RegisterValue> {
+        return RegisterValue{1000, bytes, digest_of(bytes), {}};
+      };
+      Result<RegisterValue> const done =
           co_await registry.registers().change(which, "", trial.controls.at("rb").process->now() + 3s, step);
       if (done) registry.announce(which, *done);
     };
@@ -452,7 +455,7 @@
   EXPECT_TRUE(t.run_until(
       [&] {
         for (auto const& [id, n] : t.nodes)
-          for (Register const reg : told_registers)
+          for (Register const reg : published_registers)
             if (!n.values.contains(reg) || n.values.at(reg) != "value of " + register_name(reg)) return false;
         return true;
       },
@@ -467,8 +470,8 @@
 
   void watch(ZoneTrial& t) {
     t.net.tap = [this](SimProcess const& from, Address const&, std::uint8_t const kind, Bytes const& raw) {
-      if (kind != LayoutsAsk::kind) return;
-      bool const revisions_only = unpack<LayoutsAsk>(raw)->revisions_only;
+      if (kind != RegisterValuesRequest::kind) return;
+      bool const revisions_only = unpack<RegisterValuesRequest>(raw)->revisions_only;
       revisions_only ? ++for_revisions : ++for_values[from.address];
     };
   }
@@ -477,11 +480,11 @@
 Task<void> write_routing(ZoneTrial& trial, std::string const registry_id, Revision const revision) {
   Registry<SimProcess>& registry = trial.registry(registry_id);
   std::string const bytes = "value " + std::to_string(revision);
-  auto const step = [bytes, revision](Held const&) -> Result<Held> {
-    return Held{revision, bytes, digest_of(bytes), {}};
+  auto const step = [bytes, revision](RegisterValue const&) -> Result<RegisterValue> {
+    return RegisterValue{revision, bytes, digest_of(bytes), {}};
   };
   Instant const deadline = trial.controls.at(registry_id).process->now() + 3s;
-  Result<Held> const done = co_await registry.registers().change(Register::routing, "", deadline, step);
+  Result<RegisterValue> const done = co_await registry.registers().change(Register::routing, "", deadline, step);
   if (done) registry.announce(Register::routing, *done);
 }
 
--- a/tests/coordination/zone_trial.hpp
+++ b/tests/coordination/zone_trial.hpp
@@ -95,7 +95,7 @@
     for (std::string const& seed : seeds) settings.seeds.push_back(seed + ":1");
     FollowerEvents events;
     events.backends = [&n] { return n.backends; };
-    events.value = [&n](Register const r, Held const& h) { n.values[r] = h.bytes; };
+    events.value = [&n](Register const r, RegisterValue const& h) { n.values[r] = h.bytes; };
     events.view_changed = [&n] { n.least_members = std::min(n.least_members, n.follower->view().members.size()); };
     n.follower = std::make_shared<ZoneFollower<SimProcess>>(*n.process, settings, events);
     n.follower->start(dispatcher(*n.process));
--- a/tests/data_path/local_backend_model_test.cpp
+++ b/tests/data_path/local_backend_model_test.cpp
@@ -118,7 +118,7 @@
   Task<void> send(std::string const id) {
     Forward forward;
     forward.service = "orders";
-    forward.aim_ms = 300;
+    forward.target_latency_ms = 300;
     forward.remaining_ms = static_cast<std::uint32_t>(50 + sim_.chance() % 1000);
     forward.attempt_id = id;
     forward.request.headers = {{"Host", "orders.test"}};
--- a/tests/data_path/local_backend_test.cpp
+++ b/tests/data_path/local_backend_test.cpp
@@ -108,7 +108,7 @@
     forward.service = "accounts";
     forward.keyed = true;
     forward.key = key;
-    forward.aim_ms = 500;
+    forward.target_latency_ms = 500;
     forward.remaining_ms = 1000;
     forward.attempt_id = "a-1";
     spawn(*process, run(std::move(forward), cancellation));
--- a/tests/programs/maintenance_interface_test.cpp
+++ b/tests/programs/maintenance_interface_test.cpp
@@ -61,23 +61,23 @@
   EXPECT_FALSE(is_maintenance_target("/"));
 }
 
-CellEntry entry(std::string const& zone, std::string const& service, std::uint32_t const slots,
+ZoneEntry entry(std::string const& zone, std::string const& service, std::uint32_t const slots,
                 std::uint32_t const busy, std::uint32_t const waiting = 0) {
-  CellEntry e;
+  ZoneEntry e;
   e.cell = zone;
   e.services.push_back(ServiceOffer{service, "node-" + zone, zone + ":1", slots, busy, waiting});
   return e;
 }
 
 TEST(MaintenanceCapacity, the_other_zones_must_have_as_many_free_slots_as_are_busy) {
-  std::vector<CellEntry> const enough{entry("a", "s", 10, 4, 1), entry("b", "s", 10, 7), entry("c", "s", 10, 8)};
+  std::vector<ZoneEntry> const enough{entry("a", "s", 10, 4, 1), entry("b", "s", 10, 7), entry("c", "s", 10, 8)};
   EXPECT_FALSE(lack_of_capacity("a", enough, {}));
   EXPECT_TRUE(lack_of_capacity("a", enough, {"c"})) << "c is under maintenance itself";
-  std::vector<CellEntry> const full{entry("a", "s", 10, 4), entry("b", "s", 10, 7)};
+  std::vector<ZoneEntry> const full{entry("a", "s", 10, 4), entry("b", "s", 10, 7)};
   EXPECT_TRUE(lack_of_capacity("a", full, {}));
-  std::vector<CellEntry> const overloaded{entry("a", "s", 10, 3), entry("b", "s", 10, 30), entry("c", "s", 10, 8)};
+  std::vector<ZoneEntry> const overloaded{entry("a", "s", 10, 3), entry("b", "s", 10, 30), entry("c", "s", 10, 8)};
   EXPECT_TRUE(lack_of_capacity("a", overloaded, {})) << "one zone's overload is no room in another";
-  std::vector<CellEntry> const only_there{entry("a", "s", 10, 0), entry("b", "t", 10, 0)};
+  std::vector<ZoneEntry> const only_there{entry("a", "s", 10, 0), entry("b", "t", 10, 0)};
   EXPECT_TRUE(lack_of_capacity("a", only_there, {}));
 }
 
@@ -102,7 +102,7 @@
     service.rows.push_back(row);
   }
   keys.services.push_back(service);
-  std::vector<CellEntry> const entries{entry("a", "s", 10, 3, 1), entry("b", "s", 10, 7)};
+  std::vector<ZoneEntry> const entries{entry("a", "s", 10, 3, 1), entry("b", "s", 10, 7)};
   ZoneRemains const remains = remains_in("a", entries, keys);
   EXPECT_EQ(remains.requests, 4u);
   EXPECT_EQ(remains.backends, 1u);
@@ -127,21 +127,21 @@
     VoterSet const& set() const { return voters; }
   };
   Voters const& registers() const { return all; }
-  Held const& held(Register) const { return keys; }
+  RegisterValue const& held(Register) const { return keys; }
   std::vector<RegistryEntry> const& directory() const { return entries; }
   bool has_quorum_reading() const { return current; }
   std::set<std::string> zone_names() const { return {"a", "b", "c"}; }
-  std::vector<CellEntry> zone_entries() const { return offers; }
+  std::vector<ZoneEntry> zone_entries() const { return offers; }
 
   Voters all;
-  Held keys = [] {
-    Held h;
+  RegisterValue keys = [] {
+    RegisterValue h;
     h.bytes = pack_key_table(KeyTable{});
     return h;
   }();
   std::vector<RegistryEntry> entries{{"a", "10.0.0.1:1", 0}, {"b", "10.0.0.2:1", 0}, {"c", "10.0.0.3:1", 0}};
   bool current = true;
-  std::vector<CellEntry> offers{entry("a", "s", 10, 4), entry("b", "s", 10, 4), entry("c", "s", 10, 4)};
+  std::vector<ZoneEntry> offers{entry("a", "s", 10, 4), entry("b", "s", 10, 4), entry("c", "s", 10, 4)};
 };
 
 struct InterfaceTrial {
@@ -190,7 +190,7 @@
 TEST(MaintenanceInterface, a_window_is_marked_once_listed_and_ended_once) {
   InterfaceTrial trial;
   EXPECT_EQ(trial.outcome(put("a", evening)), "scheduled");
-  Held const first = trial.shared.held;
+  RegisterValue const first = trial.shared.held;
   EXPECT_EQ(trial.outcome(put("a", evening)), "scheduled");
   EXPECT_EQ(trial.shared.held, first) << "a repeat writes nothing";
   EXPECT_EQ(trial.outcome(put("a", R"({"opens_in_s":100,"lasts_s":51})")), "409 window_overlaps");
--- a/tests/protocol/call_test.cpp
+++ b/tests/protocol/call_test.cpp
@@ -6,8 +6,8 @@
 namespace banktide {
 namespace {
 
-TEST(CallChart, a_call_ends_once_and_is_never_carried_without_a_pick) {
-  CallChart c;
+TEST(CallStateMachine, a_call_ends_once_and_is_never_carried_without_a_pick) {
+  CallStateMachine c;
   EXPECT_FALSE(c.step(CallState::carrying));
   for (CallState const s : {CallState::admitted, CallState::picking, CallState::carrying, CallState::waiting,
                             CallState::picking, CallState::carrying, CallState::waiting, CallState::answered})
