--- a/tests/protocol/wire_format_test.cpp
+++ b/tests/protocol/wire_format_test.cpp
@@ -38,26 +38,29 @@
   expect_bytes(Ballot{.epoch = 10000000002u, .round = 10000000003u, .coordinator = 10000000004u},
                "02e40b540200000003e40b540200000004e40b5402000000");
   expect_bytes(
-      Held{.revision = 10000000002u, .bytes = "s3", .digest = 10000000004u, .requests = {{"s7", 10000000008u}}},
+      RegisterValue{
+          .revision = 10000000002u, .bytes = "s3", .digest = 10000000004u, .requests = {{"s7", 10000000008u}}},
       "02e40b540200000002000000733304e40b54020000000100000002000000733708e40b5402000000");
   expect_bytes(
-      Slot{.promised = Ballot{.epoch = 10000000003u, .round = 10000000004u, .coordinator = 10000000005u},
-           .accepted = Ballot{.epoch = 10000000007u, .round = 10000000008u, .coordinator = 10000000009u},
-           .held = Held{.revision = 10000000011u,
-                        .bytes = "s12",
-                        .digest = 10000000013u,
-                        .requests = {{"s16", 10000000017u}}}},
+      RegisterSlot{.promised = Ballot{.epoch = 10000000003u, .round = 10000000004u, .coordinator = 10000000005u},
+                   .accepted = Ballot{.epoch = 10000000007u, .round = 10000000008u, .coordinator = 10000000009u},
+                   .held = RegisterValue{.revision = 10000000011u,
+                                         .bytes = "s12",
+                                         .digest = 10000000013u,
+                                         .requests = {{"s16", 10000000017u}}}},
       "03e40b540200000004e40b540200000005e40b540200000007e40b540200000008e40b540200000009e40b54020000000be40b5402000000030000007331320de40b5402000000010000000300000073313611e40b5402000000");
   expect_bytes(
       PrepareReply{
           .voting = true,
           .promised = true,
-          .slot = Slot{.promised = Ballot{.epoch = 10000000006u, .round = 10000000007u, .coordinator = 10000000008u},
-                       .accepted = Ballot{.epoch = 10000000010u, .round = 10000000011u, .coordinator = 10000000012u},
-                       .held = Held{.revision = 10000000014u,
-                                    .bytes = "s15",
-                                    .digest = 10000000016u,
-                                    .requests = {{"s19", 10000000020u}}}},
+          .slot =
+              RegisterSlot{
+                  .promised = Ballot{.epoch = 10000000006u, .round = 10000000007u, .coordinator = 10000000008u},
+                  .accepted = Ballot{.epoch = 10000000010u, .round = 10000000011u, .coordinator = 10000000012u},
+                  .held = RegisterValue{.revision = 10000000014u,
+                                        .bytes = "s15",
+                                        .digest = 10000000016u,
+                                        .requests = {{"s19", 10000000020u}}}},
           .newer = VoterSet{.epoch = 10000000023u,
                             .losses = 70024,
                             .voters = {VoterEntry{.address = "s27", .disk = 10000000028u}},
@@ -79,41 +82,41 @@
   expect_bytes(
       Accept{.reg = Register::keys,
              .ballot = Ballot{.epoch = 10000000004u, .round = 10000000005u, .coordinator = 10000000006u},
-             .held = Held{.revision = 10000000008u,
-                          .bytes = "s9",
-                          .digest = 10000000010u,
-                          .requests = {{"s13", 10000000014u}}}},
+             .held = RegisterValue{.revision = 10000000008u,
+                                   .bytes = "s9",
+                                   .digest = 10000000010u,
+                                   .requests = {{"s13", 10000000014u}}}},
       "0204e40b540200000005e40b540200000006e40b540200000008e40b54020000000200000073390ae40b540200000001000000030000007331330ee40b5402000000");
   EXPECT_EQ(Accept::kind, 2);
   expect_bytes(
-      PeekReply{.voting = true,
-                .accepted = Ballot{.epoch = 10000000004u, .round = 10000000005u, .coordinator = 10000000006u},
-                .revision = 10000000007u,
-                .held = Held{.revision = 10000000009u,
-                             .bytes = "s10",
-                             .digest = 10000000011u,
-                             .requests = {{"s14", 10000000015u}}},
-                .newer = VoterSet{.epoch = 10000000018u,
-                                  .losses = 70019,
-                                  .voters = {VoterEntry{.address = "s22", .disk = 10000000023u}},
-                                  .before = {"s25"}}},
+      ReadRegisterReply{.voting = true,
+                        .accepted = Ballot{.epoch = 10000000004u, .round = 10000000005u, .coordinator = 10000000006u},
+                        .revision = 10000000007u,
+                        .held = RegisterValue{.revision = 10000000009u,
+                                              .bytes = "s10",
+                                              .digest = 10000000011u,
+                                              .requests = {{"s14", 10000000015u}}},
+                        .newer = VoterSet{.epoch = 10000000018u,
+                                          .losses = 70019,
+                                          .voters = {VoterEntry{.address = "s22", .disk = 10000000023u}},
+                                          .before = {"s25"}}},
       "0104e40b540200000005e40b540200000006e40b540200000007e40b540200000009e40b5402000000030000007331300be40b540200000001000000030000007331340fe40b54020000000012e40b540200000083110100010000000300000073323217e40b54020000000100000003000000733235");
-  expect_bytes(Peek{.reg = Register::keys, .have = 10000000003u, .epoch = 10000000004u, .value = true},
+  expect_bytes(ReadRegister{.reg = Register::keys, .have = 10000000003u, .epoch = 10000000004u, .value = true},
                "0203e40b540200000004e40b540200000001");
-  EXPECT_EQ(Peek::kind, 3);
+  EXPECT_EQ(ReadRegister::kind, 3);
   expect_bytes(
-      PeekRevisionsReply{.voting = true,
+      ReadRevisionsReply{.voting = true,
                          .revisions = {10000000004u, 10000000005u, 10000000006u, 10000000007u, 10000000008u},
                          .newer = VoterSet{.epoch = 10000000011u,
                                            .losses = 70012,
                                            .voters = {VoterEntry{.address = "s15", .disk = 10000000016u}},
                                            .before = {"s18"}}},
       "0104e40b540200000005e40b540200000006e40b540200000007e40b540200000008e40b5402000000000be40b54020000007c110100010000000300000073313510e40b54020000000100000003000000733138");
-  expect_bytes(PeekRevisions{.epoch = 10000000002u}, "02e40b5402000000");
-  EXPECT_EQ(PeekRevisions::kind, 20);
-  expect_bytes(FoundReply{.phase = Phase::prepared, .founding = 10000000003u}, "0103e40b5402000000");
-  expect_bytes(Found{.want = Phase::prepared, .founding = 10000000003u}, "0103e40b5402000000");
-  EXPECT_EQ(Found::kind, 4);
+  expect_bytes(ReadRevisions{.epoch = 10000000002u}, "02e40b5402000000");
+  EXPECT_EQ(ReadRevisions::kind, 20);
+  expect_bytes(BootstrapReply{.phase = Phase::prepared, .bootstrap_id = 10000000003u}, "0103e40b5402000000");
+  expect_bytes(Bootstrap{.want = Phase::prepared, .bootstrap_id = 10000000003u}, "0103e40b5402000000");
+  EXPECT_EQ(Bootstrap::kind, 4);
   expect_bytes(VotersReply{.member = true,
                            .active = true,
                            .set = VoterSet{.epoch = 10000000005u,
@@ -121,43 +124,48 @@
                                            .voters = {VoterEntry{.address = "s9", .disk = 10000000010u}},
                                            .before = {"s12"}}},
                "010105e40b540200000076110100010000000200000073390ae40b54020000000100000003000000733132");
-  expect_bytes(VotersAsk{.from = "s2"}, "020000007332");
-  EXPECT_EQ(VotersAsk::kind, 5);
+  expect_bytes(VotersRequest{.from = "s2"}, "020000007332");
+  EXPECT_EQ(VotersRequest::kind, 5);
   expect_bytes(
       SealReply{
           .sealed = true,
           .active = true,
-          .founding = 10000000004u,
-          .slots = {{Slot{.promised = Ballot{.epoch = 10000000008u, .round = 10000000009u, .coordinator = 10000000010u},
-                          .accepted = Ballot{.epoch = 10000000012u, .round = 10000000013u, .coordinator = 10000000014u},
-                          .held = Held{.revision = 10000000016u,
-                                       .bytes = "s17",
-                                       .digest = 10000000018u,
-                                       .requests = {{"s21", 10000000022u}}}},
-                     Slot{.promised = Ballot{.epoch = 10000000025u, .round = 10000000026u, .coordinator = 10000000027u},
-                          .accepted = Ballot{.epoch = 10000000029u, .round = 10000000030u, .coordinator = 10000000031u},
-                          .held = Held{.revision = 10000000033u,
-                                       .bytes = "s34",
-                                       .digest = 10000000035u,
-                                       .requests = {{"s38", 10000000039u}}}},
-                     Slot{.promised = Ballot{.epoch = 10000000042u, .round = 10000000043u, .coordinator = 10000000044u},
-                          .accepted = Ballot{.epoch = 10000000046u, .round = 10000000047u, .coordinator = 10000000048u},
-                          .held = Held{.revision = 10000000050u,
-                                       .bytes = "s51",
-                                       .digest = 10000000052u,
-                                       .requests = {{"s55", 10000000056u}}}},
-                     Slot{.promised = Ballot{.epoch = 10000000059u, .round = 10000000060u, .coordinator = 10000000061u},
-                          .accepted = Ballot{.epoch = 10000000063u, .round = 10000000064u, .coordinator = 10000000065u},
-                          .held = Held{.revision = 10000000067u,
-                                       .bytes = "s68",
-                                       .digest = 10000000069u,
-                                       .requests = {{"s72", 10000000073u}}}},
-                     Slot{.promised = Ballot{.epoch = 10000000076u, .round = 10000000077u, .coordinator = 10000000078u},
-                          .accepted = Ballot{.epoch = 10000000080u, .round = 10000000081u, .coordinator = 10000000082u},
-                          .held = Held{.revision = 10000000084u,
-                                       .bytes = "s85",
-                                       .digest = 10000000086u,
-                                       .requests = {{"s89", 10000000090u}}}}}},
+          .bootstrap_id = 10000000004u,
+          .slots = {{RegisterSlot{
+                         .promised = Ballot{.epoch = 10000000008u, .round = 10000000009u, .coordinator = 10000000010u},
+                         .accepted = Ballot{.epoch = 10000000012u, .round = 10000000013u, .coordinator = 10000000014u},
+                         .held = RegisterValue{.revision = 10000000016u,
+                                               .bytes = "s17",
+                                               .digest = 10000000018u,
+                                               .requests = {{"s21", 10000000022u}}}},
+                     RegisterSlot{
+                         .promised = Ballot{.epoch = 10000000025u, .round = 10000000026u, .coordinator = 10000000027u},
+                         .accepted = Ballot{.epoch = 10000000029u, .round = 10000000030u, .coordinator = 10000000031u},
+                         .held = RegisterValue{.revision = 10000000033u,
+                                               .bytes = "s34",
+                                               .digest = 10000000035u,
+                                               .requests = {{"s38", 10000000039u}}}},
+                     RegisterSlot{
+                         .promised = Ballot{.epoch = 10000000042u, .round = 10000000043u, .coordinator = 10000000044u},
+                         .accepted = Ballot{.epoch = 10000000046u, .round = 10000000047u, .coordinator = 10000000048u},
+                         .held = RegisterValue{.revision = 10000000050u,
+                                               .bytes = "s51",
+                                               .digest = 10000000052u,
+                                               .requests = {{"s55", 10000000056u}}}},
+                     RegisterSlot{
+                         .promised = Ballot{.epoch = 10000000059u, .round = 10000000060u, .coordinator = 10000000061u},
+                         .accepted = Ballot{.epoch = 10000000063u, .round = 10000000064u, .coordinator = 10000000065u},
+                         .held = RegisterValue{.revision = 10000000067u,
+                                               .bytes = "s68",
+                                               .digest = 10000000069u,
+                                               .requests = {{"s72", 10000000073u}}}},
+                     RegisterSlot{
+                         .promised = Ballot{.epoch = 10000000076u, .round = 10000000077u, .coordinator = 10000000078u},
+                         .accepted = Ballot{.epoch = 10000000080u, .round = 10000000081u, .coordinator = 10000000082u},
+                         .held = RegisterValue{.revision = 10000000084u,
+                                               .bytes = "s85",
+                                               .digest = 10000000086u,
+                                               .requests = {{"s89", 10000000090u}}}}}},
           .newer = VoterSet{.epoch = 10000000093u,
                             .losses = 70094,
                             .voters = {VoterEntry{.address = "s97", .disk = 10000000098u}},
@@ -181,44 +189,49 @@
                           .losses = 70004,
                           .voters = {VoterEntry{.address = "s7", .disk = 10000000008u}},
                           .before = {"s10"}},
-          .founding = 10000000011u,
-          .slots = {{Slot{.promised = Ballot{.epoch = 10000000015u, .round = 10000000016u, .coordinator = 10000000017u},
-                          .accepted = Ballot{.epoch = 10000000019u, .round = 10000000020u, .coordinator = 10000000021u},
-                          .held = Held{.revision = 10000000023u,
-                                       .bytes = "s24",
-                                       .digest = 10000000025u,
-                                       .requests = {{"s28", 10000000029u}}}},
-                     Slot{.promised = Ballot{.epoch = 10000000032u, .round = 10000000033u, .coordinator = 10000000034u},
-                          .accepted = Ballot{.epoch = 10000000036u, .round = 10000000037u, .coordinator = 10000000038u},
-                          .held = Held{.revision = 10000000040u,
-                                       .bytes = "s41",
-                                       .digest = 10000000042u,
-                                       .requests = {{"s45", 10000000046u}}}},
-                     Slot{.promised = Ballot{.epoch = 10000000049u, .round = 10000000050u, .coordinator = 10000000051u},
-                          .accepted = Ballot{.epoch = 10000000053u, .round = 10000000054u, .coordinator = 10000000055u},
-                          .held = Held{.revision = 10000000057u,
-                                       .bytes = "s58",
-                                       .digest = 10000000059u,
-                                       .requests = {{"s62", 10000000063u}}}},
-                     Slot{.promised = Ballot{.epoch = 10000000066u, .round = 10000000067u, .coordinator = 10000000068u},
-                          .accepted = Ballot{.epoch = 10000000070u, .round = 10000000071u, .coordinator = 10000000072u},
-                          .held = Held{.revision = 10000000074u,
-                                       .bytes = "s75",
-                                       .digest = 10000000076u,
-                                       .requests = {{"s79", 10000000080u}}}},
-                     Slot{.promised = Ballot{.epoch = 10000000083u, .round = 10000000084u, .coordinator = 10000000085u},
-                          .accepted = Ballot{.epoch = 10000000087u, .round = 10000000088u, .coordinator = 10000000089u},
-                          .held = Held{.revision = 10000000091u,
-                                       .bytes = "s92",
-                                       .digest = 10000000093u,
-                                       .requests = {{"s96", 10000000097u}}}}}}},
+          .bootstrap_id = 10000000011u,
+          .slots = {{RegisterSlot{
+                         .promised = Ballot{.epoch = 10000000015u, .round = 10000000016u, .coordinator = 10000000017u},
+                         .accepted = Ballot{.epoch = 10000000019u, .round = 10000000020u, .coordinator = 10000000021u},
+                         .held = RegisterValue{.revision = 10000000023u,
+                                               .bytes = "s24",
+                                               .digest = 10000000025u,
+                                               .requests = {{"s28", 10000000029u}}}},
+                     RegisterSlot{
+                         .promised = Ballot{.epoch = 10000000032u, .round = 10000000033u, .coordinator = 10000000034u},
+                         .accepted = Ballot{.epoch = 10000000036u, .round = 10000000037u, .coordinator = 10000000038u},
+                         .held = RegisterValue{.revision = 10000000040u,
+                                               .bytes = "s41",
+                                               .digest = 10000000042u,
+                                               .requests = {{"s45", 10000000046u}}}},
+                     RegisterSlot{
+                         .promised = Ballot{.epoch = 10000000049u, .round = 10000000050u, .coordinator = 10000000051u},
+                         .accepted = Ballot{.epoch = 10000000053u, .round = 10000000054u, .coordinator = 10000000055u},
+                         .held = RegisterValue{.revision = 10000000057u,
+                                               .bytes = "s58",
+                                               .digest = 10000000059u,
+                                               .requests = {{"s62", 10000000063u}}}},
+                     RegisterSlot{
+                         .promised = Ballot{.epoch = 10000000066u, .round = 10000000067u, .coordinator = 10000000068u},
+                         .accepted = Ballot{.epoch = 10000000070u, .round = 10000000071u, .coordinator = 10000000072u},
+                         .held = RegisterValue{.revision = 10000000074u,
+                                               .bytes = "s75",
+                                               .digest = 10000000076u,
+                                               .requests = {{"s79", 10000000080u}}}},
+                     RegisterSlot{
+                         .promised = Ballot{.epoch = 10000000083u, .round = 10000000084u, .coordinator = 10000000085u},
+                         .accepted = Ballot{.epoch = 10000000087u, .round = 10000000088u, .coordinator = 10000000089u},
+                         .held = RegisterValue{.revision = 10000000091u,
+                                               .bytes = "s92",
+                                               .digest = 10000000093u,
+                                               .requests = {{"s96", 10000000097u}}}}}}},
       "03e40b5402000000741101000100000002000000733708e40b540200000001000000030000007331300be40b54020000000fe40b540200000010e40b540200000011e40b540200000013e40b540200000014e40b540200000015e40b540200000017e40b54020000000300000073323419e40b540200000001000000030000007332381de40b540200000020e40b540200000021e40b540200000022e40b540200000024e40b540200000025e40b540200000026e40b540200000028e40b5402000000030000007334312ae40b540200000001000000030000007334352ee40b540200000031e40b540200000032e40b540200000033e40b540200000035e40b540200000036e40b540200000037e40b540200000039e40b5402000000030000007335383be40b540200000001000000030000007336323fe40b540200000042e40b540200000043e40b540200000044e40b540200000046e40b540200000047e40b540200000048e40b54020000004ae40b5402000000030000007337354ce40b5402000000010000000300000073373950e40b540200000053e40b540200000054e40b540200000055e40b540200000057e40b540200000058e40b540200000059e40b54020000005be40b5402000000030000007339325de40b5402000000010000000300000073393661e40b5402000000");
   EXPECT_EQ(Activate::kind, 7);
-  expect_bytes(SetReply{.done = true,
-                        .set = VoterSet{.epoch = 10000000004u,
-                                        .losses = 70005,
-                                        .voters = {VoterEntry{.address = "s8", .disk = 10000000009u}},
-                                        .before = {"s11"}}},
+  expect_bytes(VoterSetReply{.done = true,
+                             .set = VoterSet{.epoch = 10000000004u,
+                                             .losses = 70005,
+                                             .voters = {VoterEntry{.address = "s8", .disk = 10000000009u}},
+                                             .before = {"s11"}}},
                "0104e40b5402000000751101000100000002000000733809e40b54020000000100000003000000733131");
   expect_bytes(AddVoter{.entry = VoterEntry{.address = "s3", .disk = 10000000004u}}, "02000000733304e40b5402000000");
   EXPECT_EQ(AddVoter::kind, 8);
@@ -248,7 +261,7 @@
       ServiceOffer{.service = "s2", .node = "s3", .address = "s4", .slots = 70005, .burden = 70006, .waiting = 70007},
       "020000007332020000007333020000007334751101007611010077110100");
   expect_bytes(
-      CellEntry{
+      ZoneEntry{
           .cell = "s2",
           .gateways = {Member{.id = "s5",
                               .cell = "s6",
@@ -262,7 +275,7 @@
       "020000007332010000000200000073350200000073360200000073370109e40b540200000002010000000300000073313201000000030000007331350300000073313603000000733137821101008311010084110100");
   expect_bytes(OfferLoad{.index = 258, .burden = 259, .waiting = 260}, "020103010401");
   expect_bytes(
-      CellEntryDelta{
+      ZoneEntryDelta{
           .cell = "s2",
           .loads = {OfferLoad{.index = 261, .burden = 262, .waiting = 263}},
           .offers_removed = {265},
@@ -279,13 +292,14 @@
       "02000000733201000000050106010701010000000901010000000300000073313203000000733133030000007331347f1101008011010081110100010000000300000073313901000000030000007332320300000073323303000000733234011ae40b540200000002000100000003000000733330");
   expect_bytes(Position{.epoch = 10000000002u, .seq = 10000000003u}, "02e40b540200000003e40b5402000000");
   expect_bytes(
-      Layouts{
+      LayoutValues{
           .routing =
-              Held{.revision = 10000000003u, .bytes = "s4", .digest = 10000000005u, .requests = {{"s8", 10000000009u}}},
-          .catalogue = Held{.revision = 10000000011u,
-                            .bytes = "s12",
-                            .digest = 10000000013u,
-                            .requests = {{"s16", 10000000017u}}}},
+              RegisterValue{
+                  .revision = 10000000003u, .bytes = "s4", .digest = 10000000005u, .requests = {{"s8", 10000000009u}}},
+          .catalogue = RegisterValue{.revision = 10000000011u,
+                                     .bytes = "s12",
+                                     .digest = 10000000013u,
+                                     .requests = {{"s16", 10000000017u}}}},
       "03e40b540200000002000000733405e40b54020000000100000002000000733809e40b54020000000be40b5402000000030000007331320de40b5402000000010000000300000073313611e40b5402000000");
   expect_bytes(
       Change{.seq = 10000000002u,
@@ -304,7 +318,7 @@
                                       .slots = 70019,
                                       .waiting = 70020,
                                       .warming = true},
-             .cell = CellEntry{.cell = "s24",
+             .cell = ZoneEntry{.cell = "s24",
                                .gateways = {Member{.id = "s27",
                                                    .cell = "s28",
                                                    .address = "s29",
@@ -318,7 +332,7 @@
                                                          .slots = 70040,
                                                          .burden = 70041,
                                                          .waiting = 70042}}},
-             .entry_delta = CellEntryDelta{.cell = "s45",
+             .entry_delta = ZoneEntryDelta{.cell = "s45",
                                            .loads = {OfferLoad{.index = 304, .burden = 305, .waiting = 306}},
                                            .offers_removed = {308},
                                            .offers_set = {ServiceOffer{.service = "s55",
@@ -353,7 +367,7 @@
                                           .slots = 70021,
                                           .waiting = 70022,
                                           .warming = true}},
-               .cells = {CellEntry{.cell = "s26",
+               .cells = {ZoneEntry{.cell = "s26",
                                    .gateways = {Member{.id = "s29",
                                                        .cell = "s30",
                                                        .address = "s31",
@@ -373,68 +387,69 @@
   expect_bytes(TextDelta{.from = 10000000002u, .to = 10000000003u, .bytes = "s4"},
                "02e40b540200000003e40b5402000000020000007334");
   expect_bytes(
-      News{.at = Position{.epoch = 10000000003u, .seq = 10000000004u},
-           .pulse = 10000000005u,
-           .vouched = true,
-           .root = "s7",
-           .changes = {Change{
-               .seq = 10000000010u,
-               .member = Member{.id = "s13",
-                                .cell = "s14",
-                                .address = "s15",
-                                .role = Role::gateway,
-                                .incarnation = 10000000017u,
-                                .standing = Standing::leaving},
-               .backend = BackendRecord{.service = "s21",
-                                        .instance = "s22",
-                                        .node = "s23",
-                                        .port = 280,
-                                        .burden = 70025,
-                                        .standing = Standing::leaving,
-                                        .slots = 70027,
-                                        .waiting = 70028,
-                                        .warming = true},
-               .cell = CellEntry{.cell = "s32",
-                                 .gateways = {Member{.id = "s35",
-                                                     .cell = "s36",
-                                                     .address = "s37",
-                                                     .role = Role::gateway,
-                                                     .incarnation = 10000000039u,
-                                                     .standing = Standing::leaving}},
-                                 .offers = {"s42"},
-                                 .services = {ServiceOffer{.service = "s45",
-                                                           .node = "s46",
-                                                           .address = "s47",
-                                                           .slots = 70048,
-                                                           .burden = 70049,
-                                                           .waiting = 70050}}},
-               .entry_delta = CellEntryDelta{.cell = "s53",
-                                             .loads = {OfferLoad{.index = 312, .burden = 313, .waiting = 314}},
-                                             .offers_removed = {316},
-                                             .offers_set = {ServiceOffer{.service = "s63",
-                                                                         .node = "s64",
-                                                                         .address = "s65",
-                                                                         .slots = 70066,
-                                                                         .burden = 70067,
-                                                                         .waiting = 70068}},
-                                             .gateways_removed = {"s70"},
-                                             .gateways_set = {Member{
-                                                 .id = "s73",
-                                                 .cell = "s74",
-                                                 .address = "s75",
-                                                 .role = Role::gateway,
-                                                 .incarnation = 10000000077u,
-                                                 .standing = Standing::leaving}},
-                                             .service_names = std::vector<std::string>{"s81"}}}},
-           .revisions = {10000000083u, 10000000084u, 10000000085u, 10000000086u, 10000000087u},
-           .layouts = {{Register::keys, Held{.revision = 10000000092u,
-                                             .bytes = "s93",
-                                             .digest = 10000000094u,
-                                             .requests = {{"s97", 10000000098u}}}}},
-           .key_deltas = {KeyDelta{.from = 10000000101u, .to = 10000000102u, .digest = 10000000103u, .bytes = "s104"}},
-           .routing_deltas = {TextDelta{.from = 10000000107u, .to = 10000000108u, .bytes = "s109"}}},
+      ZoneUpdate{.at = Position{.epoch = 10000000003u, .seq = 10000000004u},
+                 .pulse = 10000000005u,
+                 .vouched = true,
+                 .root = "s7",
+                 .changes = {Change{
+                     .seq = 10000000010u,
+                     .member = Member{.id = "s13",
+                                      .cell = "s14",
+                                      .address = "s15",
+                                      .role = Role::gateway,
+                                      .incarnation = 10000000017u,
+                                      .standing = Standing::leaving},
+                     .backend = BackendRecord{.service = "s21",
+                                              .instance = "s22",
+                                              .node = "s23",
+                                              .port = 280,
+                                              .burden = 70025,
+                                              .standing = Standing::leaving,
+                                              .slots = 70027,
+                                              .waiting = 70028,
+                                              .warming = true},
+                     .cell = ZoneEntry{.cell = "s32",
+                                       .gateways = {Member{.id = "s35",
+                                                           .cell = "s36",
+                                                           .address = "s37",
+                                                           .role = Role::gateway,
+                                                           .incarnation = 10000000039u,
+                                                           .standing = Standing::leaving}},
+                                       .offers = {"s42"},
+                                       .services = {ServiceOffer{.service = "s45",
+                                                                 .node = "s46",
+                                                                 .address = "s47",
+                                                                 .slots = 70048,
+                                                                 .burden = 70049,
+                                                                 .waiting = 70050}}},
+                     .entry_delta = ZoneEntryDelta{.cell = "s53",
+                                                   .loads = {OfferLoad{.index = 312, .burden = 313, .waiting = 314}},
+                                                   .offers_removed = {316},
+                                                   .offers_set = {ServiceOffer{.service = "s63",
+                                                                               .node = "s64",
+                                                                               .address = "s65",
+                                                                               .slots = 70066,
+                                                                               .burden = 70067,
+                                                                               .waiting = 70068}},
+                                                   .gateways_removed = {"s70"},
+                                                   .gateways_set = {Member{
+                                                       .id = "s73",
+                                                       .cell = "s74",
+                                                       .address = "s75",
+                                                       .role = Role::gateway,
+                                                       .incarnation = 10000000077u,
+                                                       .standing = Standing::leaving}},
+                                                   .service_names = std::vector<std::string>{"s81"}}}},
+                 .revisions = {10000000083u, 10000000084u, 10000000085u, 10000000086u, 10000000087u},
+                 .layouts = {{Register::keys, RegisterValue{.revision = 10000000092u,
+                                                            .bytes = "s93",
+                                                            .digest = 10000000094u,
+                                                            .requests = {{"s97", 10000000098u}}}}},
+                 .key_deltas = {KeyDelta{
+                     .from = 10000000101u, .to = 10000000102u, .digest = 10000000103u, .bytes = "s104"}},
+                 .routing_deltas = {TextDelta{.from = 10000000107u, .to = 10000000108u, .bytes = "s109"}}},
       "03e40b540200000004e40b540200000005e40b540200000001020000007337010000000ae40b5402000000000300000073313303000000733134030000007331350111e40b54020000000200030000007332310300000073323203000000733233180189110100028b1101008c110100010003000000733332010000000300000073333503000000733336030000007333370127e40b540200000002010000000300000073343201000000030000007334350300000073343603000000733437a0110100a1110100a2110100000300000073353301000000380139013a01010000003c0101000000030000007336330300000073363403000000733635b2110100b3110100b4110100010000000300000073373001000000030000007337330300000073373403000000733735014de40b54020000000200010000000300000073383153e40b540200000054e40b540200000055e40b540200000056e40b540200000057e40b540200000001000000025ce40b5402000000030000007339335ee40b5402000000010000000300000073393762e40b54020000000100000065e40b540200000066e40b540200000067e40b54020000000400000073313034010000006be40b54020000006ce40b54020000000400000073313039");
-  EXPECT_EQ(News::kind, 10);
+  EXPECT_EQ(ZoneUpdate::kind, 10);
   expect_bytes(
       FollowReply{.known = true,
                   .snapshot = Snapshot{.at = Position{.epoch = 10000000006u, .seq = 10000000007u},
@@ -453,7 +468,7 @@
                                                                   .slots = 70024,
                                                                   .waiting = 70025,
                                                                   .warming = true}},
-                                       .cells = {CellEntry{.cell = "s29",
+                                       .cells = {ZoneEntry{.cell = "s29",
                                                            .gateways = {Member{.id = "s32",
                                                                                .cell = "s33",
                                                                                .address = "s34",
@@ -484,7 +499,7 @@
                                                .slots = 70067,
                                                .waiting = 70068,
                                                .warming = true},
-                      .cell = CellEntry{.cell = "s72",
+                      .cell = ZoneEntry{.cell = "s72",
                                         .gateways = {Member{.id = "s75",
                                                             .cell = "s76",
                                                             .address = "s77",
@@ -498,7 +513,7 @@
                                                                   .slots = 70088,
                                                                   .burden = 70089,
                                                                   .waiting = 70090}}},
-                      .entry_delta = CellEntryDelta{.cell = "s93",
+                      .entry_delta = ZoneEntryDelta{.cell = "s93",
                                                     .loads = {OfferLoad{.index = 352, .burden = 353, .waiting = 354}},
                                                     .offers_removed = {356},
                                                     .offers_set = {ServiceOffer{.service = "s103",
@@ -521,22 +536,22 @@
                "03e40b540200000004e40b5402000000020000007335");
   EXPECT_EQ(Follow::kind, 11);
   expect_bytes(
-      LayoutsReply{
+      RegisterValuesReply{
           .known = true,
-          .newer = {{Register::keys, Held{.revision = 10000000007u,
-                                          .bytes = "s8",
-                                          .digest = 10000000009u,
-                                          .requests = {{"s12", 10000000013u}}}}},
+          .newer = {{Register::keys, RegisterValue{.revision = 10000000007u,
+                                                   .bytes = "s8",
+                                                   .digest = 10000000009u,
+                                                   .requests = {{"s12", 10000000013u}}}}},
           .revisions = {10000000015u, 10000000016u, 10000000017u, 10000000018u, 10000000019u},
           .key_deltas = {KeyDelta{.from = 10000000022u, .to = 10000000023u, .digest = 10000000024u, .bytes = "s25"}},
           .routing_deltas = {TextDelta{.from = 10000000028u, .to = 10000000029u, .bytes = "s30"}},
           .reading_age_ms = 70031},
       "01010000000207e40b540200000002000000733809e40b540200000001000000030000007331320de40b54020000000fe40b540200000010e40b540200000011e40b540200000012e40b540200000013e40b54020000000100000016e40b540200000017e40b540200000018e40b540200000003000000733235010000001ce40b54020000001de40b5402000000030000007333308f110100");
-  expect_bytes(LayoutsAsk{.have = {10000000003u, 10000000004u, 10000000005u, 10000000006u, 10000000007u},
-                          .fresh = true,
-                          .revisions_only = true},
+  expect_bytes(RegisterValuesRequest{.have = {10000000003u, 10000000004u, 10000000005u, 10000000006u, 10000000007u},
+                                     .fresh = true,
+                                     .revisions_only = true},
                "03e40b540200000004e40b540200000005e40b540200000006e40b540200000007e40b54020000000101");
-  EXPECT_EQ(LayoutsAsk::kind, 12);
+  EXPECT_EQ(RegisterValuesRequest::kind, 12);
   expect_bytes(
       JoinReply{
           .taken = true, .epoch = 10000000003u, .incarnation = 10000000004u, .registry = "s5", .registry_zone = "s6"},
@@ -560,20 +575,21 @@
       "0200000073330200000073340200000073350107e40b540200000002010000000300000073313103000000733132030000007331330e017f11010002811101008211010001");
   EXPECT_EQ(Join::kind, 13);
   expect_bytes(RegistryEntry{.cell = "s2", .address = "s3", .age_ms = 70004}, "02000000733202000000733374110100");
-  expect_bytes(MeetReply{.registries = {RegistryEntry{.cell = "s4", .address = "s5", .age_ms = 70006}}, .cores = 70007},
+  expect_bytes(RegistryExchangeReply{.registries = {RegistryEntry{.cell = "s4", .address = "s5", .age_ms = 70006}},
+                                     .cores = 70007},
                "010000000200000073340200000073357611010077110100");
-  expect_bytes(Meet{.registries = {RegistryEntry{.cell = "s4", .address = "s5", .age_ms = 70006}}},
+  expect_bytes(RegistryExchange{.registries = {RegistryEntry{.cell = "s4", .address = "s5", .age_ms = 70006}}},
                "0100000002000000733402000000733576110100");
-  EXPECT_EQ(Meet::kind, 14);
-  expect_bytes(
-      Beat{.id = "s2",
-           .address = "s3",
-           .incarnation = 10000000004u,
-           .at = Position{.epoch = 10000000006u, .seq = 10000000007u},
-           .zone = "s8",
-           .revisions = {10000000010u, 10000000011u, 10000000012u, 10000000013u, 10000000014u}},
+  EXPECT_EQ(RegistryExchange::kind, 14);
+  expect_bytes(
+      Heartbeat{.id = "s2",
+                .address = "s3",
+                .incarnation = 10000000004u,
+                .at = Position{.epoch = 10000000006u, .seq = 10000000007u},
+                .zone = "s8",
+                .revisions = {10000000010u, 10000000011u, 10000000012u, 10000000013u, 10000000014u}},
       "02000000733202000000733304e40b540200000006e40b540200000007e40b54020000000200000073380ae40b54020000000be40b54020000000ce40b54020000000de40b54020000000ee40b5402000000");
-  EXPECT_EQ(Beat::kind, 15);
+  EXPECT_EQ(Heartbeat::kind, 15);
   expect_bytes(Suspect{.id = "s2", .incarnation = 10000000003u, .by = "s4", .zone = "s5"},
                "02000000733203e40b5402000000020000007334020000007335");
   EXPECT_EQ(Suspect::kind, 16);
@@ -589,32 +605,33 @@
                "02000000733302000000733402000000733506017711010002791101007a11010001");
   EXPECT_EQ(Drain::kind, 17);
   expect_bytes(
-      CellTold{.entry = CellEntry{.cell = "s3",
-                                  .gateways = {Member{.id = "s6",
-                                                      .cell = "s7",
-                                                      .address = "s8",
-                                                      .role = Role::gateway,
-                                                      .incarnation = 10000000010u,
-                                                      .standing = Standing::leaving}},
-                                  .offers = {"s13"},
-                                  .services = {ServiceOffer{.service = "s16",
-                                                            .node = "s17",
-                                                            .address = "s18",
-                                                            .slots = 70019,
-                                                            .burden = 70020,
-                                                            .waiting = 70021}}},
-               .sender = "s22",
-               .at = Position{.epoch = 10000000024u, .seq = 10000000025u}},
+      ZoneAnnouncement{.entry = ZoneEntry{.cell = "s3",
+                                          .gateways = {Member{.id = "s6",
+                                                              .cell = "s7",
+                                                              .address = "s8",
+                                                              .role = Role::gateway,
+                                                              .incarnation = 10000000010u,
+                                                              .standing = Standing::leaving}},
+                                          .offers = {"s13"},
+                                          .services = {ServiceOffer{.service = "s16",
+                                                                    .node = "s17",
+                                                                    .address = "s18",
+                                                                    .slots = 70019,
+                                                                    .burden = 70020,
+                                                                    .waiting = 70021}}},
+                       .sender = "s22",
+                       .at = Position{.epoch = 10000000024u, .seq = 10000000025u}},
       "02000000733301000000020000007336020000007337020000007338010ae40b5402000000020100000003000000733133010000000300000073313603000000733137030000007331388311010084110100851101000300000073323218e40b540200000019e40b5402000000");
-  EXPECT_EQ(CellTold::kind, 18);
+  EXPECT_EQ(ZoneAnnouncement::kind, 18);
   expect_bytes(
-      Chosen{
+      ChosenValue{
           .reg = Register::keys,
           .held =
-              Held{.revision = 10000000004u, .bytes = "s5", .digest = 10000000006u, .requests = {{"s9", 10000000010u}}},
+              RegisterValue{
+                  .revision = 10000000004u, .bytes = "s5", .digest = 10000000006u, .requests = {{"s9", 10000000010u}}},
           .key_delta = KeyDelta{.from = 10000000013u, .to = 10000000014u, .digest = 10000000015u, .bytes = "s16"}},
       "0204e40b540200000002000000733506e40b5402000000010000000200000073390ae40b5402000000000de40b54020000000ee40b54020000000fe40b540200000003000000733136");
-  EXPECT_EQ(Chosen::kind, 19);
+  EXPECT_EQ(ChosenValue::kind, 19);
 }
 
 TEST(WireFormat, SliceLeaseMessages) {
@@ -625,13 +642,13 @@
   expect_bytes(LeaseReply{.voting = true, .granted = {5}, .epochs = {10000000006u}},
                "0101000000050100000006e40b5402000000");
   expect_bytes(
-      LeaseAsk{.holder = "s2",
-               .want = {SliceClaim{.slice = Slice{.service = "s6", .mapping = 10000000007u, .slice = 70008},
-                                   .epoch = 10000000009u}},
-               .release = {SliceClaim{.slice = Slice{.service = "s13", .mapping = 10000000014u, .slice = 70015},
-                                      .epoch = 10000000016u}}},
+      LeaseRequest{.holder = "s2",
+                   .want = {SliceClaim{.slice = Slice{.service = "s6", .mapping = 10000000007u, .slice = 70008},
+                                       .epoch = 10000000009u}},
+                   .release = {SliceClaim{.slice = Slice{.service = "s13", .mapping = 10000000014u, .slice = 70015},
+                                          .epoch = 10000000016u}}},
       "0200000073320100000002000000733607e40b54020000007811010009e40b540200000001000000030000007331330ee40b54020000007f11010010e40b5402000000");
-  EXPECT_EQ(LeaseAsk::kind, 30);
+  EXPECT_EQ(LeaseRequest::kind, 30);
 }
 
 TEST(WireFormat, CallMessages) {
@@ -642,14 +659,15 @@
   expect_bytes(HttpReply{.status = 258, .headers = {Header{.name = "s5", .value = "s6"}}, .body = "s7"},
                "020101000000020000007335020000007336020000007337");
   expect_bytes(
-      CarryReply{.outcome = Outcome::not_run,
-                 .reply = HttpReply{.status = 260, .headers = {Header{.name = "s7", .value = "s8"}}, .body = "s9"},
-                 .step = "s10",
-                 .peer = "s11",
-                 .reason = "s12"},
+      ForwardCallReply{
+          .outcome = Outcome::not_run,
+          .reply = HttpReply{.status = 260, .headers = {Header{.name = "s7", .value = "s8"}}, .body = "s9"},
+          .step = "s10",
+          .peer = "s11",
+          .reason = "s12"},
       "01040101000000020000007337020000007338020000007339030000007331300300000073313103000000733132");
   expect_bytes(
-      Carry{
+      ForwardCall{
           .service = "s2",
           .instance = "s3",
           .crossed = true,
@@ -664,10 +682,10 @@
               HttpRequest{
                   .method = "s13", .target = "s14", .headers = {Header{.name = "s17", .value = "s18"}}, .body = "s19"}},
       "0200000073320200000073330101761101007711010008e40b5402000000020000007339030000007331300be40b5402000000030000007331330300000073313401000000030000007331370300000073313803000000733139");
-  EXPECT_EQ(Carry::kind, 40);
+  EXPECT_EQ(ForwardCall::kind, 40);
   expect_bytes(ClockReply{.sender = "s2", .clock_us = 10000000003}, "02000000733203e40b5402000000");
-  expect_bytes(ClockAsk{.nothing = 3}, "03");
-  EXPECT_EQ(ClockAsk::kind, 41);
+  expect_bytes(ClockRequest{.nothing = 3}, "03");
+  EXPECT_EQ(ClockRequest::kind, 41);
 }
 
 TEST(WireFormat, ForwardMessages) {
@@ -684,7 +702,7 @@
               EndpointLoad{
                   .running = 70013, .waiting = 70014, .slots = 70015, .run_us = 70016, .failed_percent = 70017},
           .retry_after_ms = 70018,
-          .here_us = 70019},
+          .elapsed_us = 70019},
       "010305010100000002000000733802000000733903000000733130030000007331317d1101007e1101007f11010080110100811101008211010083110100");
   expect_bytes(
       Forward{
@@ -696,7 +714,7 @@
           .rank = 70007,
           .work_class = 70008,
           .remaining_ms = 70009,
-          .aim_ms = 70010,
+          .target_latency_ms = 70010,
           .calling_service = "s11",
           .tenant = "s12",
           .attempt_id = "s13",
@@ -777,52 +795,57 @@
                      .next = {{"s24", Position{.epoch = 10000000026u, .seq = 10000000027u}}}},
       "0100000002000000733405e40b540200000006e40b540200000007e40b54020000000200000073380200000073390300000073313003000000733131030000007331320300000073313303000000733134018011010011e40b540200000012e40b5402000000010000000300000073323116e40b540200000001000000030000007332341ae40b54020000001be40b5402000000");
   expect_bytes(
-      DecisionsAsk{.after = {{"s3", Position{.epoch = 10000000005u, .seq = 10000000006u}}},
-                   .from_now = true,
-                   .filter = DecisionFilter{.service = "s9", .decision = "s10", .cell = "s11"},
-                   .most = 70012},
+      DecisionsRequest{.after = {{"s3", Position{.epoch = 10000000005u, .seq = 10000000006u}}},
+                       .from_now = true,
+                       .filter = DecisionFilter{.service = "s9", .decision = "s10", .cell = "s11"},
+                       .most = 70012},
       "0100000002000000733305e40b540200000006e40b54020000000102000000733903000000733130030000007331317c110100");
-  EXPECT_EQ(DecisionsAsk::kind, 50);
+  EXPECT_EQ(DecisionsRequest::kind, 50);
   expect_bytes(StateReply{.json = "s2"}, "020000007332");
-  expect_bytes(StateAsk{.with_nodes = true}, "01");
-  EXPECT_EQ(StateAsk::kind, 51);
+  expect_bytes(StateRequest{.with_nodes = true}, "01");
+  EXPECT_EQ(StateRequest::kind, 51);
 }
 
 TEST(WireFormat, StoredRecords) {
   expect_bytes(
       VoterRecord{
           .phase = Phase::prepared,
-          .founding = 10000000003u,
-          .slots = {{Slot{.promised = Ballot{.epoch = 10000000007u, .round = 10000000008u, .coordinator = 10000000009u},
-                          .accepted = Ballot{.epoch = 10000000011u, .round = 10000000012u, .coordinator = 10000000013u},
-                          .held = Held{.revision = 10000000015u,
-                                       .bytes = "s16",
-                                       .digest = 10000000017u,
-                                       .requests = {{"s20", 10000000021u}}}},
-                     Slot{.promised = Ballot{.epoch = 10000000024u, .round = 10000000025u, .coordinator = 10000000026u},
-                          .accepted = Ballot{.epoch = 10000000028u, .round = 10000000029u, .coordinator = 10000000030u},
-                          .held = Held{.revision = 10000000032u,
-                                       .bytes = "s33",
-                                       .digest = 10000000034u,
-                                       .requests = {{"s37", 10000000038u}}}},
-                     Slot{.promised = Ballot{.epoch = 10000000041u, .round = 10000000042u, .coordinator = 10000000043u},
-                          .accepted = Ballot{.epoch = 10000000045u, .round = 10000000046u, .coordinator = 10000000047u},
-                          .held = Held{.revision = 10000000049u,
-                                       .bytes = "s50",
-                                       .digest = 10000000051u,
-                                       .requests = {{"s54", 10000000055u}}}},
-                     Slot{.promised = Ballot{.epoch = 10000000058u, .round = 10000000059u, .coordinator = 10000000060u},
-                          .accepted = Ballot{.epoch = 10000000062u, .round = 10000000063u, .coordinator = 10000000064u},
-                          .held = Held{.revision = 10000000066u,
-                                       .bytes = "s67",
-                                       .digest = 10000000068u,
-                                       .requests = {{"s71", 10000000072u}}}},
-                     Slot{.promised = Ballot{.epoch = 10000000075u, .round = 10000000076u, .coordinator = 10000000077u},
-                          .accepted = Ballot{.epoch = 10000000079u, .round = 10000000080u, .coordinator = 10000000081u},
-                          .held = Held{.revision = 10000000083u,
-                                       .bytes = "s84",
-                                       .digest = 10000000085u,
-                                       .requests = {{"s88", 10000000089u}}}}}},
+          .bootstrap_id = 10000000003u,
+          .slots = {{RegisterSlot{
+                         .promised = Ballot{.epoch = 10000000007u, .round = 10000000008u, .coordinator = 10000000009u},
+                         .accepted = Ballot{.epoch = 10000000011u, .round = 10000000012u, .coordinator = 10000000013u},
+                         .held = RegisterValue{.revision = 10000000015u,
+                                               .bytes = "s16",
+                                               .digest = 10000000017u,
+                                               .requests = {{"s20", 10000000021u}}}},
+                     RegisterSlot{
+                         .promised = Ballot{.epoch = 10000000024u, .round = 10000000025u, .coordinator = 10000000026u},
+                         .accepted = Ballot{.epoch = 10000000028u, .round = 10000000029u, .coordinator = 10000000030u},
+                         .held = RegisterValue{.revision = 10000000032u,
+                                               .bytes = "s33",
+                                               .digest = 10000000034u,
+                                               .requests = {{"s37", 10000000038u}}}},
+                     RegisterSlot{
+                         .promised = Ballot{.epoch = 10000000041u, .round = 10000000042u, .coordinator = 10000000043u},
+                         .accepted = Ballot{.epoch = 10000000045u, .round = 10000000046u, .coordinator = 10000000047u},
+                         .held = RegisterValue{.revision = 10000000049u,
+                                               .bytes = "s50",
+                                               .digest = 10000000051u,
+                                               .requests = {{"s54", 10000000055u}}}},
+                     RegisterSlot{
+                         .promised = Ballot{.epoch = 10000000058u, .round = 10000000059u, .coordinator = 10000000060u},
+                         .accepted = Ballot{.epoch = 10000000062u, .round = 10000000063u, .coordinator = 10000000064u},
+                         .held = RegisterValue{.revision = 10000000066u,
+                                               .bytes = "s67",
+                                               .digest = 10000000068u,
+                                               .requests = {{"s71", 10000000072u}}}},
+                     RegisterSlot{
+                         .promised = Ballot{.epoch = 10000000075u, .round = 10000000076u, .coordinator = 10000000077u},
+                         .accepted = Ballot{.epoch = 10000000079u, .round = 10000000080u, .coordinator = 10000000081u},
+                         .held = RegisterValue{.revision = 10000000083u,
+                                               .bytes = "s84",
+                                               .digest = 10000000085u,
+                                               .requests = {{"s88", 10000000089u}}}}}},
           .set = VoterSet{.epoch = 10000000091u,
                           .losses = 70092,
                           .voters = {VoterEntry{.address = "s95", .disk = 10000000096u}},
@@ -845,31 +868,35 @@
   expect_bytes(
       VoterRecordFormat2{
           .phase = Phase::prepared,
-          .founding = 10000000003u,
-          .slots = {{Slot{.promised = Ballot{.epoch = 10000000007u, .round = 10000000008u, .coordinator = 10000000009u},
-                          .accepted = Ballot{.epoch = 10000000011u, .round = 10000000012u, .coordinator = 10000000013u},
-                          .held = Held{.revision = 10000000015u,
-                                       .bytes = "s16",
-                                       .digest = 10000000017u,
-                                       .requests = {{"s20", 10000000021u}}}},
-                     Slot{.promised = Ballot{.epoch = 10000000024u, .round = 10000000025u, .coordinator = 10000000026u},
-                          .accepted = Ballot{.epoch = 10000000028u, .round = 10000000029u, .coordinator = 10000000030u},
-                          .held = Held{.revision = 10000000032u,
-                                       .bytes = "s33",
-                                       .digest = 10000000034u,
-                                       .requests = {{"s37", 10000000038u}}}},
-                     Slot{.promised = Ballot{.epoch = 10000000041u, .round = 10000000042u, .coordinator = 10000000043u},
-                          .accepted = Ballot{.epoch = 10000000045u, .round = 10000000046u, .coordinator = 10000000047u},
-                          .held = Held{.revision = 10000000049u,
-                                       .bytes = "s50",
-                                       .digest = 10000000051u,
-                                       .requests = {{"s54", 10000000055u}}}},
-                     Slot{.promised = Ballot{.epoch = 10000000058u, .round = 10000000059u, .coordinator = 10000000060u},
-                          .accepted = Ballot{.epoch = 10000000062u, .round = 10000000063u, .coordinator = 10000000064u},
-                          .held = Held{.revision = 10000000066u,
-                                       .bytes = "s67",
-                                       .digest = 10000000068u,
-                                       .requests = {{"s71", 10000000072u}}}}}},
+          .bootstrap_id = 10000000003u,
+          .slots = {{RegisterSlot{
+                         .promised = Ballot{.epoch = 10000000007u, .round = 10000000008u, .coordinator = 10000000009u},
+                         .accepted = Ballot{.epoch = 10000000011u, .round = 10000000012u, .coordinator = 10000000013u},
+                         .held = RegisterValue{.revision = 10000000015u,
+                                               .bytes = "s16",
+                                               .digest = 10000000017u,
+                                               .requests = {{"s20", 10000000021u}}}},
+                     RegisterSlot{
+                         .promised = Ballot{.epoch = 10000000024u, .round = 10000000025u, .coordinator = 10000000026u},
+                         .accepted = Ballot{.epoch = 10000000028u, .round = 10000000029u, .coordinator = 10000000030u},
+                         .held = RegisterValue{.revision = 10000000032u,
+                                               .bytes = "s33",
+                                               .digest = 10000000034u,
+                                               .requests = {{"s37", 10000000038u}}}},
+                     RegisterSlot{
+                         .promised = Ballot{.epoch = 10000000041u, .round = 10000000042u, .coordinator = 10000000043u},
+                         .accepted = Ballot{.epoch = 10000000045u, .round = 10000000046u, .coordinator = 10000000047u},
+                         .held = RegisterValue{.revision = 10000000049u,
+                                               .bytes = "s50",
+                                               .digest = 10000000051u,
+                                               .requests = {{"s54", 10000000055u}}}},
+                     RegisterSlot{
+                         .promised = Ballot{.epoch = 10000000058u, .round = 10000000059u, .coordinator = 10000000060u},
+                         .accepted = Ballot{.epoch = 10000000062u, .round = 10000000063u, .coordinator = 10000000064u},
+                         .held = RegisterValue{.revision = 10000000066u,
+                                               .bytes = "s67",
+                                               .digest = 10000000068u,
+                                               .requests = {{"s71", 10000000072u}}}}}},
           .set = VoterSet{.epoch = 10000000074u,
                           .losses = 70075,
                           .voters = {VoterEntry{.address = "s78", .disk = 10000000079u}},
@@ -919,8 +946,8 @@
   later.services[0].rows[8].next = 1;
   Bytes const before = pack_key_table(earlier);
   Bytes const after = pack_key_table(later);
-  Held const base{.revision = 1, .bytes = before, .digest = digest_of(before), .requests = {}};
-  Held const target{.revision = 2, .bytes = after, .digest = digest_of(after), .requests = {}};
+  RegisterValue const base{.revision = 1, .bytes = before, .digest = digest_of(before), .requests = {}};
+  RegisterValue const target{.revision = 2, .bytes = after, .digest = digest_of(after), .requests = {}};
   std::optional<KeyDelta> const delta = make_key_delta(base, target);
   ASSERT_TRUE(delta);
   EXPECT_EQ(
--- a/tests/state/compressed_values.hpp
+++ b/tests/state/compressed_values.hpp
@@ -7,8 +7,8 @@
 
 namespace banktide {
 
-inline Held compressed_value(Revision const revision, std::string const& text) {
-  Held held;
+inline RegisterValue compressed_value(Revision const revision, std::string const& text) {
+  RegisterValue held;
   held.revision = revision;
   held.bytes = compress(text);
   held.digest = digest_of(held.bytes);
@@ -16,6 +16,6 @@
 }
 
 /// The value's text; empty if it has none.
-inline std::string text_of(Held const& held) { return decompress(held.bytes).value_or(""); }
+inline std::string text_of(RegisterValue const& held) { return decompress(held.bytes).value_or(""); }
 
 }  // namespace banktide
--- a/tests/state/key_table_changes.hpp
+++ b/tests/state/key_table_changes.hpp
@@ -10,8 +10,8 @@
 
 namespace banktide {
 
-inline Held held_of(KeyTable const& table) {
-  Held held;
+inline RegisterValue held_of(KeyTable const& table) {
+  RegisterValue held;
   held.revision = table.revision;
   held.bytes = pack_key_table(table);
   held.digest = digest_of(held.bytes);
--- a/tests/state/key_table_delta_test.cpp
+++ b/tests/state/key_table_delta_test.cpp
@@ -15,13 +15,13 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     KeyTableChanges changes(seed);
     KeyTable table = changes.first(20 + changes.pick(200), 1 + changes.pick(40));
-    Held base = held_of(table);
+    RegisterValue base = held_of(table);
     for (int step = 0; step < 200; ++step) {
       table = changes.next(table);
-      Held const target = held_of(table);
+      RegisterValue const target = held_of(table);
       std::optional<KeyDelta> const delta = make_key_delta(base, target);
       if (delta) {
-        Result<Held> const applied = apply_key_deltas(base, {*delta});
+        Result<RegisterValue> const applied = apply_key_deltas(base, {*delta});
         ASSERT_TRUE(applied) << seed << " " << step << " " << applied.error().reason;
         ASSERT_EQ(*applied, target) << seed << " " << step;
         ASSERT_EQ(*unpack_key_table(applied->bytes, applied->revision), table);
@@ -38,7 +38,7 @@
 TEST(KeyTableDelta, is_small_and_a_row_whose_holder_is_renumbered_is_no_part_of_it) {
   KeyTableChanges changes(3);
   KeyTable const table = changes.first(264, 44);
-  Held const base = held_of(table);
+  RegisterValue const base = held_of(table);
   KeyTable moved = table;
   ++moved.revision;
   moved.services[0].rows[7].moving = moved.revision;
@@ -57,7 +57,7 @@
 TEST(KeyTableDelta, a_chain_brings_every_earlier_version_up_to_date_and_no_other) {
   KeyTableChanges changes(4);
   KeyTable table = changes.first(100, 10);
-  std::vector<Held> versions{held_of(table)};
+  std::vector<RegisterValue> versions{held_of(table)};
   std::vector<KeyDelta> chain;
   for (int step = 0; step < 30; ++step) {
     table = changes.next(table);
@@ -67,10 +67,10 @@
   for (std::size_t i = 0; i + 1 < versions.size(); ++i)
     EXPECT_EQ(*apply_key_deltas(versions[i], chain), versions.back());
   EXPECT_EQ(apply_key_deltas(versions.back(), chain).error().reason, "nothing newer");
-  EXPECT_EQ(apply_key_deltas(Held{}, chain).error().reason, "made from another version");
+  EXPECT_EQ(apply_key_deltas(RegisterValue{}, chain).error().reason, "made from another version");
   std::vector<KeyDelta> const gap{chain[0], chain[2]};
   EXPECT_EQ(apply_key_deltas(versions[0], gap).error().reason, "versions out of order");
-  Held other = held_of(KeyTableChanges(99).first(100, 10));
+  RegisterValue other = held_of(KeyTableChanges(99).first(100, 10));
   EXPECT_FALSE(apply_key_deltas(other, chain)) << "the same number, another table";
 }
 
@@ -81,14 +81,14 @@
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     KeyTableChanges changes(seed);
     KeyTable table = changes.first(60, 12);
-    Held const base = held_of(table);
+    RegisterValue const base = held_of(table);
     for (int n = 0; n < 8; ++n) table = changes.next(table);
-    Held const target = held_of(table);
+    RegisterValue const target = held_of(table);
     KeyDelta const delta = *make_key_delta(base, target);
     auto const try_bytes = [&](Bytes const& bytes) {
       KeyDelta spoilt = delta;
       spoilt.bytes = bytes;
-      Result<Held> const applied = apply_key_deltas(base, {spoilt});
+      Result<RegisterValue> const applied = apply_key_deltas(base, {spoilt});
       if (applied) {
         ASSERT_EQ(*applied, target);
         ++same;
@@ -119,11 +119,11 @@
 
 TEST(KeyTableDelta, none_is_made_of_values_that_are_no_tables_or_if_the_whole_is_as_small) {
   KeyTable const table = KeyTableChanges(6).first(10, 2);
-  Held const held = held_of(table);
-  Held const garbage{9, "no table", digest_of("no table"), {}};
+  RegisterValue const held = held_of(table);
+  RegisterValue const garbage{9, "no table", digest_of("no table"), {}};
   EXPECT_FALSE(make_key_delta(held, garbage));
-  EXPECT_FALSE(make_key_delta(garbage, Held{10, held.bytes, held.digest, {}}));
-  EXPECT_FALSE(make_key_delta(Held{}, held));
+  EXPECT_FALSE(make_key_delta(garbage, RegisterValue{10, held.bytes, held.digest, {}}));
+  EXPECT_FALSE(make_key_delta(RegisterValue{}, held));
   EXPECT_FALSE(make_key_delta(held, held));
   KeyTable other = KeyTableChanges(7).first(10, 2);
   other.revision = 2;
--- a/tests/state/sqlite_disk_test.cpp
+++ b/tests/state/sqlite_disk_test.cpp
@@ -111,7 +111,7 @@
 TEST_F(SqliteDiskFile, a_record_of_four_registers_is_read_and_then_kept_as_one_of_five) {
   VoterRecordFormat2 before;
   before.phase = Phase::voting;
-  before.founding = 5;
+  before.bootstrap_id = 5;
   before.set = initial_set({"a:1", "b:1"}, 1);
   before.set.epoch = before.active_epoch = 7;
   before.disk = 99;
@@ -127,12 +127,12 @@
   Result<VoterRecord> loaded = disk->load();
   ASSERT_TRUE(loaded) << loaded.error().reason;
   EXPECT_EQ(loaded->phase, Phase::voting);
-  EXPECT_EQ(loaded->founding, 5u);
+  EXPECT_EQ(loaded->bootstrap_id, 5u);
   EXPECT_EQ(loaded->set, before.set);
   EXPECT_EQ(loaded->active_epoch, 7u);
   EXPECT_EQ(loaded->disk, 99u);
   for (std::size_t i = 0; i < before.slots.size(); ++i) EXPECT_EQ(loaded->slots[i], before.slots[i]);
-  EXPECT_EQ(loaded->slots[static_cast<std::size_t>(Register::maintenance)], Slot{});
+  EXPECT_EQ(loaded->slots[static_cast<std::size_t>(Register::maintenance)], RegisterSlot{});
   loaded->slots[static_cast<std::size_t>(Register::maintenance)].held.bytes = "window";
   ASSERT_TRUE(save(*disk, *loaded));
   disk.reset();
--- a/tests/state/text_delta_test.cpp
+++ b/tests/state/text_delta_test.cpp
@@ -21,11 +21,11 @@
 
 TEST(TextDelta, leads_to_the_later_text_byte_for_byte) {
   for (std::size_t const routes : {1u, 20u, 300u, 3000u}) {
-    Held const before = compressed_value(7, text_of_routes(routes, 0, "1000"));
+    RegisterValue const before = compressed_value(7, text_of_routes(routes, 0, "1000"));
     std::string const text = text_of_routes(routes + 1, routes / 2, "1001");
     std::optional<TextDelta> const delta = make_text_delta(before, compressed_value(9, text));
     ASSERT_TRUE(delta) << routes;
-    Result<Held> const after = apply_text_deltas(before, {*delta});
+    Result<RegisterValue> const after = apply_text_deltas(before, {*delta});
     ASSERT_TRUE(after) << after.error().reason;
     EXPECT_EQ(after->revision, 9u);
     EXPECT_EQ(text_of(*after), text);
@@ -35,51 +35,51 @@
 
 // Guards against CONFIG: whole configurations of many routes filled the links that they travel on.
 TEST(TextDelta, of_one_changed_route_takes_a_hundredth_of_the_whole) {
-  Held const before = compressed_value(7, text_of_routes(1500, 0, "1000"));
-  Held const after = compressed_value(8, text_of_routes(1500, 700, "1001"));
+  RegisterValue const before = compressed_value(7, text_of_routes(1500, 0, "1000"));
+  RegisterValue const after = compressed_value(8, text_of_routes(1500, 700, "1001"));
   std::optional<TextDelta> const delta = make_text_delta(before, after);
   ASSERT_TRUE(delta);
   EXPECT_LT(delta->bytes.size() * 100, after.bytes.size());
 }
 
 TEST(TextDelta, chains_go_on_from_what_a_delta_made_and_skip_what_is_old) {
-  std::vector<Held> versions;
+  std::vector<RegisterValue> versions;
   std::vector<TextDelta> deltas;
   for (Revision n = 1; n <= 6; ++n) {
     versions.push_back(compressed_value(n, text_of_routes(100, n * 10, std::to_string(n))));
     if (n > 1) deltas.push_back(*make_text_delta(versions[n - 2], versions[n - 1]));
   }
-  Result<Held> const third = apply_text_deltas(versions[0], {deltas[0], deltas[1]});
+  Result<RegisterValue> const third = apply_text_deltas(versions[0], {deltas[0], deltas[1]});
   ASSERT_TRUE(third);
-  Result<Held> const last = apply_text_deltas(*third, deltas);
+  Result<RegisterValue> const last = apply_text_deltas(*third, deltas);
   ASSERT_TRUE(last);
   EXPECT_EQ(last->revision, 6u);
   EXPECT_EQ(text_of(*last), text_of(versions[5]));
 }
 
 TEST(TextDelta, is_refused_by_name_where_it_does_not_fit) {
-  Held const first = compressed_value(1, text_of_routes(50, 1, "10"));
-  Held const second = compressed_value(2, text_of_routes(50, 2, "20"));
+  RegisterValue const first = compressed_value(1, text_of_routes(50, 1, "10"));
+  RegisterValue const second = compressed_value(2, text_of_routes(50, 2, "20"));
   TextDelta const delta = *make_text_delta(first, second);
-  auto const refused = [](Held const& base, std::vector<TextDelta> const& deltas) {
-    Result<Held> const result = apply_text_deltas(base, deltas);
+  auto const refused = [](RegisterValue const& base, std::vector<TextDelta> const& deltas) {
+    Result<RegisterValue> const result = apply_text_deltas(base, deltas);
     return !result && result.error().step == "text delta";
   };
   EXPECT_TRUE(refused(second, {delta})) << "nothing newer";
-  EXPECT_TRUE(refused(Held{}, {delta})) << "from another version";
-  Held const impostor = compressed_value(1, text_of_routes(60, 3, "30"));
+  EXPECT_TRUE(refused(RegisterValue{}, {delta})) << "from another version";
+  RegisterValue const impostor = compressed_value(1, text_of_routes(60, 3, "30"));
   EXPECT_TRUE(refused(impostor, {delta})) << "the same number with another text";
   EXPECT_TRUE(refused(first, {delta, delta})) << "out of order";
 }
 
 TEST(TextDelta, spoilt_bytes_never_lead_to_another_text) {
-  Held const first = compressed_value(1, text_of_routes(30, 1, "10"));
-  Held const second = compressed_value(2, text_of_routes(30, 2, "20"));
+  RegisterValue const first = compressed_value(1, text_of_routes(30, 1, "10"));
+  RegisterValue const second = compressed_value(2, text_of_routes(30, 2, "20"));
   TextDelta const delta = *make_text_delta(first, second);
   for (std::size_t at = 0; at < delta.bytes.size(); ++at) {
     TextDelta changed = delta;
     changed.bytes[at] = static_cast<char>(changed.bytes[at] ^ 0x10);
-    Result<Held> const result = apply_text_deltas(first, {changed});
+    Result<RegisterValue> const result = apply_text_deltas(first, {changed});
     if (result) {
       EXPECT_EQ(text_of(*result), text_of(second)) << at;
     }
@@ -90,12 +90,12 @@
 }
 
 TEST(TextDelta, none_is_made_of_bytes_that_are_no_compressed_text) {
-  Held const text = compressed_value(1, text_of_routes(30, 1, "10"));
-  Held other;
+  RegisterValue const text = compressed_value(1, text_of_routes(30, 1, "10"));
+  RegisterValue other;
   other.revision = 2;
   other.bytes = "plain";
   EXPECT_FALSE(make_text_delta(text, other));
-  EXPECT_FALSE(make_text_delta(Held{}, text));
+  EXPECT_FALSE(make_text_delta(RegisterValue{}, text));
   EXPECT_FALSE(make_text_delta(compressed_value(2, "x"), text)) << "older";
 }
 
--- a/tests/state/version_claims_test.cpp
+++ b/tests/state/version_claims_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 TEST(VersionClaims, a_number_has_one_content_whether_it_is_held_or_passed_over) {
-  Held held;
+  RegisterValue held;
   held = claim_version(held, 7, "first", "kept first");
   EXPECT_EQ(held.revision, 7u);
   EXPECT_EQ(held.bytes, "kept first");
@@ -19,10 +19,10 @@
   EXPECT_EQ(find_claim(held, 7, "second"), VersionClaim::other_content);
   EXPECT_EQ(find_claim(held, 8, "first"), VersionClaim::free);
 
-  Held const refused = claim_version(held, 7, "second", "kept second");
+  RegisterValue const refused = claim_version(held, 7, "second", "kept second");
   EXPECT_EQ(refused, held);
 
-  Held const passed_over = claim_version(held, 5, "late", "kept late");
+  RegisterValue const passed_over = claim_version(held, 5, "late", "kept late");
   EXPECT_EQ(passed_over.revision, 7u);
   EXPECT_EQ(passed_over.bytes, "kept first");
   EXPECT_EQ(find_claim(passed_over, 5, "late"), VersionClaim::same_content);
@@ -30,20 +30,20 @@
 }
 
 TEST(VersionClaims, a_value_from_before_there_were_claims_keeps_its_number) {
-  Held held;
+  RegisterValue held;
   held.revision = 7;
   held.bytes = "kept first";
   held.digest = digest_of(held.bytes);
-  Held const again = claim_version(held, 7, "first", "kept first");
+  RegisterValue const again = claim_version(held, 7, "first", "kept first");
   EXPECT_EQ(find_claim(again, 7, "first"), VersionClaim::same_content);
-  Held const other = claim_version(held, 7, "second", "kept second");
+  RegisterValue const other = claim_version(held, 7, "second", "kept second");
   EXPECT_EQ(other.bytes, "kept first");
   EXPECT_EQ(find_claim(other, 7, "second"), VersionClaim::other_content);
 }
 
 TEST(VersionClaims, agrees_with_a_map_and_forgets_only_the_oldest) {
   std::mt19937_64 chance(5);
-  Held held;
+  RegisterValue held;
   std::map<Revision, std::string> first;
   std::vector<Revision> order;
   for (int n = 0; n < 2000; ++n) {
--- a/tests/state/zone_entry_delta_test.cpp
+++ b/tests/state/zone_entry_delta_test.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 /// An entry as a feed makes it: gateways by id, offers by service and node.
-CellEntry random_entry(std::mt19937& random, std::uint32_t const gateways) {
-  CellEntry entry;
+ZoneEntry random_entry(std::mt19937& random, std::uint32_t const gateways) {
+  ZoneEntry entry;
   entry.cell = "east";
   std::map<std::pair<std::string, std::string>, ServiceOffer> offers;
   for (std::uint32_t i = 0; i < gateways; ++i) {
@@ -35,13 +35,13 @@
 
 TEST(ZoneEntryDelta, leads_from_any_entry_to_any_other) {
   std::mt19937 random(5);
-  CellEntry before;
+  ZoneEntry before;
   before.cell = "east";
   for (int round = 0; round < 2000; ++round) {
-    CellEntry const after = random_entry(random, random() % 12);
-    std::optional<CellEntryDelta> const delta = make_entry_delta(before, after);
+    ZoneEntry const after = random_entry(random, random() % 12);
+    std::optional<ZoneEntryDelta> const delta = make_entry_delta(before, after);
     ASSERT_TRUE(delta);
-    CellEntry reached = before;
+    ZoneEntry reached = before;
     apply_entry_delta(reached, *delta);
     ASSERT_EQ(reached, after);
     before = after;
@@ -50,7 +50,7 @@
 
 // Guards against CONFIG: other zones' entries filled the links that configurations travel on.
 TEST(ZoneEntryDelta, loads_of_a_large_zone_take_a_fiftieth_of_its_entry) {
-  CellEntry before;
+  ZoneEntry before;
   before.cell = "jhb-a";
   for (int i = 0; i < 48; ++i) {
     std::string const node = "adjunct-jhb-a-" + std::to_string(10 + i);
@@ -58,7 +58,7 @@
     before.services.push_back(ServiceOffer{"huvo11a", node, "10.1.0.20:7120", 8, 3, 0});
   }
   before.offers = {"huvo11a"};
-  CellEntry after = before;
+  ZoneEntry after = before;
   for (std::size_t i = 0; i < 5; ++i) after.services[9 * i].burden = 4;
   Change whole, changed;
   whole.cell = after;
@@ -68,14 +68,14 @@
 }
 
 TEST(ZoneEntryDelta, an_entry_out_of_order_is_told_whole) {
-  CellEntry before, after;
+  ZoneEntry before, after;
   after.services = {ServiceOffer{"b", "n", "", 1, 0, 0}, ServiceOffer{"a", "n", "", 1, 0, 0}};
   EXPECT_FALSE(make_entry_delta(before, after));
 }
 
 TEST(ZoneEntryDelta, a_view_folds_it_and_passes_over_zones_that_it_does_not_know) {
   std::mt19937 random(7);
-  CellEntry const before = random_entry(random, 9), after = random_entry(random, 9);
+  ZoneEntry const before = random_entry(random, 9), after = random_entry(random, 9);
   ZoneView view;
   Change change;
   change.entry_delta = make_entry_delta(before, after);
