--- a/source/coordination/caller_side.hpp
+++ b/source/coordination/caller_side.hpp
@@ -5,7 +5,7 @@
 
 #include "coordination/backend_side.hpp"
 #include "protocol/call.hpp"
-#include "state/decisions.hpp"
+#include "state/decision_log.hpp"
 #include "state/pick.hpp"
 #include "state/retry_budget.hpp"
 
@@ -49,7 +49,7 @@
           chart, id, *rules, "", 503,
           Error{"admit", settings_.id, n_.leaving ? "node is leaving" : "node is not ready", Proof::not_run});
     if (calls_in_flight_ >= 4096)
-      co_return dropped(chart, id, *rules, "", 503, Error{"admit", settings_.id, "backlog full", Proof::not_run});
+      co_return dropped(chart, id, *rules, "", 503, Error{"admit", s_.id, "backlog full", Proof::not_run});
     Index const s = rules->layout.service_of_path(q.target);
     if (s == no_index)
       co_return dropped(chart, id, *rules, "", 404,
@@ -76,10 +76,10 @@
     }
     ZoneChoice const choice = n_.choose(*rules, s, carry.slice);
     if (broken_on_purpose("drops_all"))
-      co_return dropped(chart, id, *rules, service.name, 503, Error{"decide", settings_.id, "", Proof::not_run});
-    if (!choice.dropped.empty())
-      co_return dropped(chart, id, *rules, service.name, 503,
-                        Error{"decide", settings_.id, choice.dropped, Proof::not_run}, &carry);
+      co_return dropped(chart, id, *rules, service.name, 503, Error{"decide", s_.id, "", Proof::not_run});
+    if (!choice.refusal.empty())
+      co_return dropped(chart, id, *rules, service.name, 503, Error{"decide", s_.id, choice.refusal, Proof::not_run},
+                        &carry);
     bool const repeatable = service.may_repeat(q.method);
     carry.request = std::move(q);
     strip_hop(carry.request.headers, true);
@@ -93,17 +93,17 @@
   std::optional<Target> pick_target(std::string const& service, bool const keyed, std::uint32_t const slice,
                                     ZoneChoice const& choice, std::set<std::string> const& tried,
                                     bool const may_cross) {
-    Instant const now = env_.now();
+    Instant const now = w_.now();
     std::vector<Target> targets, ejected;
     std::vector<Candidate> candidates;
-    if (choice.stay && keyed) {
+    if (choice.in_own_zone && keyed) {
       BackendRecord const* const owner = n_.owner_of(service, slice, now);
       if (owner == nullptr) return std::nullopt;
       Target t = to_backend(*owner);
       if (tried.contains(t.mark)) return std::nullopt;
       return t;
     }
-    if (choice.stay && !(broken_on_purpose("crosses_first") && may_cross && !n_.view.cells.empty())) {
+    if (choice.in_own_zone && !(broken_on_purpose("crosses_first") && may_cross && !n_.view.zones.empty())) {
       for (auto it = n_.view.backends.lower_bound({service, ""});
            it != n_.view.backends.end() && it->first.first == service; ++it) {
         BackendRecord const& b = it->second;
@@ -114,15 +114,16 @@
           ejected.push_back(std::move(t));
           continue;
         }
-        candidates.push_back(
-            Candidate{static_cast<double>(b.burden) + marks_.at(t.mark, now).in_flight, marks_.entry(t.mark, now)});
+        candidates.push_back(Candidate{static_cast<double>(b.burden) + marks_.at(t.mark, now).in_flight,
+                                       marks_.slow_start_share(t.mark, now)});
         targets.push_back(std::move(t));
       }
       if (!targets.empty()) return targets[pick(candidates, env_.chance())];
     }
     if (may_cross) {
-      for (auto const& [name, cell] : n_.view.cells) {
-        if (choice.settled && std::find(choice.others.begin(), choice.others.end(), name) == choice.others.end())
+      for (auto const& [name, cell] : n_.view.zones) {
+        if (choice.decided &&
+            std::find(choice.other_zones.begin(), choice.other_zones.end(), name) == choice.other_zones.end())
           continue;
         if (name == settings_.zone || std::find(cell.offers.begin(), cell.offers.end(), service) == cell.offers.end())
           continue;
@@ -135,7 +136,7 @@
             continue;
           }
           candidates.push_back(
-              Candidate{static_cast<double>(marks_.at(t.mark, now).in_flight), marks_.entry(t.mark, now)});
+              Candidate{static_cast<double>(marks_.at(t.mark, now).in_flight), marks_.slow_start_share(t.mark, now)});
           targets.push_back(std::move(t));
         }
       }
@@ -167,12 +168,12 @@
         spoil("n:" + t.node, got.error().step == "connect");
       }
     }
-    Instant const now = env_.now();
+    Instant const now = w_.now();
     TargetHistory& m = marks_.at(t.mark, now);
     if (m.in_flight > 0) --m.in_flight;
     if (r.outcome == Outcome::answered) {
-      marks_.fine(t.mark, now);
-      marks_.fine("n:" + t.node, now);
+      marks_.record_success(t.mark, now);
+      marks_.record_success("n:" + t.node, now);
     } else if (!c.keyed) {
       bool const refused = r.step == "connect" || r.step == "backend";
       spoil(t.mark, refused);
@@ -216,8 +217,8 @@
     journal_.append(std::move(e));
   }
 
-  Task<HttpReply> tries(CallStateMachine& chart, std::uint64_t const id, Rules const& rules, ZoneChoice const& choice,
-                        ForwardCall carry, bool const repeatable, Instant const deadline) {
+  Task<HttpReply> tries(CallChart& chart, std::uint64_t const id, Rules const& rules, ZoneChoice const& choice,
+                        Carry carry, bool const repeatable, Instant const deadline) {
     std::set<std::string> tried;
     Error last{"pick", settings_.zone, "no usable backend", Proof::not_run};
     bool maybe_ran = false;
@@ -245,8 +246,8 @@
       record(id, chart, carry.crossed ? "cross" : "stay", carry.service,
              Error{"carry", t->node,
                    n > 0            ? "after a failed try"
-                   : choice.home    ? "home of the slice"
-                   : choice.settled ? "catalogue"
+                   : choice.by_home ? "home of the slice"
+                   : choice.decided ? "catalogue"
                    : carry.crossed  ? "no usable backend here"
                                     : "local first",
                    Proof::unknown},
@@ -276,7 +277,7 @@
   }
 
   void spoil(std::string const& mark, bool const at_once) {
-    if (marks_.bad(mark, env_.now(), at_once)) log_info("ejected", {{"target", mark}});
+    if (marks_.record_failure(mark, w_.now(), at_once)) log_info("ejected", {{"target", mark}});
   }
 
   Target to_backend(BackendRecord const& b) const {
@@ -284,10 +285,10 @@
                   settings_.zone, "b:" + b.service + "/" + b.instance};
   }
 
-  NodeState<Env>& n_;
-  Env& env_;
-  ProxySettings& settings_;
-  BackendSide<Env, B>& beside_;
+  NodeState<W>& n_;
+  W& w_;
+  ProxySettings& s_;
+  BackendSide<W, B>& beside_;
   TargetHistories marks_;
   RetryBudget budget_;
   DecisionLog journal_;
--- a/source/coordination/node_state.hpp
+++ b/source/coordination/node_state.hpp
@@ -5,7 +5,7 @@
 
 #include "coordination/zone_follower.hpp"
 #include "state/layout.hpp"
-#include "state/mishaps.hpp"
+#include "state/recent_errors.hpp"
 #include "transport/mutant.hpp"
 #include "transport/environment.hpp"
 
@@ -58,17 +58,17 @@
     std::set<std::string> cells;
     for (auto it = view.backends.lower_bound({service, ""});
          it != view.backends.end() && it->first.first == service && cells.empty(); ++it)
-      if (fit(it->second, now)) cells.insert(settings.zone);
-    for (auto const& [name, c] : view.cells)
-      if (name != settings.zone && !c.gateways.empty() &&
+      if (fit(it->second, now)) cells.insert(s.cell);
+    for (auto const& [name, c] : view.zones)
+      if (name != s.cell && !c.gateways.empty() &&
           std::find(c.offers.begin(), c.offers.end(), service) != c.offers.end())
         cells.insert(name);
     return cells;
   }
 
   ZoneChoice choose(Rules const& rules, Index const service, std::uint32_t const slice) const {
-    return choose_zones(rules.layout, rules.catalogue, settings.zone, service, slice,
-                        [&] { return offering(rules.layout.services[service].name, env.now()); });
+    return choose_zones(rules.layout, rules.catalogue, s.cell, service, slice,
+                        [&] { return offering(rules.layout.services[service].name, w.now()); });
   }
 
   bool fit(BackendRecord const& b, Instant const now) const {
@@ -119,14 +119,14 @@
   std::uint64_t const incarnation;
   std::string const lease_holder_id;
   Instant const started;
-  ZoneFollower<Env> follower;
-  ZoneView const& view = follower.view();
+  ZoneFollower<W> zone;
+  ZoneView const& view = zone.view();
   std::shared_ptr<Rules const> rules = std::make_shared<Rules>();
   std::map<std::pair<std::string, std::string>, LocalBackendState> local_backends;
   std::map<std::pair<std::string, std::string>, Instant> drained_until;
   // As the follower of the zone last said.
   std::vector<RegistryEntry> directory;
-  std::uint32_t registry_count = 0;
+  std::uint32_t cores = 0;
   RecentErrors mishaps;
   Instant left_at{};
   bool has_confirmed_values = false, has_view = false, leaving = false;
--- a/source/coordination/ring_neighbours.hpp
+++ b/source/coordination/ring_neighbours.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "coordination/ring.hpp"
-#include "state/cell_view.hpp"
+#include "state/zone_view.hpp"
 
 #include <set>
 
--- a/source/programs/hollow_fleet_objects.cpp
+++ b/source/programs/hollow_fleet_objects.cpp
@@ -5,7 +5,7 @@
 #include "programs/hollow_fleet_interface.hpp"
 #include "programs/process.hpp"
 #include "protocol/key_messages.hpp"
-#include "state/cell_view.hpp"
+#include "state/zone_view.hpp"
 #include "state/key_planner.hpp"
 #include "transport/socket_world.hpp"
 
--- a/source/programs/maintenance_interface.hpp
+++ b/source/programs/maintenance_interface.hpp
@@ -111,7 +111,7 @@
     std::set<std::string> const zones = registry_.zone_names();
     if (!zones.contains(zone)) co_return maintenance_error(404, "unknown_zone", "no registry or node is in " + zone);
     MaintenancePlan tried = keeper_.plan();
-    bool const is_new = tried.mark(asked.mark) == ScheduleOutcome::marked;
+    bool const is_new = tried.schedule(asked.mark) == ScheduleOutcome::scheduled;
     if (is_new && !asked.force) {
       std::set<std::string> const withheld = keeper_.plan().withheld_zones();
       std::optional<std::string> lack = lack_of_capacity(zone, registry_.zone_entries(), withheld);
@@ -119,10 +119,10 @@
       lack = lack_of_quorum(zone, registry_.registers().set(), registry_.directory(), withheld);
       if (lack) co_return maintenance_error(409, "no_quorum", *lack);
     }
-    ScheduleOutcome outcome = ScheduleOutcome::marked;
+    ScheduleOutcome outcome = ScheduleOutcome::scheduled;
     MaintenanceEdit const edit = [&](MaintenancePlan& plan) -> Result<bool> {
-      outcome = plan.mark(asked.mark);
-      return outcome == ScheduleOutcome::marked;
+      outcome = plan.schedule(asked.mark);
+      return outcome == ScheduleOutcome::scheduled;
     };
     Result<MaintenancePlan> const done = co_await keeper_.change(edit);
     if (!done) co_return not_taken(done.error());
--- a/source/programs/mesh_node.hpp
+++ b/source/programs/mesh_node.hpp
@@ -269,8 +269,8 @@
                        true,   std::max(b.slots, 1u),           b.burden + b.waiting};
       all[b.service].push_back(e);
     }
-    for (auto const& [zone, entry] : view.cells) {
-      if (zone == settings_.follower.zone) continue;
+    for (auto const& [zone, entry] : view.zones) {
+      if (zone == s_.follower.zone) continue;
       for (ServiceOffer const& o : entry.services)
         all[o.service].push_back(Endpoint{o.node, o.address, zone, false, std::max(o.slots, 1u), o.burden + o.waiting});
     }
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -14,7 +14,7 @@
 #include "programs/operator_interface.hpp"
 #include "state/delta_history.hpp"
 #include "state/key_table_delta.hpp"
-#include "state/mishaps.hpp"
+#include "state/recent_errors.hpp"
 #include "state/text_delta.hpp"
 
 #include <map>
@@ -82,12 +82,12 @@
     return env_.now() - *reading_.newest();
   }
 
-  RegistrySettings const& settings() const { return settings_; }
-  Env& world() { return env_; }
-  Address const& address() const { return settings_.address; }
-  RegisterClient<Env>& registers() { return register_; }
-  RegisterValue const& held(Register const r) const { return held_.at(static_cast<std::size_t>(r)); }
-  /// The view of the own zone.
+  RegistrySettings const& settings() const { return s_; }
+  W& world() { return w_; }
+  Address const& address() const { return s_.address; }
+  RegisterClient<W>& registers() { return register_; }
+  Held const& held(Register const r) const { return held_.at(static_cast<std::size_t>(r)); }
+  /// Of the own zone.
   ZoneView const& view() const { return own_feed_->view(); }
   Position position() const { return own_feed_->position(); }
   std::vector<RegistryEntry> const& directory() const { return directory_.entries(); }
@@ -101,13 +101,13 @@
   std::set<std::string> zone_names() const {
     std::set<std::string> names{settings_.cell};
     for (RegistryEntry const& e : directory_.entries()) names.insert(e.cell);
-    for (auto const& [zone, entry] : view().cells) names.insert(zone);
+    for (auto const& [zone, entry] : view().zones) names.insert(zone);
     return names;
   }
-  /// The entries of all zones, the own zone included: what each offers to the others.
-  std::vector<ZoneEntry> zone_entries() const {
-    std::vector<ZoneEntry> all{own_feed_->entry()};
-    for (auto const& [zone, entry] : view().cells) all.push_back(entry);
+  /// What each zone offers, the own one among them.
+  std::vector<CellEntry> zone_entries() const {
+    std::vector<CellEntry> all{own_feed_->entry()};
+    for (auto const& [zone, entry] : view().zones) all.push_back(entry);
     return all;
   }
   /// Whether this registry has the lowest address of those heard from lately, and so acts for all of them.
@@ -139,7 +139,7 @@
     }
   }
 
-  void note(std::string const& what, Error const& m) { mishaps_.note(env_.now() - started_, what, m); }
+  void note(std::string const& what, Error const& m) { mishaps_.note(w_.now() - started_, what, m); }
   RecentErrors const& mishaps() const { return mishaps_; }
 
   // ---- operator interface
--- a/source/state/catalogue_edit.hpp
+++ b/source/state/catalogue_edit.hpp
@@ -41,7 +41,7 @@
     if (first > last || last >= service.slices)
       return make_error("check_references", "/slices", "slice range outside 0.." + std::to_string(service.slices - 1),
                         Proof::not_run);
-    if (layout.cells.find(change["to"]) == no_index)
+    if (layout.zones.find(change["to"]) == no_index)
       return make_error("check_references", "/to", "no such cell", Proof::not_run);
     std::map<std::string, std::vector<bool>> owned;
     for (auto const& [cell, services] : j["cells"].items()) {
--- a/source/state/layout.hpp
+++ b/source/state/layout.hpp
@@ -1,4 +1,4 @@
-// What operators give: the routing layout (cells, services, path_routes) and the
+// What operators give: the routing layout (cells, services, path prefixes) and the
 // catalogue (which services and key slices each cell can serve). Both are read
 // through one door: size, JSON with no key twice, schema, then references.
 // A refusal names the JSON pointer. Service and cell names become dense indices
@@ -86,7 +86,7 @@
     Result<bool> const fits = check_schema(*j, schema);
     if (!fits) return tl::unexpected<Error>(fits.error());
     Layout l;
-    for (Json const& c : (*j)["cells"]) l.cells.add(c.get<std::string>());
+    for (Json const& c : (*j)["cells"]) l.zones.add(c.get<std::string>());
     for (auto const& [name, s] : (*j)["services"].items()) {
       Service service;
       service.name = name;
@@ -125,7 +125,7 @@
     return no_index;
   }
 
-  NameIndex cells;
+  NameIndex zones;
   NameIndex service_names;
   std::vector<Service> services;
   std::vector<PathRoute> path_routes;
@@ -143,7 +143,7 @@
         "properties": {"slices": {"type": "array", "maxItems": 1024, "items": {"type": "array", "minItems": 2, "maxItems": 2, "items": {"type": "integer", "minimum": 0, "maximum": 1023}}}}}}}}})";
 
   struct Entry {
-    std::string cell;
+    std::string zone;
     std::vector<bool> slices;  // empty: all
     bool serves(std::uint32_t const slice) const { return slices.empty() || (slice < slices.size() && slices[slice]); }
   };
@@ -167,18 +167,18 @@
       if (s != no_index) c.closed[s] = true;
       ++at;
     }
-    for (auto const& [cell, services] : (*j)["cells"].items()) {
-      bool const gone = layout.cells.find(cell) == no_index;
-      if (gone && !lenient) return make_error("check_references", "/cells/" + cell, "no such cell", Proof::not_run);
+    for (auto const& [zone, services] : (*j)["cells"].items()) {
+      bool const gone = layout.zones.find(zone) == no_index;
+      if (gone && !lenient) return make_error("check_references", "/cells/" + zone, "no such cell", Proof::not_run);
       for (auto const& [name, e] : services.items()) {
-        std::string const pointer = "/cells/" + cell + "/" + name;
+        std::string const pointer = "/cells/" + zone + "/" + name;
         Index const s = layout.service_names.find(name);
         if (s == no_index && !lenient)
           return make_error("check_references", pointer, "no such service", Proof::not_run);
         if (s == no_index) continue;
         Service const& service = layout.services[s];
         Entry entry;
-        entry.cell = cell;
+        entry.zone = zone;
         if (gone)
           entry.slices.assign(std::max<std::uint32_t>(service.slices, 1), false);
         else if (e.contains("slices") && !service.keyed() && !lenient)
@@ -201,7 +201,7 @@
                 entry.slices[i] = false;
               else if (entry.slices[i] && other.slices[i])
                 return make_error("check_references", pointer + "/slices",
-                                  "slice " + std::to_string(i) + " is also in cell " + other.cell, Proof::not_run);
+                                  "slice " + std::to_string(i) + " is also in cell " + other.zone, Proof::not_run);
         }
         c.entries[s].push_back(std::move(entry));
       }
@@ -216,11 +216,11 @@
 // What a call may do, before anything is known of backends: the cells it may
 // run in, own first. `dropped` has the reason where there is none.
 struct ZoneChoice {
-  bool stay = false;
-  bool settled = false;             // by the catalogue, or by the slice's home
-  bool home = false;                // the catalogue is silent on a keyed service
-  std::vector<std::string> others;  // empty and not settled: any cell
-  std::string dropped;
+  bool in_own_zone = false;
+  bool decided = false;                  // by the catalogue, or by the slice's home
+  bool by_home = false;                  // the catalogue is silent on a keyed service
+  std::vector<std::string> other_zones;  // empty and not settled: any cell
+  std::string refusal;
 };
 
 // `offering` tells the cells that have a backend of the service now. Where the
@@ -232,43 +232,43 @@
                         std::uint32_t const slice, ZonesOffering offering) {
   ZoneChoice out;
   if (service < c.closed.size() && c.closed[service]) {
-    out.dropped = "closed by the catalogue";
+    out.refusal = "closed by the catalogue";
     return out;
   }
   if (service >= c.entries.size() || c.entries[service].empty()) {
     if (!layout.services[service].keyed()) {
-      out.stay = true;
+      out.in_own_zone = true;
       return out;
     }
     std::string home;
     std::uint64_t top = 0;
-    for (std::string const& cell : offering()) {
-      std::uint64_t const score = digest_of(layout.services[service].name + "/" + std::to_string(slice) + "@" + cell);
+    for (std::string const& zone : offering()) {
+      std::uint64_t const score = digest_of(layout.services[service].name + "/" + std::to_string(slice) + "@" + zone);
       if (home.empty() || score > top) {
-        home = cell;
+        home = zone;
         top = score;
       }
     }
-    out.home = true;
-    out.settled = true;
+    out.by_home = true;
+    out.decided = true;
     if (home.empty())
-      out.dropped = "no cell has a backend of the keyed service";
+      out.refusal = "no cell has a backend of the keyed service";
     else if (home == own)
-      out.stay = true;
+      out.in_own_zone = true;
     else
-      out.others.push_back(home);
+      out.other_zones.push_back(home);
     return out;
   }
-  out.settled = true;
+  out.decided = true;
   for (Catalogue::Entry const& e : c.entries[service]) {
     if (!e.serves(slice)) continue;
-    if (e.cell == own)
-      out.stay = true;
+    if (e.zone == own)
+      out.in_own_zone = true;
     else
-      out.others.push_back(e.cell);
+      out.other_zones.push_back(e.zone);
   }
-  if (!out.stay && out.others.empty())
-    out.dropped = layout.services[service].keyed() ? "no cell has the slice" : "no cell has the service";
+  if (!out.in_own_zone && out.other_zones.empty())
+    out.refusal = layout.services[service].keyed() ? "no cell has the slice" : "no cell has the service";
   return out;
 }
 
--- a/source/state/maintenance.cpp
+++ b/source/state/maintenance.cpp
@@ -86,7 +86,7 @@
   return "unknown";
 }
 
-ScheduleOutcome MaintenancePlan::mark(MaintenanceWindowSpec const& mark) {
+ScheduleOutcome MaintenancePlan::schedule(MaintenanceWindowSpec const& mark) {
   MaintenanceWindow wanted;
   wanted.id = 1;
   wanted.zone = mark.zone;
@@ -112,14 +112,14 @@
   windows.push_back(std::move(wanted));
   advance(Duration::zero());
   forget_oldest();
-  return ScheduleOutcome::marked;
+  return ScheduleOutcome::scheduled;
 }
 
 EndOutcome MaintenancePlan::end(std::string const& zone) {
   EndOutcome outcome = EndOutcome::no_window;
   for (MaintenanceWindow& w : windows) {
     if (w.zone != zone) continue;
-    if (outcome == EndOutcome::no_window) outcome = EndOutcome::already;
+    if (outcome == EndOutcome::no_window) outcome = EndOutcome::already_ended;
     if (w.phase == MaintenancePhase::scheduled) {
       w.phase = MaintenancePhase::cancelled;
       w.left = 0;
--- a/source/state/maintenance.hpp
+++ b/source/state/maintenance.hpp
@@ -60,8 +60,8 @@
   bool allow_second = false;
 };
 
-enum class ScheduleOutcome : std::uint8_t { marked, repeated, overlaps_own_zone, overlaps_other_zone };
-enum class EndOutcome : std::uint8_t { ended, already, no_window };
+enum class ScheduleOutcome : std::uint8_t { scheduled, repeated, overlaps_own_zone, overlaps_other_zone };
+enum class EndOutcome : std::uint8_t { ended, already_ended, no_window };
 
 class MaintenancePlan {
  public:
@@ -69,7 +69,7 @@
   bool operator==(MaintenancePlan const&) const = default;
   BANKTIDE_FIELDS(windows)
 
-  ScheduleOutcome mark(MaintenanceWindowSpec const& mark);
+  ScheduleOutcome schedule(MaintenanceWindowSpec const& wanted);
   /** A window that had no effect yet is cancelled; one that had begins to return. */
   EndOutcome end(std::string const& zone);
   /** Counts down; true if a phase has changed. */
--- a/source/state/pick.hpp
+++ b/source/state/pick.hpp
@@ -14,8 +14,8 @@
 namespace banktide {
 
 struct Candidate {
-  double burden = 0;  // reported burden plus own calls in flight
-  double entry = 1;   // 0..1: share of its turns that it takes
+  double burden = 0;            // reported burden plus own calls in flight
+  double slow_start_share = 1;  // 0..1: share of its turns that it takes
 };
 
 // The index picked; `n` must not be empty.
@@ -24,7 +24,7 @@
   std::uniform_real_distribution<double> unit(0, 1);
   for (int draw = 0, tries = 0; draw < 2; ++tries) {
     std::size_t const i = static_cast<std::size_t>(chance() % n.size());
-    if (tries < 16 && unit(chance) >= n[i].entry) continue;
+    if (tries < 16 && unit(chance) >= n[i].slow_start_share) continue;
     if (best == n.size() || n[i].burden < n[best].burden) best = i;
     ++draw;
   }
@@ -33,57 +33,58 @@
 
 struct TargetHistory {
   std::uint32_t in_flight = 0;
-  std::uint32_t mishaps = 0;  // in a row
+  std::uint32_t consecutive_failures = 0;  // in a row
   std::uint32_t ejections = 0;
   Instant ejected_until{};
-  Instant entry_from{};
+  Instant slow_start_from{};
   Instant last_used{};
 };
 
 class TargetHistories {
  public:
-  static constexpr std::uint32_t mishaps_to_eject = 3;
-  static constexpr Duration entry_time = 5s;
+  static constexpr std::uint32_t failures_to_eject = 3;
+  static constexpr Duration slow_start_time = 5s;
 
   TargetHistory& at(std::string const& name, Instant const now) {
-    auto it = marks_.find(name);
-    if (it == marks_.end()) {
-      if (marks_.size() >= 4096) prune(now);
-      it = marks_.emplace(name, TargetHistory{}).first;
-      it.value().entry_from = now;
+    auto it = targets_.find(name);
+    if (it == targets_.end()) {
+      if (targets_.size() >= 4096) prune(now);
+      it = targets_.emplace(name, TargetHistory{}).first;
+      it.value().slow_start_from = now;
     }
     it.value().last_used = now;
     return it.value();
   }
   bool ejected(std::string const& name, Instant const now) { return now < at(name, now).ejected_until; }
-  double entry(std::string const& name, Instant const now) {
+  double slow_start_share(std::string const& name, Instant const now) {
     TargetHistory const& m = at(name, now);
     if (m.ejections == 0) return 1;
-    double const share = std::chrono::duration<double>(now - m.entry_from) / std::chrono::duration<double>(entry_time);
+    double const share =
+        std::chrono::duration<double>(now - m.slow_start_from) / std::chrono::duration<double>(slow_start_time);
     return std::min(1.0, std::max(0.1, share));
   }
-  void fine(std::string const& name, Instant const now) { at(name, now).mishaps = 0; }
+  void record_success(std::string const& name, Instant const now) { at(name, now).consecutive_failures = 0; }
   // A refusal to connect ejects at once; others in a row. Says whether it did.
-  bool bad(std::string const& name, Instant const now, bool const at_once) {
+  bool record_failure(std::string const& name, Instant const now, bool const at_once) {
     TargetHistory& m = at(name, now);
-    ++m.mishaps;
-    if (!at_once && m.mishaps < mishaps_to_eject) return false;
-    m.mishaps = 0;
+    ++m.consecutive_failures;
+    if (!at_once && m.consecutive_failures < failures_to_eject) return false;
+    m.consecutive_failures = 0;
     m.ejections = std::min<std::uint32_t>(m.ejections + 1, 4);
     m.ejected_until = now + std::chrono::milliseconds(500) * (1u << m.ejections) / 2;
-    m.entry_from = m.ejected_until;
+    m.slow_start_from = m.ejected_until;
     return true;
   }
   void prune(Instant const now) {
-    for (auto it = marks_.begin(); it != marks_.end();)
+    for (auto it = targets_.begin(); it != targets_.end();)
       if (it->second.in_flight == 0 && now - it->second.last_used > 60s)
-        it = marks_.erase(it);
+        it = targets_.erase(it);
       else
         ++it;
   }
 
  private:
-  tsl::robin_map<std::string, TargetHistory> marks_;
+  tsl::robin_map<std::string, TargetHistory> targets_;
 };
 
 }  // namespace banktide
--- a/source/state/placement.hpp
+++ b/source/state/placement.hpp
@@ -73,7 +73,7 @@
 
   static Result<bool> check_names(Json const& want, Layout const& layout) {
     for (auto const& [cell, c] : want["cells"].items())
-      if (layout.cells.find(cell) == no_index)
+      if (layout.zones.find(cell) == no_index)
         return make_error("check_references", "/cells/" + cell, "no such cell", Proof::not_run);
     for (auto const& [service, w] : want["services"].items()) {
       if (layout.service_names.find(service) == no_index)
--- a/source/state/mishaps.hpp
+++ b/source/state/recent_errors.hpp
@@ -16,20 +16,20 @@
 class RecentErrors {
  public:
   void note(Duration const since_start, std::string const& what, Error const& m) {
-    noted_.append(ErrorRecord{as_ms(since_start), what, m.step, m.peer, m.reason});
+    records_.append(ErrorRecord{as_ms(since_start), what, m.step, m.peer, m.reason});
     log_warn(what, {{"step", m.step}, {"peer", m.peer}, {"reason", m.reason}});
   }
-  std::uint64_t last() const { return noted_.last(); }
+  std::uint64_t last() const { return records_.last(); }
   Json json() const {
     Json j = Json::array();
-    std::optional<std::vector<ErrorRecord>> const all = noted_.since(noted_.trimmed());
+    std::optional<std::vector<ErrorRecord>> const all = records_.since(records_.trimmed());
     for (ErrorRecord const& n : *all)
       j.push_back({{"at_ms", n.at_ms}, {"what", n.what}, {"step", n.step}, {"peer", n.peer}, {"reason", n.reason}});
-    return Json{{"mishaps", j}, {"trimmed", noted_.trimmed()}};
+    return Json{{"mishaps", j}, {"trimmed", records_.trimmed()}};
   }
 
  private:
-  Journal<ErrorRecord> noted_{256};
+  Journal<ErrorRecord> records_{256};
 };
 
 }  // namespace banktide
--- a/source/state/slice_moves.hpp
+++ b/source/state/slice_moves.hpp
@@ -31,9 +31,11 @@
     Service const& service = layout.services[s];
     for (std::uint32_t i = 0; i < service.slices; ++i) {
       ZoneChoice const choice = choose_zones(layout, catalogue, "", s, i, [&] { return offering[service.name]; });
-      std::string const should = choice.others.empty() ? "" : choice.others.front();
-      Json row = {
-          {"service", service.name}, {"should", should}, {"by", choice.home ? "home" : "catalogue"}, {"in_flight", 0}};
+      std::string const should = choice.other_zones.empty() ? "" : choice.other_zones.front();
+      Json row = {{"service", service.name},
+                  {"should", should},
+                  {"by", choice.by_home ? "home" : "catalogue"},
+                  {"in_flight", 0}};
       auto const held = leases.find(Slice{service.name, service.mapping(), i});
       auto const granted = grants.find(Slice{service.name, service.mapping(), i});
       bool const former = mappings[service.name].size() > mappings[service.name].count(service.mapping());
@@ -50,9 +52,9 @@
                                  ? std::to_string(l["in_flight"].get<int>()) + " calls in flight"
                                  : "calls of unknown outcome, or the node to let go";
       } else {
-        row["state"] = choice.dropped.empty() ? "waiting" : "nowhere";
-        if (!choice.dropped.empty())
-          row["waits_for"] = choice.dropped;
+        row["state"] = choice.refusal.empty() ? "waiting" : "nowhere";
+        if (!choice.refusal.empty())
+          row["waits_for"] = choice.refusal;
         else if (!offering[service.name].contains(should))
           row["waits_for"] = "a backend of the service in " + should;
         else if (former)
--- a/source/state/view_json.hpp
+++ b/source/state/view_json.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "protocol/json.hpp"
-#include "state/cell_view.hpp"
+#include "state/zone_view.hpp"
 
 namespace banktide {
 
@@ -34,7 +34,7 @@
                              {"port", b.port},
                              {"burden", b.burden},
                              {"standing", standing_name(b.standing)}});
-  for (auto const& [name, c] : v.cells) {
+  for (auto const& [name, c] : v.zones) {
     Json gateways = Json::array();
     for (Member const& g : c.gateways) gateways.push_back({{"id", g.id}, {"address", g.address}});
     j["cells"].push_back({{"cell", c.cell}, {"gateways", gateways}, {"offers", c.offers}});
--- a/source/state/cell_view.hpp
+++ b/source/state/zone_view.hpp
@@ -1,5 +1,5 @@
 // What is known of one cell, folded from changes in order: its members, its
-// backends, and the other cells by their gateways and offers only.
+// backends, and the other zones by their gateways and offers only.
 #pragma once
 
 #include "protocol/messages.hpp"
@@ -14,16 +14,17 @@
  public:
   std::map<std::string, Member> members;
   std::map<std::pair<std::string, std::string>, BackendRecord> backends;
-  std::map<std::string, ZoneEntry> cells;
+  std::map<std::string, CellEntry> zones;
 
   /// Counts how often members came, went or changed their role or standing.
-  std::uint64_t membership() const { return membership_; }
+  std::uint64_t membership_version() const { return membership_version_; }
 
-  void fold(Change const& c) {
+  void apply(Change const& c) {
     if (c.member) {
       auto const known = members.find(c.member->id);
       bool const dead = c.member->standing == Standing::dead;
-      if (known == members.end() ? !dead : dead || changes_place(known->second, *c.member)) ++membership_;
+      if (known == members.end() ? !dead : dead || changes_role_or_standing(known->second, *c.member))
+        ++membership_version_;
       if (dead) {
         members.erase(c.member->id);
         std::erase_if(backends, [&](auto const& b) { return b.second.node == c.member->id; });
@@ -38,18 +39,18 @@
       else
         backends[key] = *c.backend;
     }
-    if (c.cell) cells[c.cell->cell] = *c.cell;
-    if (c.entry_delta) fold_entry(*c.entry_delta);
+    if (c.cell) zones[c.cell->cell] = *c.cell;
+    if (c.entry_delta) apply_delta(*c.entry_delta);
   }
 
   void replace(Snapshot const& s) {
-    ++membership_;
+    ++membership_version_;
     members.clear();
     backends.clear();
-    cells.clear();
+    zones.clear();
     for (Member const& m : s.members) members[m.id] = m;
     for (BackendRecord const& b : s.backends) backends[{b.service, b.instance}] = b;
-    for (ZoneEntry const& c : s.cells) cells[c.cell] = c;
+    for (CellEntry const& c : s.cells) zones[c.cell] = c;
   }
 
   Snapshot snapshot(Position const at) const {
@@ -57,7 +58,7 @@
     s.at = at;
     for (auto const& [id, m] : members) s.members.push_back(m);
     for (auto const& [key, b] : backends) s.backends.push_back(b);
-    for (auto const& [name, c] : cells) s.cells.push_back(c);
+    for (auto const& [name, c] : zones) s.cells.push_back(c);
     return s;
   }
 
@@ -67,15 +68,15 @@
   }
 
  private:
-  static bool changes_place(Member const& before, Member const& after) {
+  static bool changes_role_or_standing(Member const& before, Member const& after) {
     return before.role != after.role || before.standing != after.standing;
   }
-  void fold_entry(ZoneEntryDelta const& delta) {
-    auto const known = cells.find(delta.cell);
-    if (known != cells.end()) apply_entry_delta(known->second, delta);
+  void apply_delta(CellEntryDelta const& delta) {
+    auto const known = zones.find(delta.cell);
+    if (known != zones.end()) apply_entry_delta(known->second, delta);
   }
 
-  std::uint64_t membership_ = 0;
+  std::uint64_t membership_version_ = 0;
 };
 
 }  // namespace banktide
--- a/tests/coordination/maintenance_keeper_test.cpp
+++ b/tests/coordination/maintenance_keeper_test.cpp
@@ -53,7 +53,7 @@
     bool done = false;
     spawn(*registries[i].process, [](Keeper& keeper, MaintenanceWindowSpec const wanted, bool& to) -> Task<void> {
       MaintenanceEdit const edit = [wanted](MaintenancePlan& plan) -> Result<bool> {
-        return plan.mark(wanted) == ScheduleOutcome::marked;
+        return plan.schedule(wanted) == ScheduleOutcome::scheduled;
       };
       Result<MaintenancePlan> const plan = co_await keeper.change(edit);
       to = plan.has_value();
--- a/tests/coordination/zone_feed_test.cpp
+++ b/tests/coordination/zone_feed_test.cpp
@@ -120,9 +120,9 @@
   ASSERT_EQ(told.changes.size(), 1u);
   EXPECT_LT(pack(told).size(), 250u);
   ZoneView follower;
-  follower.fold(Change{0, std::nullopt, std::nullopt, entry});
-  follower.fold(told.changes[0]);
-  EXPECT_EQ(t.feed->view().cells.at("b"), entry);
+  follower.apply(Change{0, std::nullopt, std::nullopt, entry});
+  follower.apply(told.changes[0]);
+  EXPECT_EQ(t.feed->view().zones.at("b"), entry);
 }
 
 TEST(ZoneFeed, joins_of_other_zones_and_of_odd_members_are_not_taken) {
@@ -184,14 +184,14 @@
 
 TEST(ZoneFeed, the_roles_of_neighbours_follow_the_ring_as_members_come_and_go) {
   ZoneView view;
-  RingNeighbours places("n3");
+  RingPlaces places("n3");
   std::uint64_t x = 5;
   for (int step = 0; step < 300; ++step) {
     x = x * 6364136223846793005ull + 1442695040888963407ull;
     std::string const id = "n" + std::to_string((x >> 33) % 12);
     Role const role = (x >> 40) % 5 == 0 ? Role::registry : Role::node;
     Standing const standing = (x >> 45) % 3 == 0 ? Standing::dead : Standing::fit;
-    view.fold(Change{0, Member{id, "a", "", role, 1, standing}, std::nullopt, std::nullopt});
+    view.apply(Change{0, Member{id, "a", "", role, 1, standing}, std::nullopt, std::nullopt});
     places.follow(view);
     std::vector<std::string> all, nodes;
     for (auto const& [member, m] : view.members) {
@@ -213,9 +213,9 @@
 
 TEST(ZoneFeed, who_leaves_or_is_suspected_stands_last_in_the_relay_tree_and_stays_on_the_ring) {
   ZoneView view;
-  RingNeighbours places("");
+  RingPlaces places("");
   auto const fold = [&](std::string const& id, Standing const standing) {
-    view.fold(Change{0, Member{id, "a", id, Role::node, 1, standing}, std::nullopt, std::nullopt});
+    view.apply(Change{0, Member{id, "a", id, Role::node, 1, standing}, std::nullopt, std::nullopt});
     places.follow(view);
   };
   std::vector<std::string> ids;
--- a/tests/coordination/zone_trial.hpp
+++ b/tests/coordination/zone_trial.hpp
@@ -126,8 +126,8 @@
     return n;
   }
   std::size_t services_seen(std::string const& node, std::string const& zone) {
-    auto const it = view(node).cells.find(zone);
-    return it == view(node).cells.end() ? 0 : it->second.services.size();
+    auto const it = view(node).zones.find(zone);
+    return it == view(node).zones.end() ? 0 : it->second.services.size();
   }
   void watch_views() {
     for (auto& [id, n] : nodes) n.least_members = n.follower->view().members.size();
--- a/tests/state/catalogue_edit_test.cpp
+++ b/tests/state/catalogue_edit_test.cpp
@@ -27,7 +27,7 @@
     Catalogue const c = *Catalogue::read(bytes, l);
     for (std::uint32_t k = 0; k < 16; ++k)
       for (std::string const cell : {"a", "b", "c"})
-        ASSERT_EQ(choose_zones(l, c, cell, pay, k, nowhere).stay, table[k] == cell) << bytes;
+        ASSERT_EQ(choose_zones(l, c, cell, pay, k, nowhere).in_own_zone, table[k] == cell) << bytes;
   }
 }
 
--- a/tests/state/decisions_test.cpp
+++ b/tests/state/decision_log_test.cpp
@@ -1,5 +1,5 @@
 // What a reader of decisions gets, and when it is told of a gap.
-#include "state/decisions.hpp"
+#include "state/decision_log.hpp"
 
 #include <gtest/gtest.h>
 #include <random>
@@ -9,7 +9,7 @@
 
 TEST(DecisionLog, a_reader_gets_every_event_once_or_is_told_of_the_gap) {
   DecisionLog d("n", 7, 100);
-  DecisionsRequest q;
+  DecisionsAsk q;
   q.most = 10;
   std::uint64_t seen = 0, lost = 0, made = 0;
   std::mt19937_64 r(4);
--- a/tests/state/layout_test.cpp
+++ b/tests/state/layout_test.cpp
@@ -44,13 +44,13 @@
   Catalogue const c =
       *Catalogue::read(R"({"cells":{"a":{"pay":{"slices":[[0,3]]}},"b":{"pay":{"slices":[[4,6]]}}}})", l);
   Index const pay = l.service_names.find("pay"), browse = l.service_names.find("browse");
-  EXPECT_TRUE(choose_zones(l, c, "a", pay, 1, nowhere).stay);
-  EXPECT_EQ(choose_zones(l, c, "a", pay, 5, nowhere).others, std::vector<std::string>{"b"});
-  EXPECT_FALSE(choose_zones(l, c, "a", pay, 5, nowhere).stay);
-  EXPECT_EQ(choose_zones(l, c, "a", pay, 7, nowhere).dropped, "no cell has the slice");
-  EXPECT_TRUE(choose_zones(l, c, "a", browse, 0, nowhere).stay);
+  EXPECT_TRUE(choose_zones(l, c, "a", pay, 1, nowhere).in_own_zone);
+  EXPECT_EQ(choose_zones(l, c, "a", pay, 5, nowhere).other_zones, std::vector<std::string>{"b"});
+  EXPECT_FALSE(choose_zones(l, c, "a", pay, 5, nowhere).in_own_zone);
+  EXPECT_EQ(choose_zones(l, c, "a", pay, 7, nowhere).refusal, "no cell has the slice");
+  EXPECT_TRUE(choose_zones(l, c, "a", browse, 0, nowhere).in_own_zone);
   EXPECT_TRUE(choose_zones(l, *Catalogue::read(R"({"cells":{},"closed":["browse"]})", l), "a", browse, 0, nowhere)
-                  .dropped.size());
+                  .refusal.size());
 }
 
 TEST(Catalogue, what_a_newer_routing_revision_dropped_is_passed_over_and_the_rest_holds) {
@@ -61,9 +61,9 @@
   Catalogue const c = *Catalogue::read(old, l, true);
   auto const nowhere = [] { return std::set<std::string>{}; };
   Index const pay = l.service_names.find("pay"), browse = l.service_names.find("browse");
-  EXPECT_TRUE(choose_zones(l, c, "a", pay, 0, nowhere).stay);
-  EXPECT_EQ(choose_zones(l, c, "a", pay, 7, nowhere).others, std::vector<std::string>{"b"});
-  EXPECT_EQ(choose_zones(l, c, "a", browse, 0, nowhere).dropped, "no cell has the service");
+  EXPECT_TRUE(choose_zones(l, c, "a", pay, 0, nowhere).in_own_zone);
+  EXPECT_EQ(choose_zones(l, c, "a", pay, 7, nowhere).other_zones, std::vector<std::string>{"b"});
+  EXPECT_EQ(choose_zones(l, c, "a", browse, 0, nowhere).refusal, "no cell has the service");
 }
 
 // Any bytes are refused with a step, or read into something whole.
@@ -122,13 +122,13 @@
   for (std::uint32_t slice = 0; slice < 8; ++slice) {
     ZoneChoice const a = choose_zones(l, Catalogue{}, "a", pay, slice, [&] { return both; }),
                      b = choose_zones(l, Catalogue{}, "b", pay, slice, [&] { return both; });
-    EXPECT_NE(a.stay, b.stay);
-    EXPECT_EQ((a.stay ? b : a).others, std::vector<std::string>{a.stay ? "a" : "b"});
-    at_a += a.stay;
+    EXPECT_NE(a.in_own_zone, b.in_own_zone);
+    EXPECT_EQ((a.in_own_zone ? b : a).other_zones, std::vector<std::string>{a.in_own_zone ? "a" : "b"});
+    at_a += a.in_own_zone;
   }
   EXPECT_GT(at_a, 0u);
   EXPECT_LT(at_a, 8u);
-  EXPECT_FALSE(choose_zones(l, Catalogue{}, "a", pay, 0, [] { return std::set<std::string>{}; }).dropped.empty());
+  EXPECT_FALSE(choose_zones(l, Catalogue{}, "a", pay, 0, [] { return std::set<std::string>{}; }).refusal.empty());
 }
 
 }  // namespace
--- a/tests/state/maintenance_test.cpp
+++ b/tests/state/maintenance_test.cpp
@@ -61,7 +61,7 @@
     Model model{mark_of("z", 1s + up_to(100000), 1s + up_to(100000), up_to(60000))};
     model.mark.lead = std::min(model.mark.lead, model.mark.opens_in);
     MaintenancePlan plan;
-    ASSERT_EQ(plan.mark(model.mark), ScheduleOutcome::marked);
+    ASSERT_EQ(plan.schedule(model.mark), ScheduleOutcome::scheduled);
     Duration at{};
     while (phase_of(plan, "z") != MaintenancePhase::over) {
       MaintenancePhase const before = phase_of(plan, "z");
@@ -85,58 +85,58 @@
 
 TEST(Maintenance, a_lead_longer_than_the_time_left_begins_at_once) {
   MaintenancePlan plan;
-  plan.mark(mark_of("z", 20s, 10s, 60s));
+  plan.schedule(mark_of("z", 20s, 10s, 60s));
   EXPECT_EQ(phase_of(plan, "z"), MaintenancePhase::draining);
   EXPECT_EQ(plan.newest("z")->left, 20000);
 }
 
 TEST(Maintenance, a_repeat_changes_nothing_and_another_window_of_the_zone_is_refused) {
   MaintenancePlan plan;
-  ASSERT_EQ(plan.mark(mark_of("z", 100s, 50s)), ScheduleOutcome::marked);
+  ASSERT_EQ(plan.schedule(mark_of("z", 100s, 50s)), ScheduleOutcome::scheduled);
   for (int i = 0; i < 3; ++i) {
     plan.advance(45s);
     MaintenancePlan const before = plan;
-    EXPECT_EQ(plan.mark(mark_of("z", 100s, 50s)), ScheduleOutcome::repeated);
-    EXPECT_EQ(plan.mark(mark_of("z", 100s, 60s)), ScheduleOutcome::overlaps_own_zone);
+    EXPECT_EQ(plan.schedule(mark_of("z", 100s, 50s)), ScheduleOutcome::repeated);
+    EXPECT_EQ(plan.schedule(mark_of("z", 100s, 60s)), ScheduleOutcome::overlaps_own_zone);
     EXPECT_EQ(plan, before);
   }
 }
 
 TEST(Maintenance, windows_of_two_zones_overlap_only_if_that_is_asked_for) {
   MaintenancePlan plan;
-  ASSERT_EQ(plan.mark(mark_of("a", 100s, 50s)), ScheduleOutcome::marked);
+  ASSERT_EQ(plan.schedule(mark_of("a", 100s, 50s)), ScheduleOutcome::scheduled);
   MaintenanceWindowSpec second = mark_of("b", 200s, 50s);
-  EXPECT_EQ(plan.mark(second), ScheduleOutcome::overlaps_other_zone);  // a is back at 180 s, b is left at 140 s
+  EXPECT_EQ(plan.schedule(second), ScheduleOutcome::overlaps_other_zone);  // a is back at 180 s, b is left at 140 s
   second.allow_second = true;
-  EXPECT_EQ(plan.mark(second), ScheduleOutcome::marked);
+  EXPECT_EQ(plan.schedule(second), ScheduleOutcome::scheduled);
   MaintenancePlan apart;
-  ASSERT_EQ(apart.mark(mark_of("a", 100s, 50s)), ScheduleOutcome::marked);
-  EXPECT_EQ(apart.mark(mark_of("b", 240s, 50s)), ScheduleOutcome::marked);
+  ASSERT_EQ(apart.schedule(mark_of("a", 100s, 50s)), ScheduleOutcome::scheduled);
+  EXPECT_EQ(apart.schedule(mark_of("b", 240s, 50s)), ScheduleOutcome::scheduled);
 }
 
 TEST(Maintenance, ended_early_it_is_cancelled_or_returns_and_a_repeat_changes_nothing) {
   MaintenancePlan plan;
   EXPECT_EQ(plan.end("z"), EndOutcome::no_window);
-  plan.mark(mark_of("z", 100s, 50s));
+  plan.schedule(mark_of("z", 100s, 50s));
   EXPECT_EQ(plan.end("z"), EndOutcome::ended);
   EXPECT_EQ(phase_of(plan, "z"), MaintenancePhase::cancelled);
-  EXPECT_EQ(plan.end("z"), EndOutcome::already);
-  plan.mark(mark_of("z", 100s, 50s));
+  EXPECT_EQ(plan.end("z"), EndOutcome::already_ended);
+  plan.schedule(mark_of("z", 100s, 50s));
   plan.advance(41s);
   ASSERT_EQ(phase_of(plan, "z"), MaintenancePhase::draining);
   EXPECT_EQ(plan.end("z"), EndOutcome::ended);
   EXPECT_EQ(phase_of(plan, "z"), MaintenancePhase::returning);
   EXPECT_EQ(plan.newest("z")->left, 30000);
-  EXPECT_EQ(plan.end("z"), EndOutcome::already);
+  EXPECT_EQ(plan.end("z"), EndOutcome::already_ended);
   EXPECT_EQ(plan.newest("z")->left, 30000);
 }
 
 TEST(Maintenance, a_zone_that_returns_may_be_marked_again) {
   MaintenancePlan plan;
-  plan.mark(mark_of("z", 100s, 50s));
+  plan.schedule(mark_of("z", 100s, 50s));
   plan.advance(160s);
   ASSERT_EQ(phase_of(plan, "z"), MaintenancePhase::returning);
-  EXPECT_EQ(plan.mark(mark_of("z", 100s, 50s)), ScheduleOutcome::marked);
+  EXPECT_EQ(plan.schedule(mark_of("z", 100s, 50s)), ScheduleOutcome::scheduled);
   EXPECT_EQ(phase_of(plan, "z"), MaintenancePhase::scheduled);
   EXPECT_FALSE(plan.zone_shares().contains("z"));
 }
@@ -144,7 +144,7 @@
 TEST(Maintenance, only_the_last_windows_that_are_over_are_remembered) {
   MaintenancePlan plan;
   for (int i = 0; i < 40; ++i) {
-    ASSERT_EQ(plan.mark(mark_of("z" + std::to_string(i), 100s, 50s)), ScheduleOutcome::marked);
+    ASSERT_EQ(plan.schedule(mark_of("z" + std::to_string(i), 100s, 50s)), ScheduleOutcome::scheduled);
     plan.advance(1000s);
   }
   EXPECT_LE(plan.windows.size(), 17u);
@@ -156,7 +156,7 @@
   EXPECT_TRUE(unpack_maintenance("")->windows.empty());
   EXPECT_FALSE(unpack_maintenance("x"));
   MaintenancePlan plan;
-  plan.mark(mark_of("z", 100s, 50s));
+  plan.schedule(mark_of("z", 100s, 50s));
   plan.windows[0].left = -1;
   EXPECT_FALSE(unpack_maintenance(pack_maintenance(plan)));
   plan.windows[0].left = 1;
--- a/tests/state/pick_test.cpp
+++ b/tests/state/pick_test.cpp
@@ -9,11 +9,11 @@
 TEST(Pick, draws_as_often_as_the_slow_model_says) {
   std::vector<Candidate> const n{{5, 1}, {1, 1}, {3, 0.25}, {1, 0.5}};
   double total = 0;
-  for (Candidate const& c : n) total += c.entry;
+  for (Candidate const& c : n) total += c.slow_start_share;
   std::vector<double> model(n.size(), 0);  // every ordered pair, weighted
   for (std::size_t i = 0; i < n.size(); ++i)
     for (std::size_t k = 0; k < n.size(); ++k)
-      model[n[k].burden < n[i].burden ? k : i] += n[i].entry / total * n[k].entry / total;
+      model[n[k].burden < n[i].burden ? k : i] += n[i].slow_start_share / total * n[k].slow_start_share / total;
   std::mt19937_64 chance(11);
   std::vector<double> seen(n.size(), 0);
   int const rounds = 200000;
@@ -24,18 +24,18 @@
 TEST(TargetHistories, three_mishaps_in_a_row_eject_and_the_way_back_is_gradual) {
   TargetHistories m;
   Instant t{std::chrono::seconds(100)};
-  m.bad("x", t, false);
-  m.bad("x", t, false);
-  m.fine("x", t);
-  m.bad("x", t, false);
-  m.bad("x", t, false);
+  m.record_failure("x", t, false);
+  m.record_failure("x", t, false);
+  m.record_success("x", t);
+  m.record_failure("x", t, false);
+  m.record_failure("x", t, false);
   EXPECT_FALSE(m.ejected("x", t));
-  m.bad("x", t, false);
+  m.record_failure("x", t, false);
   EXPECT_TRUE(m.ejected("x", t));
   t += 2s;
   EXPECT_FALSE(m.ejected("x", t));
-  EXPECT_LT(m.entry("x", t), 0.5);
-  EXPECT_EQ(m.entry("x", t + 10s), 1.0);
+  EXPECT_LT(m.slow_start_share("x", t), 0.5);
+  EXPECT_EQ(m.slow_start_share("x", t + 10s), 1.0);
 }
 
 }  // namespace
--- a/tests/state/zone_entry_delta_test.cpp
+++ b/tests/state/zone_entry_delta_test.cpp
@@ -2,7 +2,7 @@
 #include "state/zone_entry_delta.hpp"
 
 #include "protocol/message.hpp"
-#include "state/cell_view.hpp"
+#include "state/zone_view.hpp"
 
 #include <gtest/gtest.h>
 #include <random>
@@ -75,17 +75,17 @@
 
 TEST(ZoneEntryDelta, a_view_folds_it_and_passes_over_zones_that_it_does_not_know) {
   std::mt19937 random(7);
-  ZoneEntry const before = random_entry(random, 9), after = random_entry(random, 9);
+  CellEntry const before = random_entry(random, 9), after = random_entry(random, 9);
   ZoneView view;
   Change change;
   change.entry_delta = make_entry_delta(before, after);
-  view.fold(change);
-  EXPECT_TRUE(view.cells.empty());
+  view.apply(change);
+  EXPECT_TRUE(view.zones.empty());
   Change whole;
   whole.cell = before;
-  view.fold(whole);
-  view.fold(change);
-  EXPECT_EQ(view.cells.at("east"), after);
+  view.apply(whole);
+  view.apply(change);
+  EXPECT_EQ(view.zones.at("east"), after);
 }
 
 }  // namespace banktide
--- a/tests/state/cell_view_test.cpp
+++ b/tests/state/zone_view_test.cpp
@@ -1,5 +1,5 @@
 // Changes of a cell against snapshots of it.
-#include "state/cell_view.hpp"
+#include "state/zone_view.hpp"
 
 #include <gtest/gtest.h>
 
@@ -19,13 +19,13 @@
     else
       c.backend =
           BackendRecord{"s", "i" + std::to_string(r(9)), "n" + std::to_string(r(5)), 1, 0, static_cast<Standing>(r(4))};
-    a.fold(c);
+    a.apply(c);
     ZoneView b;
     b.replace(a.snapshot({}));
     ASSERT_EQ(a.members, b.members);
     ASSERT_EQ(a.backends, b.backends);
   }
-  a.fold(Change{0, Member{"n1", "a", "", Role::node, 1, Standing::dead}, std::nullopt, std::nullopt});
+  a.apply(Change{0, Member{"n1", "a", "", Role::node, 1, Standing::dead}, std::nullopt, std::nullopt});
   for (auto const& [key, b] : a.backends) EXPECT_NE(b.node, "n1");
 }
 
