--- a/source/coordination/backend_side.hpp
+++ b/source/coordination/backend_side.hpp
@@ -93,16 +93,17 @@
     Service const& service = n_.rules->layout.services[s];
     std::string const named = service.keyed() ? header_of(c.request, service.key_header) : "";
     if (service.keyed() != c.keyed || (c.keyed && (named.empty() || service.slice_of(named) != c.slice)))
-      co_return not_run("slice", s_.id, "layouts differ on the key's slice");
+      co_return not_run("slice", settings_.id, "layouts differ on the key's slice");
     ZoneChoice const choice = n_.choose(*n_.rules, s, c.slice);
     if (!choice.in_own_zone && !choice.by_home && !broken_on_purpose("old_catalogue"))
-      co_return not_run("catalogue", s_.id, "the catalogue here has it elsewhere");
-    auto const it = n_.local.find(key);
-    if (it == n_.local.end() || !n_.usable(it->second, now))
-      co_return not_run("backend", s_.id, "backend is gone, leaving or silent");
-    if (it->second.beaten < woke_ + settling && !broken_on_purpose("trusts_thawed"))
-      co_return not_run("backend", s_.id, "backend has not beaten since this node was frozen");
-    if (it->second.in_flight >= s_.backend_limit) co_return not_run("backlog", s_.id, "backend has its fill");
+      co_return not_run("catalogue", settings_.id, "the catalogue here has it elsewhere");
+    auto const it = n_.local_backends.find(key);
+    if (it == n_.local_backends.end() || !n_.usable(it->second, now))
+      co_return not_run("backend", settings_.id, "backend is gone, leaving or silent");
+    if (it->second.last_heartbeat < woke_ + settling && !broken_on_purpose("trusts_thawed"))
+      co_return not_run("backend", settings_.id, "backend has not beaten since this node was frozen");
+    if (it->second.in_flight >= settings_.backend_limit)
+      co_return not_run("backlog", settings_.id, "backend has its fill");
     Slice const slice{c.service, service.mapping(), c.slice};
     std::uint64_t epoch = 0;
     if (c.keyed) {
--- a/source/coordination/caller_side.hpp
+++ b/source/coordination/caller_side.hpp
@@ -49,7 +49,7 @@
           chart, id, *rules, "", 503,
           Error{"admit", settings_.id, n_.leaving ? "node is leaving" : "node is not ready", Proof::not_run});
     if (calls_in_flight_ >= 4096)
-      co_return dropped(chart, id, *rules, "", 503, Error{"admit", s_.id, "backlog full", Proof::not_run});
+      co_return dropped(chart, id, *rules, "", 503, Error{"admit", settings_.id, "backlog full", Proof::not_run});
     Index const s = rules->layout.service_of_path(q.target);
     if (s == no_index)
       co_return dropped(chart, id, *rules, "", 404,
@@ -76,10 +76,10 @@
     }
     ZoneChoice const choice = n_.choose(*rules, s, carry.slice);
     if (broken_on_purpose("drops_all"))
-      co_return dropped(chart, id, *rules, service.name, 503, Error{"decide", s_.id, "", Proof::not_run});
+      co_return dropped(chart, id, *rules, service.name, 503, Error{"decide", settings_.id, "", Proof::not_run});
     if (!choice.refusal.empty())
-      co_return dropped(chart, id, *rules, service.name, 503, Error{"decide", s_.id, choice.refusal, Proof::not_run},
-                        &carry);
+      co_return dropped(chart, id, *rules, service.name, 503,
+                        Error{"decide", settings_.id, choice.refusal, Proof::not_run}, &carry);
     bool const repeatable = service.may_repeat(q.method);
     carry.request = std::move(q);
     strip_hop(carry.request.headers, true);
@@ -93,7 +93,7 @@
   std::optional<Target> pick_target(std::string const& service, bool const keyed, std::uint32_t const slice,
                                     ZoneChoice const& choice, std::set<std::string> const& tried,
                                     bool const may_cross) {
-    Instant const now = w_.now();
+    Instant const now = env_.now();
     std::vector<Target> targets, ejected;
     std::vector<Candidate> candidates;
     if (choice.in_own_zone && keyed) {
@@ -168,7 +168,7 @@
         spoil("n:" + t.node, got.error().step == "connect");
       }
     }
-    Instant const now = w_.now();
+    Instant const now = env_.now();
     TargetHistory& m = marks_.at(t.mark, now);
     if (m.in_flight > 0) --m.in_flight;
     if (r.outcome == Outcome::answered) {
@@ -217,8 +217,8 @@
     journal_.append(std::move(e));
   }
 
-  Task<HttpReply> tries(CallChart& chart, std::uint64_t const id, Rules const& rules, ZoneChoice const& choice,
-                        Carry carry, bool const repeatable, Instant const deadline) {
+  Task<HttpReply> tries(CallStateMachine& chart, std::uint64_t const id, Rules const& rules, ZoneChoice const& choice,
+                        ForwardCall carry, bool const repeatable, Instant const deadline) {
     std::set<std::string> tried;
     Error last{"pick", settings_.zone, "no usable backend", Proof::not_run};
     bool maybe_ran = false;
@@ -277,7 +277,7 @@
   }
 
   void spoil(std::string const& mark, bool const at_once) {
-    if (marks_.record_failure(mark, w_.now(), at_once)) log_info("ejected", {{"target", mark}});
+    if (marks_.record_failure(mark, env_.now(), at_once)) log_info("ejected", {{"target", mark}});
   }
 
   Target to_backend(BackendRecord const& b) const {
@@ -285,10 +285,10 @@
                   settings_.zone, "b:" + b.service + "/" + b.instance};
   }
 
-  NodeState<W>& n_;
-  W& w_;
-  ProxySettings& s_;
-  BackendSide<W, B>& beside_;
+  NodeState<Env>& n_;
+  Env& env_;
+  ProxySettings& settings_;
+  BackendSide<Env, B>& beside_;
   TargetHistories marks_;
   RetryBudget budget_;
   DecisionLog journal_;
--- a/source/coordination/carried_side.hpp
+++ b/source/coordination/carried_side.hpp
@@ -75,9 +75,9 @@
     if (!settings_.gateway || !c.crossed) co_return not_run("gateway", settings_.id, "not a crossing for a gateway");
     std::shared_ptr<Rules const> const rules = n_.rules;
     Index const s = rules->layout.service_names.find(c.service);
-    if (s == no_index) co_return not_run("gateway", s_.id, "service is in no layout here");
+    if (s == no_index) co_return not_run("gateway", settings_.id, "service is in no layout here");
     ZoneChoice const choice = n_.choose(*rules, s, c.slice);
-    if (!choice.in_own_zone) co_return not_run("gateway", s_.id, "the catalogue here has it elsewhere");
+    if (!choice.in_own_zone) co_return not_run("gateway", settings_.id, "the catalogue here has it elsewhere");
     std::optional<Target> const t = out_.pick_target(c.service, c.keyed, c.slice, choice, {}, false);
     if (!t) co_return not_run("pick", settings_.zone, "no usable backend");
     c.instance = t->instance;
--- a/source/coordination/node_state.hpp
+++ b/source/coordination/node_state.hpp
@@ -68,7 +68,7 @@
 
   ZoneChoice choose(Rules const& rules, Index const service, std::uint32_t const slice) const {
     return choose_zones(rules.layout, rules.catalogue, s.cell, service, slice,
-                        [&] { return offering(rules.layout.services[service].name, w.now()); });
+                        [&] { return offering(rules.layout.services[service].name, env.now()); });
   }
 
   bool fit(BackendRecord const& b, Instant const now) const {
@@ -119,7 +119,7 @@
   std::uint64_t const incarnation;
   std::string const lease_holder_id;
   Instant const started;
-  ZoneFollower<W> zone;
+  ZoneFollower<Env> zone;
   ZoneView const& view = zone.view();
   std::shared_ptr<Rules const> rules = std::make_shared<Rules>();
   std::map<std::pair<std::string, std::string>, LocalBackendState> local_backends;
--- a/source/coordination/zone_feed.hpp
+++ b/source/coordination/zone_feed.hpp
@@ -46,7 +46,7 @@
     record_change(Change{0, self, std::nullopt, std::nullopt});
   }
 
-  std::string const& zone() const { return s_.zone; }
+  std::string const& zone() const { return settings_.zone; }
   ZoneView const& view() const { return view_; }
   std::uint64_t epoch() const { return epoch_; }
   Position position() const { return Position{epoch_, journal_.last()}; }
@@ -140,8 +140,8 @@
   }
 
   /// What another zone offers.
-  void take_entry(CellEntry const& entry) {
-    if (entry.cell == s_.zone) return;
+  void update_zone_entry(ZoneEntry const& entry) {
+    if (entry.cell == settings_.zone) return;
     auto const it = view_.zones.find(entry.cell);
     if (it == view_.zones.end()) return publish(Change{0, std::nullopt, std::nullopt, entry}, Urgency::at_once);
     if (it->second == entry) return;
@@ -359,7 +359,7 @@
   Instant watched_at_, warm_at_, last_node_at_;
   Journal<Change> journal_{journal_length};
   ZoneView view_;
-  RingPlaces places_;
+  RingNeighbours neighbours_;
   std::size_t nodes_ = 0;
   std::uint64_t pulse_ = 0;
   bool flushing_ = false, had_nodes_ = false;
--- a/source/coordination/zone_follower.hpp
+++ b/source/coordination/zone_follower.hpp
@@ -280,8 +280,8 @@
     if (at.epoch != position_.epoch) return;
     bool changed = false;
     for (Change const& c : changes) {
-      if (c.seq != at_.seq + 1) continue;
-      at_.seq = c.seq;
+      if (c.seq != position_.seq + 1) continue;
+      position_.seq = c.seq;
       view_.apply(c);
       changed = true;
     }
@@ -437,13 +437,13 @@
 
   // A node that starts while its registry is gone knows no zone mates; it can
   // still cross by what another zone's registry knows.
-  Task<void> borrow_view(Address const from) {
-    Follow const question{};
-    Result<FollowReply> const r = co_await ask(w_, from, question, w_.now() + 400ms);
-    if (!r || !r->known || !r->snapshot || viewed_) co_return;
-    for (CellEntry const& c : r->snapshot->cells)
-      if (c.cell != s_.zone) view_.zones[c.cell] = c;
-    viewed_ = true;
+  Task<void> fetch_foreign_view(Address const from) {
+    Follow const request{};
+    Result<FollowReply> const r = co_await ask(env_, from, request, env_.now() + 400ms);
+    if (!r || !r->known || !r->snapshot || has_view_) co_return;
+    for (ZoneEntry const& c : r->snapshot->cells)
+      if (c.cell != settings_.zone) view_.zones[c.cell] = c;
+    has_view_ = true;
     view_changed();
     status_changed();
   }
--- a/source/programs/mesh_node.hpp
+++ b/source/programs/mesh_node.hpp
@@ -270,7 +270,7 @@
       all[b.service].push_back(e);
     }
     for (auto const& [zone, entry] : view.zones) {
-      if (zone == s_.follower.zone) continue;
+      if (zone == settings_.follower.zone) continue;
       for (ServiceOffer const& o : entry.services)
         all[o.service].push_back(Endpoint{o.node, o.address, zone, false, std::max(o.slots, 1u), o.burden + o.waiting});
     }
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -82,11 +82,11 @@
     return env_.now() - *reading_.newest();
   }
 
-  RegistrySettings const& settings() const { return s_; }
-  W& world() { return w_; }
-  Address const& address() const { return s_.address; }
-  RegisterClient<W>& registers() { return register_; }
-  Held const& held(Register const r) const { return held_.at(static_cast<std::size_t>(r)); }
+  RegistrySettings const& settings() const { return settings_; }
+  Env& world() { return env_; }
+  Address const& address() const { return settings_.address; }
+  RegisterClient<Env>& registers() { return register_; }
+  RegisterValue const& held(Register const r) const { return held_.at(static_cast<std::size_t>(r)); }
   /// Of the own zone.
   ZoneView const& view() const { return own_feed_->view(); }
   Position position() const { return own_feed_->position(); }
@@ -105,8 +105,8 @@
     return names;
   }
   /// What each zone offers, the own one among them.
-  std::vector<CellEntry> zone_entries() const {
-    std::vector<CellEntry> all{own_feed_->entry()};
+  std::vector<ZoneEntry> zone_entries() const {
+    std::vector<ZoneEntry> all{own_feed_->entry()};
     for (auto const& [zone, entry] : view().zones) all.push_back(entry);
     return all;
   }
@@ -139,7 +139,7 @@
     }
   }
 
-  void note(std::string const& what, Error const& m) { mishaps_.note(w_.now() - started_, what, m); }
+  void note(std::string const& what, Error const& m) { mishaps_.note(env_.now() - started_, what, m); }
   RecentErrors const& mishaps() const { return mishaps_; }
 
   // ---- operator interface
--- a/tests/coordination/zone_feed_test.cpp
+++ b/tests/coordination/zone_feed_test.cpp
@@ -184,7 +184,7 @@
 
 TEST(ZoneFeed, the_roles_of_neighbours_follow_the_ring_as_members_come_and_go) {
   ZoneView view;
-  RingPlaces places("n3");
+  RingNeighbours places("n3");
   std::uint64_t x = 5;
   for (int step = 0; step < 300; ++step) {
     x = x * 6364136223846793005ull + 1442695040888963407ull;
@@ -213,7 +213,7 @@
 
 TEST(ZoneFeed, who_leaves_or_is_suspected_stands_last_in_the_relay_tree_and_stays_on_the_ring) {
   ZoneView view;
-  RingPlaces places("");
+  RingNeighbours places("");
   auto const fold = [&](std::string const& id, Standing const standing) {
     view.apply(Change{0, Member{id, "a", id, Role::node, 1, standing}, std::nullopt, std::nullopt});
     places.follow(view);
--- a/tests/state/decision_log_test.cpp
+++ b/tests/state/decision_log_test.cpp
@@ -9,7 +9,7 @@
 
 TEST(DecisionLog, a_reader_gets_every_event_once_or_is_told_of_the_gap) {
   DecisionLog d("n", 7, 100);
-  DecisionsAsk q;
+  DecisionsRequest q;
   q.most = 10;
   std::uint64_t seen = 0, lost = 0, made = 0;
   std::mt19937_64 r(4);
--- a/tests/state/zone_entry_delta_test.cpp
+++ b/tests/state/zone_entry_delta_test.cpp
@@ -75,7 +75,7 @@
 
 TEST(ZoneEntryDelta, a_view_folds_it_and_passes_over_zones_that_it_does_not_know) {
   std::mt19937 random(7);
-  CellEntry const before = random_entry(random, 9), after = random_entry(random, 9);
+  ZoneEntry const before = random_entry(random, 9), after = random_entry(random, 9);
   ZoneView view;
   Change change;
   change.entry_delta = make_entry_delta(before, after);
