--- a/source/programs/mesh_node.hpp
+++ b/source/programs/mesh_node.hpp
@@ -7,7 +7,7 @@
 #include "coordination/register_client.hpp"
 #include "coordination/zone_follower.hpp"
 #include "data_path/request_path.hpp"
-#include "programs/departure.hpp"
+#include "programs/graceful_shutdown.hpp"
 #include "protocol/interface_adapter.hpp"
 #include "protocol/message_names.hpp"
 #include "state/compressed_text.hpp"
@@ -33,7 +33,7 @@
       : env_(env),
         settings_(std::move(settings)),
         adapter_(adapter),
-        registers_(env, StoreSeeds{colocated_stores(settings_.follower.seeds, settings_.store_port)}),
+        registers_(env, StoreSeeds{stores_beside(settings_.follower.seeds, settings_.store_port)}),
         local_(env, local_settings(), adapter.headers, std::move(factory), local_events()),
         path_(env, path_settings(), adapter.headers, local_),
         follower_(env, settings_.follower, follower_events()),
@@ -64,7 +64,7 @@
 
   /** Readiness: whether clients of this machine should send new requests here. */
   bool ready() const {
-    bool const informed = follower_.has_confirmed_values() && follower_.has_view() && path_.router() && in_contact();
+    bool const informed = follower_.fresh() && follower_.viewed() && path_.router() && in_contact();
     return !graceful_shutdown_.leaving() && informed && path_.lets_tenants_in();
   }
   bool idle() const { return pending_work().requests == 0; }
@@ -72,13 +72,14 @@
   PendingWork pending_work() const {
     PendingWork pending_work;
     pending_work.requests = path_.in_flight() + local_.in_flight() + forwards_in_flight_;
-    // Only a real network has queues to peers.
+    // The simulated network has no send queues.
     if constexpr (requires { env_.queued(); }) pending_work.bytes = env_.queued().of_requests();
     return pending_work;
   }
-  /** Clients and other nodes had time to notice that it leaves: new requests are refused, so that it empties. */
+  /** Whether new requests are refused: it is shutting down, and clients and other nodes had time to notice. */
   bool refusing() const { return !graceful_shutdown_.accepts_work(env_.now()); }
-  /** Whether the process may end now that it was told to go; `connections` of clients are busy. */
+  /** Whether the process may exit after the signal to shut down; `connections` is the number of busy client
+   * connections. */
   bool may_exit(std::size_t const connections) {
     PendingWork all = pending_work();
     all.connections = connections;
@@ -104,8 +105,8 @@
     tl::expected<InterfaceOperation, InterfaceReply> operation = adapter_.interpret(q);
     if (!operation) co_return http_reply(std::move(operation.error()));
     if (std::holds_alternative<ReadinessOperation>(*operation)) co_return http_reply(adapter_.readiness_reply(ready()));
-    if (HeartbeatOperation const* const beat = std::get_if<HeartbeatOperation>(&*operation)) {
-      HeartbeatAnswer const answer = co_await heartbeat(beat->heartbeat);
+    if (HeartbeatOperation const* const heartbeat_operation = std::get_if<HeartbeatOperation>(&*operation)) {
+      HeartbeatAnswer const answer = co_await heartbeat(heartbeat_operation->heartbeat);
       co_return http_reply(adapter_.heartbeat_reply(answer));
     }
     if (LeaveOperation const* const leave = std::get_if<LeaveOperation>(&*operation)) {
@@ -179,7 +180,7 @@
   FollowerEvents follower_events() {
     FollowerEvents e;
     e.backends = [this] { return local_.records(); };
-    e.value = [this](Register const which, RegisterValue const& held) { apply_value(which, held); };
+    e.value = [this](Register const which, Held const& held) { apply_value(which, held); };
     e.view_changed = [this] { rebuild_endpoints(); };
     e.routing_confirmed = [this](Instant const as_of) {
       confirmed_routing_ = ConfirmedRevision{follower_.held(Register::routing).revision, as_of};
@@ -190,13 +191,13 @@
 
   // ---- register values
 
-  void apply_value(Register const which, RegisterValue const& held) {
+  void apply_value(Register const which, Held const& held) {
     if (which == Register::routing) configuration_alarm_.wake();
     if (which == Register::keys) apply_key_table(held);
     if (which == Register::maintenance) apply_maintenance(held);
   }
 
-  void apply_maintenance(RegisterValue const& held) {
+  void apply_maintenance(Held const& held) {
     if (maintenance_.take(held, env_.now())) update_zone_shares();
   }
 
@@ -210,7 +211,7 @@
   // as the parse (up to a limit), so that parsing takes at most half of the time.
   Task<void> configuration_loop() {
     while (true) {
-      RegisterValue const& newest = follower_.held(Register::routing);
+      Held const& newest = follower_.held(Register::routing);
       if (newest.revision <= parsed_revision_) {
         co_await configuration_alarm_.wait(env_.now() + configuration_poll_period);
         continue;
@@ -223,7 +224,7 @@
     }
   }
 
-  void apply_configuration(RegisterValue const& held) {
+  void apply_configuration(Held const& held) {
     Result<std::string> const text = decompress(held.bytes);
     Result<ServiceConfiguration> read = text ? adapter_.read_configuration(*text) : tl::unexpected<Error>(text.error());
     if (!read) {
@@ -241,10 +242,10 @@
   }
 
   void confirm_access_keys() {
-    if (active_revision_ >= confirmed_routing_.revision) path_.confirm_access_keys(confirmed_routing_.as_of);
+    if (active_revision_ >= confirmed_routing_.revision) path_.confirm_access_keys(confirmed_routing_.asked);
   }
 
-  void apply_key_table(RegisterValue const& held) {
+  void apply_key_table(Held const& held) {
     if (table_ && held.revision <= table_->revision) return;
     Result<KeyTable> read = unpack_key_table(held.bytes, held.revision);
     if (!read) {
@@ -269,7 +270,7 @@
                        true,   std::max(b.slots, 1u),           b.burden + b.waiting};
       all[b.service].push_back(e);
     }
-    for (auto const& [zone, entry] : view.zones) {
+    for (auto const& [zone, entry] : view.cells) {
       if (zone == settings_.follower.zone) continue;
       for (ServiceOffer const& o : entry.services)
         all[o.service].push_back(Endpoint{o.node, o.address, zone, false, std::max(o.slots, 1u), o.burden + o.waiting});
@@ -288,7 +289,7 @@
     ++forwards_in_flight_;
     ForwardReply reply = co_await run_forward(std::move(f), std::move(cancellation));
     --forwards_in_flight_;
-    reply.elapsed_us = static_cast<std::uint32_t>(as_us(env_.now() - arrived));
+    reply.here_us = static_cast<std::uint32_t>(as_us(env_.now() - arrived));
     co_return reply;
   }
 
@@ -314,22 +315,22 @@
 
   // ---- heartbeats and keys
 
-  Task<HeartbeatAnswer> heartbeat(BackendHeartbeat const beat) {
+  Task<HeartbeatAnswer> heartbeat(BackendHeartbeat const heartbeat) {
     HeartbeatAnswer answer;
-    if (!local_.heartbeat(beat)) co_return answer;
+    if (!local_.heartbeat(heartbeat)) co_return answer;
     Instant const arrived = env_.now();
     Instant const until = arrived + settings_.keys.answer_wait;
     std::uint64_t const number = ++heartbeats_received_;
-    // A node that has just started doesn't know yet whether keys are to be granted.
-    while (number == heartbeats_received_ && !path_.router() && !beat.leaving && env_.now() < until)
+    // A node that has just started has no configuration yet and can't tell whether the service is keyed.
+    while (number == heartbeats_received_ && !path_.router() && !heartbeat.leaving && env_.now() < until)
       co_await grant_alarm_.wait(until);
-    if (number != heartbeats_received_ || !keyed(beat.service)) co_return answer;
-    prepare_keys(beat.service);
-    keys_->take_beat(arrived, key_beat(beat));
+    if (number != heartbeats_received_ || !keyed(heartbeat.service)) co_return answer;
+    prepare_keys(heartbeat.service);
+    keys_->take_beat(arrived, key_heartbeat(heartbeat));
     report_alarm_.wake();
     while (number == heartbeats_received_ && env_.now() < until && keys_->answer_may_wait(env_.now()))
       co_await grant_alarm_.wait(until);
-    KeyBeatAnswer const grant = keys_->answer(env_.now(), beat.id, beat.sequence);
+    KeyBeatAnswer const grant = keys_->answer(env_.now(), heartbeat.id, heartbeat.sequence);
     if (!grant.renews) co_return answer;
     local_.keys_granted();
     answer.grant.emplace();
@@ -355,23 +356,23 @@
     confirm_soon_ = true;
   }
 
-  KeyBeat key_beat(BackendHeartbeat const& beat) const {
+  KeyBeat key_heartbeat(BackendHeartbeat const& heartbeat) const {
     KeyBeat k;
-    k.instance = beat.id;
-    k.sequence = beat.sequence;
-    k.standing = beat.leaving || graceful_shutdown_.leaving() ? KeyStanding::draining : KeyStanding::serving;
-    k.slots = beat.slots;
-    for (HeartbeatHeldRow const& r : beat.held)
+    k.instance = heartbeat.id;
+    k.sequence = heartbeat.sequence;
+    k.standing = heartbeat.leaving || graceful_shutdown_.leaving() ? KeyStanding::draining : KeyStanding::serving;
+    k.slots = heartbeat.slots;
+    for (HeartbeatHeldRow const& r : heartbeat.held)
       k.held.push_back(HeldRange{static_cast<std::uint16_t>(r.from), static_cast<std::uint16_t>(r.to),
                                  static_cast<std::uint32_t>(r.fence)});
-    for (HeartbeatReleasedRow const& r : beat.released)
+    for (HeartbeatReleasedRow const& r : heartbeat.released)
       k.released.push_back(
           ReleasedRange{static_cast<std::uint16_t>(r.from), static_cast<std::uint16_t>(r.to), r.token});
     return k;
   }
 
-  // Right after its start a node gets no news yet: it looks for a table more often
-  // until its backend has rows.
+  // Right after its start a node gets no feed updates yet, so it reads the key table more often until its backend
+  // holds rows.
   bool awaits_first_rows() const { return keys_->grants_nothing() && env_.now() - started_ < feed_expected_after; }
 
   Duration confirm_period() const { return awaits_first_rows() ? first_confirm_period : settings_.keys.confirm_every; }
@@ -386,7 +387,7 @@
       bool const due = env_.now() - confirmed_at_ >= confirm_period();
       if ((!wanted && !due) || env_.now() < next_confirm_) continue;
       confirm_soon_ = false;
-      registers_.add_contacts(colocated_stores(registry_addresses(), settings_.store_port));
+      registers_.learn(stores_beside(registry_addresses(), settings_.store_port));
       // Until the voters are known, a read waits for all stores, including those that are down.
       Duration const patience = registers_.knows_voters() ? confirm_timeout : first_confirm_timeout;
       bool const confirmed = co_await confirm_table(env_.now() + patience);
@@ -414,7 +415,7 @@
     keys_->on_confirmed(newest->revision, newest->as_of);
     grant_alarm_.wake();
     if (has_table(newest->revision)) co_return true;
-    bool const here = co_await follower_.fetch_key_table(newest->revision);
+    bool const here = co_await follower_.fetch_keys(newest->revision);
     if (!here) co_await read_table(env_.now() + confirm_timeout);
     co_return has_table(newest->revision);
   }
@@ -424,10 +425,10 @@
     RegisterValue const known = follower_.held(Register::keys);
     Result<ConfirmedValue> const read = co_await registers_.confirm(Register::keys, known, deadline);
     if (!read || !keys_) co_return;
-    confirmed_at_ = read->as_of;
-    follower_.accept(Register::keys, read->held);
+    confirmed_at_ = read->asked;
+    follower_.take(Register::keys, read->held);
     apply_key_table(read->held);
-    keys_->on_confirmed(read->held.revision, read->as_of);
+    keys_->on_confirmed(read->held.revision, read->asked);
     grant_alarm_.wake();
   }
 
@@ -539,8 +540,8 @@
   Instant next_confirm_{};
   Duration confirm_pause_ = tick_period;
   bool confirm_soon_ = true;
-  std::uint64_t heartbeats_received_ = 0;  // only the answer to the last beat may wait
-  typename Env::Alarm grant_alarm_;        // has one waiter: that beat
+  std::uint64_t heartbeats_received_ = 0;  // only the reply to the latest heartbeat may wait
+  typename Env::Alarm grant_alarm_;        // has one waiter: the handler of the latest heartbeat
   typename Env::Alarm report_alarm_;
   typename Env::Alarm configuration_alarm_;
   double load_average_ = 0;
--- a/source/programs/mesh_settings.hpp
+++ b/source/programs/mesh_settings.hpp
@@ -40,7 +40,7 @@
   s.require_addresses("seed-control", 1);
 }
 
-/** A number that is set as text, as the platform's templates do; `standard` if the text is not a number. */
+/** A number that is set as text, as the platform's templates do; `fallback` if the text is not a number. */
 inline std::uint64_t number_of(Settings const& s, std::string const& name, std::uint64_t const fallback) {
   std::string const text = s.text(name);
   if (text.empty() || text.size() > 9 || text.find_first_not_of("0123456789") != std::string::npos) return fallback;
--- a/source/programs/process.hpp
+++ b/source/programs/process.hpp
@@ -49,15 +49,15 @@
     if (!errors.empty()) return;
     std::string applied, needs_restart;
     for (std::string const& name : fresh.changed_from(in_force)) {
-      bool const now = name == "log-level" || apply(name, fresh);
+      bool const applied_now = name == "log-level" || apply(name, fresh);
       if (name == "log-level") logger().setLogLevel(log4cplus::getLogLevelManager().fromString(fresh.text(name)));
-      (now ? applied : needs_restart) += (now ? applied : needs_restart).empty() ? name : "," + name;
+      (applied_now ? applied : needs_restart) += (applied_now ? applied : needs_restart).empty() ? name : "," + name;
     }
     log_info("reload", {{"taken", applied}, {"needs_restart", needs_restart}});
   }
 
   // Waits for SIGTERM or SIGINT, runs `leave` on the pool's thread, and then polls
-  // `idle` until it returns true or `patience` is over.
+  // `idle` until it returns true or `timeout` is over.
   template <class Leave, class Idle, class Reload>
   void run_until_shutdown(Leave leave, Idle idle, Reload reload, Duration const timeout) {
     asio::io_context& io = crossplat::threadpool::shared_instance().service();
--- a/source/programs/proxy.hpp
+++ b/source/programs/proxy.hpp
@@ -37,20 +37,20 @@
   void leave() {
     node_.leaving = true;
     node_.left_at = node_.env.now();
-    node_.rejoin();
+    node_.touch();
   }
   // Applies the settings that may change at run time.
   void apply_settings(ProxySettings const& s) {
-    node_.settings.heartbeat_expiry = s.heartbeat_expiry;
-    node_.settings.backend_limit = s.backend_limit;
-    node_.settings.slice_limit = s.slice_limit;
+    node_.s.beat_expiry = s.beat_expiry;
+    node_.s.backend_limit = s.backend_limit;
+    node_.s.slice_limit = s.slice_limit;
   }
   Rules const& rules() const { return *node_.rules; }
 
   Task<HttpReply> call(HttpRequest q) { return caller_side_.call(std::move(q)); }
   HttpReply beat(std::string const& body) { return backend_side_.beat(body); }
 
-  HttpReply platform(HttpRequest const& q) {
+  HttpReply handle_platform_request(HttpRequest const& q) {
     std::string const path = q.target.substr(0, q.target.find('?'));
     if (path == "/beat") {
       if (q.method == "POST") return beat(q.body);
@@ -60,10 +60,9 @@
     }
     if (path == "/live") return json_reply(200, {{"live", true}});
     if (path == "/ready")
-      return json_reply(ready() ? 200 : 503, {{"ready", ready()},
-                                              {"fresh", node_.has_confirmed_values},
-                                              {"viewed", node_.has_view},
-                                              {"leaving", node_.leaving}});
+      return json_reply(
+          ready() ? 200 : 503,
+          {{"ready", ready()}, {"fresh", node_.fresh}, {"viewed", node_.viewed}, {"leaving", node_.leaving}});
     if (path == "/state") return json_reply(200, state());
     if (path == "/mishaps") return json_reply(200, node_.mishaps.json());
     return json_reply(404, {{"error", "no such resource"}, {"path", path}});
@@ -71,11 +70,11 @@
 
   Json state() const {
     Json j = view_json(node_.view);
-    j["node"] = node_.settings.id;
-    j["cell"] = node_.settings.zone;
-    j["gateway"] = node_.settings.gateway;
-    j["epoch"] = follower_.position().epoch;
-    j["position"] = follower_.position().seq;
+    j["node"] = node_.s.id;
+    j["cell"] = node_.s.cell;
+    j["gateway"] = node_.s.gateway;
+    j["epoch"] = follower_.at().epoch;
+    j["position"] = follower_.at().seq;
     j["routing"] = node_.rules->routing;
     j["catalogue"] = node_.rules->catalogue_revision;
     j["ready"] = ready();
@@ -90,7 +89,7 @@
 
  private:
   NodeState<Env> node_;
-  ProxyZoneFollower<Env> follower_;
+  CellFollower<Env> follower_;
   BackendSide<Env, B> backend_side_;
   CallerSide<Env, B> caller_side_;
   CarriedSide<Env, B> carried_side_;
--- a/source/programs/proxy_main.cpp
+++ b/source/programs/proxy_main.cpp
@@ -58,7 +58,7 @@
   Proxy<SocketWorld, Edge> proxy(world, edge, settings);
   HttpListener callers(world.io(), s.text("caller"), [&](HttpRequest q) { return proxy.call(std::move(q)); });
   HttpListener local(world.io(), s.text("local"),
-                     [&](HttpRequest q) -> Task<HttpReply> { co_return proxy.platform(q); });
+                     [&](HttpRequest q) -> Task<HttpReply> { co_return proxy.handle_platform_request(q); });
   process.run_on_thread([&]() {
     world.serve(dispatcher);
     proxy.start(dispatcher);
--- a/source/programs/settings.hpp
+++ b/source/programs/settings.hpp
@@ -25,22 +25,22 @@
   }
 
   std::string const& program() const { return program_; }
-  void text(std::string const& name, std::string const& fallback, std::string const& what) {
+  void text(std::string const& name, std::string const& fallback, std::string const& description) {
     options_.add_options()(
         name.c_str(), fallback.empty() ? po::value<std::string>() : po::value<std::string>()->default_value(fallback),
-        what.c_str());
+        description.c_str());
   }
-  void list(std::string const& name, std::string const& what) {
-    options_.add_options()(name.c_str(), po::value<std::vector<std::string>>()->composing(), what.c_str());
+  void list(std::string const& name, std::string const& description) {
+    options_.add_options()(name.c_str(), po::value<std::vector<std::string>>()->composing(), description.c_str());
   }
   void number(std::string const& name, std::uint64_t const fallback, std::uint64_t const minimum,
-              std::uint64_t const maximum, std::string const& what) {
-    options_.add_options()(name.c_str(), po::value<std::uint64_t>()->default_value(fallback), what.c_str());
+              std::uint64_t const maximum, std::string const& description) {
+    options_.add_options()(name.c_str(), po::value<std::uint64_t>()->default_value(fallback), description.c_str());
     ranges_[name] = {minimum, maximum};
   }
-  void flag(std::string const& name, std::string const& what) {
+  void flag(std::string const& name, std::string const& description) {
     options_.add_options()(name.c_str(), po::value<bool>()->default_value(false)->implicit_value(true)->zero_tokens(),
-                           what.c_str());
+                           description.c_str());
   }
 
   // Positional arguments are added to this list.
--- a/tests/programs/departure_test.cpp
+++ b/tests/programs/graceful_shutdown_test.cpp
@@ -1,6 +1,6 @@
 // What a leaving process takes and owes: the decisions as a state machine, and from the
 // client's socket to the backend's.
-#include "programs/departure.hpp"
+#include "programs/graceful_shutdown.hpp"
 
 #include "tests/programs/client_leaves_trial.hpp"
 
