--- a/source/programs/control_status.hpp
+++ b/source/programs/control_status.hpp
@@ -42,9 +42,9 @@
     co_await registers.discover(env_.now() + voter_timeout, true);
     VoterSet const set = registers.set();
     std::vector<Address> const voters = addresses_of(set);
-    VotersAsk const question{};
-    auto const replies = co_await ask_all<VotersAsk>(env_, voters, question, env_.now() + voter_timeout,
-                                                     [](auto const&) { return false; });
+    VotersRequest const question{};
+    auto const replies = co_await ask_all<VotersRequest>(env_, voters, question, env_.now() + voter_timeout,
+                                                         [](auto const&) { return false; });
     std::vector<std::string> conditions(voters.size(), "silent");
     std::size_t voting = 0;
     for (auto const& [at, reply] : replies) {
--- a/source/programs/mesh_node.hpp
+++ b/source/programs/mesh_node.hpp
@@ -33,7 +33,7 @@
       : env_(env),
         settings_(std::move(settings)),
         adapter_(adapter),
-        registers_(env, StoreSeeds{stores_beside(settings_.follower.seeds, settings_.store_port)}),
+        registers_(env, StoreSeeds{colocated_stores(settings_.follower.seeds, settings_.store_port)}),
         local_(env, local_settings(), adapter.headers, std::move(factory), local_events()),
         path_(env, path_settings(), adapter.headers, local_),
         follower_(env, settings_.follower, follower_events()),
@@ -64,7 +64,7 @@
 
   /** Readiness: whether clients of this machine should send new requests here. */
   bool ready() const {
-    bool const informed = follower_.fresh() && follower_.viewed() && path_.router() && in_contact();
+    bool const informed = follower_.fresh() && follower_.has_view() && path_.router() && in_contact();
     return !graceful_shutdown_.leaving() && informed && path_.lets_tenants_in();
   }
   bool idle() const { return pending_work().requests == 0; }
@@ -180,7 +180,7 @@
   FollowerEvents follower_events() {
     FollowerEvents e;
     e.backends = [this] { return local_.records(); };
-    e.value = [this](Register const which, Held const& held) { apply_value(which, held); };
+    e.value = [this](Register const which, RegisterValue const& held) { apply_value(which, held); };
     e.view_changed = [this] { rebuild_endpoints(); };
     e.routing_confirmed = [this](Instant const as_of) {
       confirmed_routing_ = ConfirmedRevision{follower_.held(Register::routing).revision, as_of};
@@ -191,13 +191,13 @@
 
   // ---- register values
 
-  void apply_value(Register const which, Held const& held) {
+  void apply_value(Register const which, RegisterValue const& held) {
     if (which == Register::routing) configuration_alarm_.wake();
     if (which == Register::keys) apply_key_table(held);
     if (which == Register::maintenance) apply_maintenance(held);
   }
 
-  void apply_maintenance(Held const& held) {
+  void apply_maintenance(RegisterValue const& held) {
     if (maintenance_.take(held, env_.now())) update_zone_shares();
   }
 
@@ -211,7 +211,7 @@
   // as the parse (up to a limit), so that parsing takes at most half of the time.
   Task<void> configuration_loop() {
     while (true) {
-      Held const& newest = follower_.held(Register::routing);
+      RegisterValue const& newest = follower_.held(Register::routing);
       if (newest.revision <= parsed_revision_) {
         co_await configuration_alarm_.wait(env_.now() + configuration_poll_period);
         continue;
@@ -224,7 +224,7 @@
     }
   }
 
-  void apply_configuration(Held const& held) {
+  void apply_configuration(RegisterValue const& held) {
     Result<std::string> const text = decompress(held.bytes);
     Result<ServiceConfiguration> read = text ? adapter_.read_configuration(*text) : tl::unexpected<Error>(text.error());
     if (!read) {
@@ -242,10 +242,10 @@
   }
 
   void confirm_access_keys() {
-    if (active_revision_ >= confirmed_routing_.revision) path_.confirm_access_keys(confirmed_routing_.asked);
+    if (active_revision_ >= confirmed_routing_.revision) path_.confirm_access_keys(confirmed_routing_.as_of);
   }
 
-  void apply_key_table(Held const& held) {
+  void apply_key_table(RegisterValue const& held) {
     if (table_ && held.revision <= table_->revision) return;
     Result<KeyTable> read = unpack_key_table(held.bytes, held.revision);
     if (!read) {
@@ -289,7 +289,7 @@
     ++forwards_in_flight_;
     ForwardReply reply = co_await run_forward(std::move(f), std::move(cancellation));
     --forwards_in_flight_;
-    reply.here_us = static_cast<std::uint32_t>(as_us(env_.now() - arrived));
+    reply.elapsed_us = static_cast<std::uint32_t>(as_us(env_.now() - arrived));
     co_return reply;
   }
 
@@ -387,7 +387,7 @@
       bool const due = env_.now() - confirmed_at_ >= confirm_period();
       if ((!wanted && !due) || env_.now() < next_confirm_) continue;
       confirm_soon_ = false;
-      registers_.learn(stores_beside(registry_addresses(), settings_.store_port));
+      registers_.add_contacts(colocated_stores(registry_addresses(), settings_.store_port));
       // Until the voters are known, a read waits for all stores, including those that are down.
       Duration const patience = registers_.knows_voters() ? confirm_timeout : first_confirm_timeout;
       bool const confirmed = co_await confirm_table(env_.now() + patience);
@@ -415,7 +415,7 @@
     keys_->on_confirmed(newest->revision, newest->as_of);
     grant_alarm_.wake();
     if (has_table(newest->revision)) co_return true;
-    bool const here = co_await follower_.fetch_keys(newest->revision);
+    bool const here = co_await follower_.fetch_key_table(newest->revision);
     if (!here) co_await read_table(env_.now() + confirm_timeout);
     co_return has_table(newest->revision);
   }
@@ -425,10 +425,10 @@
     RegisterValue const known = follower_.held(Register::keys);
     Result<ConfirmedValue> const read = co_await registers_.confirm(Register::keys, known, deadline);
     if (!read || !keys_) co_return;
-    confirmed_at_ = read->asked;
+    confirmed_at_ = read->as_of;
     follower_.take(Register::keys, read->held);
     apply_key_table(read->held);
-    keys_->on_confirmed(read->held.revision, read->asked);
+    keys_->on_confirmed(read->held.revision, read->as_of);
     grant_alarm_.wake();
   }
 
--- a/source/programs/proxy.hpp
+++ b/source/programs/proxy.hpp
@@ -37,11 +37,11 @@
   void leave() {
     node_.leaving = true;
     node_.left_at = node_.env.now();
-    node_.touch();
+    node_.rejoin();
   }
   // Applies the settings that may change at run time.
   void apply_settings(ProxySettings const& s) {
-    node_.s.beat_expiry = s.beat_expiry;
+    node_.s.heartbeat_expiry = s.heartbeat_expiry;
     node_.s.backend_limit = s.backend_limit;
     node_.s.slice_limit = s.slice_limit;
   }
@@ -62,7 +62,7 @@
     if (path == "/ready")
       return json_reply(
           ready() ? 200 : 503,
-          {{"ready", ready()}, {"fresh", node_.fresh}, {"viewed", node_.viewed}, {"leaving", node_.leaving}});
+          {{"ready", ready()}, {"fresh", node_.fresh}, {"viewed", node_.has_view}, {"leaving", node_.leaving}});
     if (path == "/state") return json_reply(200, state());
     if (path == "/mishaps") return json_reply(200, node_.mishaps.json());
     return json_reply(404, {{"error", "no such resource"}, {"path", path}});
@@ -89,7 +89,7 @@
 
  private:
   NodeState<Env> node_;
-  CellFollower<Env> follower_;
+  ProxyZoneFollower<Env> follower_;
   BackendSide<Env, B> backend_side_;
   CallerSide<Env, B> caller_side_;
   CarriedSide<Env, B> carried_side_;
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -57,11 +57,11 @@
     dispatcher.on<RegistryExchange>([this](RegistryExchange q) { return meet(std::move(q)); });
     dispatcher.on<Heartbeat>([this](Heartbeat q) { return beat(std::move(q)); });
     dispatcher.on<Suspect>([this](Suspect q) { return suspect(std::move(q)); });
-    dispatcher.on<CellTold>([this](CellTold q) { return cell_told(std::move(q)); });
-    dispatcher.on<Chosen>([this](Chosen q) { return chosen(std::move(q)); });
-    dispatcher.on<LeaseAsk>([this](LeaseAsk q) { return lease(std::move(q)); });
-    dispatcher.on<DecisionsAsk>([this](DecisionsAsk q) { return decisions(std::move(q)); });
-    dispatcher.on<StateAsk>([this](StateAsk q) { return state(q); });
+    dispatcher.on<ZoneAnnouncement>([this](ZoneAnnouncement q) { return cell_told(std::move(q)); });
+    dispatcher.on<ChosenValue>([this](ChosenValue q) { return chosen(std::move(q)); });
+    dispatcher.on<LeaseRequest>([this](LeaseRequest q) { return lease(std::move(q)); });
+    dispatcher.on<DecisionsRequest>([this](DecisionsRequest q) { return decisions(std::move(q)); });
+    dispatcher.on<StateRequest>([this](StateRequest q) { return state(q); });
     spawn(env_, meet_loop());
     spawn(env_, reading_.run());
     if (!settings_.voters.empty()) spawn(env_, establish_epoch_floor());
@@ -133,9 +133,9 @@
     take(r, h);
     KeyDelta const* const delta = r == Register::keys ? key_deltas_.newest() : nullptr;
     if (delta != nullptr && delta->to == h.revision) {
-      send_to_registries(Chosen{r, Held{}, *delta});
+      send_to_registries(ChosenValue{r, RegisterValue{}, *delta});
     } else {
-      send_to_registries(Chosen{r, held(r).revision == h.revision ? held(r) : h, std::nullopt});
+      send_to_registries(ChosenValue{r, held(r).revision == h.revision ? held(r) : h, std::nullopt});
     }
   }
 
@@ -167,7 +167,7 @@
   }
 
   // The state of this zone as its registry sees it, with each node's own state.
-  Task<StateReply> state(StateAsk q) {
+  Task<StateReply> state(StateRequest q) {
     Json j = {{"registry", settings_.id},
               {"cell", settings_.cell},
               {"epoch", position().epoch},
@@ -241,14 +241,14 @@
     co_return NoReply{};
   }
 
-  void record_delta(Register const r, Held const& before, Held const& after) {
+  void record_delta(Register const r, RegisterValue const& before, RegisterValue const& after) {
     if (r == Register::keys) key_deltas_.add_or_clear(make_key_delta(before, after));
     if (r == Register::routing) routing_deltas_.add_or_clear(make_text_delta(before, after));
   }
 
   // Large values are sent to a zone's nodes as deltas where the delta is known.
   void send_to_nodes(ZoneFeed<Env>& feed, Register const r) {
-    Held const& newest = held(r);
+    RegisterValue const& newest = held(r);
     KeyDelta const* const of_keys = key_deltas_.newest();
     TextDelta const* const of_routing = routing_deltas_.newest();
     if (r == Register::keys && of_keys != nullptr && of_keys->to == newest.revision) {
@@ -260,9 +260,9 @@
     }
   }
 
-  Task<LayoutsReply> layouts(LayoutsAsk q) {
-    if (q.fresh || !has_quorum_reading()) co_await reading_.read_anew(env_.now() + fresh_read_timeout);
-    LayoutsReply reply;
+  Task<RegisterValuesReply> layouts(RegisterValuesRequest q) {
+    if (q.fresh || !has_quorum_reading()) co_await reading_.read_fresh(env_.now() + fresh_read_timeout);
+    RegisterValuesReply reply;
     reply.known = has_quorum_reading();
     if (reply.known) reply.reading_age_ms = static_cast<std::uint32_t>(as_ms(*reading_age()) + 1);  // rounded up
     reply.revisions = revisions();
@@ -331,8 +331,8 @@
 
   // Lease epochs start from a round number of the register that was never issued before, so they never repeat.
   Task<void> establish_epoch_floor() {
-    while (!lease_.floored()) {
-      Result<std::uint64_t> const round = co_await register_.rise(Register::routing, env_.now() + 2s);
+    while (!lease_.has_floor()) {
+      Result<std::uint64_t> const round = co_await register_.next_number(Register::routing, env_.now() + 2s);
       if (round)
         lease_.set_floor(broken_on_purpose("epochs_start_again") ? 1 : *round << 20);
       else
@@ -344,9 +344,9 @@
 
   // ---- other registries
 
-  Task<MeetReply> meet(Meet q) {
-    directory_.learn_names(q.registries, env_.now());
-    MeetReply reply;
+  Task<RegistryExchangeReply> meet(RegistryExchange q) {
+    directory_.learn_addresses(q.registries, env_.now());
+    RegistryExchangeReply reply;
     reply.registries = directory_.told(env_.now());
     std::size_t const cores = settings_.voters.empty() ? directory_.entries().size() : settings_.voters.size();
     reply.cores = static_cast<std::uint32_t>(cores);
@@ -356,8 +356,8 @@
   // One task for each peer, so that a peer that hangs doesn't delay the others.
   Task<void> meet_one(Address const peer) {
     Instant const asked = env_.now();
-    Meet const question{directory_.told(asked)};
-    Result<MeetReply> const r = co_await ask(env_, peer, question, asked + meet_timeout);
+    RegistryExchange const question{directory_.told(asked)};
+    Result<RegistryExchangeReply> const r = co_await ask(env_, peer, question, asked + meet_timeout);
     if (!r) co_return;
     directory_.heard(peer, env_.now());
     directory_.learn_answer(r->registries, asked, env_.now());
@@ -373,7 +373,8 @@
       for (Address const& peer : peers) spawn(env_, meet_one(peer));
       directory_.forget_silent(env_.now());
       if (settings_.voters.empty())
-        register_.learn(stores_beside(std::vector<Address>(peers.begin(), peers.end()), settings_.store_port));
+        register_.add_contacts(
+            colocated_stores(std::vector<Address>(peers.begin(), peers.end()), settings_.store_port));
       co_await sleep_for(env_, directory_.entries().size() < 2 ? Duration(200ms) : timing_.registry_meet_every);
     }
   }
@@ -389,23 +390,23 @@
 
   bool serves(std::string const& zone) const { return directory_.registry_of(zone, env_.now()) == settings_.address; }
 
-  Task<Told> cell_told(CellTold q) {
+  Task<NoReply> cell_told(ZoneAnnouncement q) {
     directory_.heard(q.sender, env_.now() - max_message_delay);
     auto const feed = feeds_.find(q.entry.cell);
     bool const kept_here = feed != feeds_.end() && feed->second->has_nodes() && serves(q.entry.cell);
-    CellEntry const* const newer = kept_here ? nullptr : entries_.take(std::move(q), env_.now());
+    ZoneEntry const* const newer = kept_here ? nullptr : entries_.take(std::move(q), env_.now());
     if (newer != nullptr) distribute_entry(*newer);
-    co_return Told{};
+    co_return NoReply{};
   }
 
-  void distribute_entry(CellEntry const& entry) {
-    for (auto const& [zone, feed] : feeds_) feed->take_entry(entry);
+  void distribute_entry(ZoneEntry const& entry) {
+    for (auto const& [zone, feed] : feeds_) feed->update_zone_entry(entry);
   }
 
   void send_entries() {
     for (auto const& [zone, feed] : feeds_) {
       bool const known = feed->warm() && feed->had_nodes() && serves(zone);
-      std::optional<CellTold> told;
+      std::optional<ZoneAnnouncement> told;
       if (known) told = entries_.due(zone, feed->position(), env_.now(), [&] { return feed->entry(); });
       if (!told) continue;
       told->sender = settings_.address;
@@ -494,7 +495,7 @@
       for (auto const& [zone, feed] : feeds_)
         if (feed == own_feed_ || serves(zone)) feed->watch();
       drop_empty_feeds();
-      for (CellEntry const& gone : entries_.forget(env_.now())) distribute_entry(gone);
+      for (ZoneEntry const& gone : entries_.forget(env_.now())) distribute_entry(gone);
     }
   }
 
