--- a/source/coordination/held_values.hpp
+++ b/source/coordination/held_values.hpp
@@ -14,7 +14,7 @@
   bool is_behind(Revisions const& told) const;
 
   /// Takes up those that are newer and whose digest is right; says which.
-  std::vector<Register> accept(std::vector<std::pair<Register, RegisterValue>> const& newer);
+  std::vector<Register> take(std::vector<std::pair<Register, RegisterValue>> const& newer);
   /// The table of keys after these deltas, if they begin at the one here. After deltas that should fit
   /// and don't the whole table is asked for.
   std::vector<Register> accept_key_deltas(std::vector<KeyDelta> const& deltas);
--- a/source/coordination/zone_follower.hpp
+++ b/source/coordination/zone_follower.hpp
@@ -72,7 +72,7 @@
   std::vector<Address> live_registries() const { return directory_.live(env_.now()); }
   Address own_registry() const { return directory_.registry_of(settings_.zone, env_.now()); }
   /// How many registries there are, as they say themselves.
-  std::uint32_t registry_count() const { return registry_count_; }
+  std::uint32_t cores() const { return cores_; }
   RegisterValue const& held(Register const r) const { return values_.of(r); }
   /// There was a reading that a majority vouched for.
   bool has_confirmed_values() const { return has_confirmed_values_; }
@@ -84,7 +84,7 @@
   Duration since_contact() const { return env_.now() - last_contact_; }
 
   /// Takes up a chosen value that the owner has from elsewhere.
-  void accept(Register const r, RegisterValue const& held) { accept_values({{r, held}}); }
+  void take(Register const r, RegisterValue const& held) { accept_values({{r, held}}); }
   /// Asks registries for a table of keys of at least this revision, which was chosen
   /// a moment ago: the own one, again for a while as it may be about to learn of it,
   /// then another. True if the table is here then, also by news.
@@ -141,14 +141,14 @@
     directory_.learn_addresses(q.registries, env_.now());
     status_changed();
     RegistryExchangeReply reply;
-    reply.registries = directory_.entries_with_ages(env_.now());
-    reply.cores = registry_count_;
+    reply.registries = directory_.told(env_.now());
+    reply.cores = cores_;
     co_return reply;
   }
 
   Task<void> meet_one(Address const peer) {
     Instant const asked = env_.now();
-    RegistryExchange const request{directory_.entries_with_ages(asked)};
+    RegistryExchange const request{directory_.told(asked)};
     Result<RegistryExchangeReply> const r = co_await ask(env_, peer, request, asked + meet_timeout);
     if (!r) co_return;
     heard(peer);
@@ -346,7 +346,7 @@
   Task<bool> catch_up_from_one_of(std::vector<Address> const from) {
     if (from.empty()) co_return false;
     RegisterValuesRequest request = values_.request();
-    request.fresh = !has_confirmed_values_;
+    request.fresh = !fresh_;
     request.revisions_only = true;
     Instant const asked = env_.now();
     auto const confirms = [](auto const& reply) { return reply.second && reply.second->known; };
@@ -369,7 +369,7 @@
   // Takes whatever newer values that registry has. Whether it vouches for them.
   Task<bool> ask_for_values(Address const from, Instant const deadline) {
     RegisterValuesRequest request = values_.request();
-    request.fresh = !has_confirmed_values_;
+    request.fresh = !fresh_;
     Instant const asked = env_.now();
     std::optional<RegisterValuesReply> const reply = co_await ask_registry(from, request, deadline);
     if (reply && reply->known) accept_confirmed_reply(*reply, asked);
@@ -442,7 +442,7 @@
     Result<FollowReply> const r = co_await ask(env_, from, request, env_.now() + 400ms);
     if (!r || !r->known || !r->snapshot || has_view_) co_return;
     for (ZoneEntry const& c : r->snapshot->cells)
-      if (c.cell != settings_.zone) view_.zones[c.cell] = c;
+      if (c.cell != settings_.zone) view_.cells[c.cell] = c;
     has_view_ = true;
     view_changed();
     status_changed();
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -87,7 +87,7 @@
   Address const& address() const { return settings_.address; }
   RegisterClient<Env>& registers() { return register_; }
   RegisterValue const& held(Register const r) const { return held_.at(static_cast<std::size_t>(r)); }
-  /// Of the own zone.
+  /// The view of the own zone.
   ZoneView const& view() const { return own_feed_->view(); }
   Position position() const { return own_feed_->position(); }
   std::vector<RegistryEntry> const& directory() const { return directory_.entries(); }
@@ -104,10 +104,10 @@
     for (auto const& [zone, entry] : view().zones) names.insert(zone);
     return names;
   }
-  /// What each zone offers, the own one among them.
+  /// The entries of all zones, the own zone included: what each offers to the others.
   std::vector<ZoneEntry> zone_entries() const {
     std::vector<ZoneEntry> all{own_feed_->entry()};
-    for (auto const& [zone, entry] : view().zones) all.push_back(entry);
+    for (auto const& [zone, entry] : view().cells) all.push_back(entry);
     return all;
   }
   /// Whether this registry has the lowest address of those heard from lately, and so acts for all of them.
@@ -471,7 +471,7 @@
 
   Task<NoReply> beat(Heartbeat q) {
     std::shared_ptr<ZoneFeed<Env>> const feed = feed_of(q.zone);
-    if (feed) feed->on_heartbeat(q);
+    if (feed) feed->beat(q);
     co_return NoReply{};
   }
 
--- a/tests/coordination/held_values_test.cpp
+++ b/tests/coordination/held_values_test.cpp
@@ -19,8 +19,8 @@
 TEST(HeldValues, takes_only_what_is_newer_and_whole) {
   HeldValues values;
   RegisterValue const second = compressed_value(2, "two");
-  EXPECT_EQ(values.accept({{Register::routing, second}}), std::vector<Register>{Register::routing});
-  EXPECT_TRUE(values.accept({{Register::routing, compressed_value(1, "one")}}).empty());
+  EXPECT_EQ(values.take({{Register::routing, second}}), std::vector<Register>{Register::routing});
+  EXPECT_TRUE(values.take({{Register::routing, compressed_value(1, "one")}}).empty());
   RegisterValue spoilt = compressed_value(3, "three");
   spoilt.bytes.back() = static_cast<char>(spoilt.bytes.back() ^ 1);
   EXPECT_TRUE(values.accept({{Register::routing, spoilt}}).empty());
