--- a/source/programs/mesh_node.hpp
+++ b/source/programs/mesh_node.hpp
@@ -319,7 +319,7 @@
     HeartbeatAnswer answer;
     if (!local_.heartbeat(heartbeat)) co_return answer;
     Instant const arrived = env_.now();
-    Instant const until = arrived + settings_.keys.answer_wait;
+    Instant const until = arrived + settings_.keys.answer_delay_limit;
     std::uint64_t const number = ++heartbeats_received_;
     // A node that has just started has no configuration yet and can't tell whether the service is keyed.
     while (number == heartbeats_received_ && !path_.router() && !heartbeat.leaving && env_.now() < until)
--- a/source/state/key_planner.cpp
+++ b/source/state/key_planner.cpp
@@ -13,20 +13,20 @@
 
 namespace {
 
-constexpr Duration tick_gap = 500ms;     // a longer one means that this process was held up
-constexpr Duration growth_calm = 500ms;  // no new backend for this long: all have been heard
-constexpr Duration remember_ends = 120s;
+constexpr Duration stall_threshold = 500ms;    // a longer one means that this process was held up
+constexpr Duration growth_quiet_time = 500ms;  // no new backend for this long: all have been heard
+constexpr Duration ended_retention = 120s;
 constexpr double neighbour_cost = 0.1;   // what it counts against a taker to hold a neighbouring row
 constexpr double width_weight = 0.25;    // how a row counts that shows no load
 constexpr double newcomer_share = 0.75;  // of the mean share, up to which a newcomer is fed
-constexpr double newest_capacity_weight = 0.15;
-constexpr double least_measured_busy = 0.05;  // below this, run times say little of the capacity
+constexpr double least_capacity_weight = 0.15;
+constexpr double min_measurable_busy = 0.05;  // below this, run times say little of the capacity
 
 KeyHolderRecord record_of(KeyReport const& report) {
   return KeyHolderRecord{report.instance, report.node, report.address, report.zone};
 }
 
-void give(KeyRow& row, std::uint16_t const holder, std::uint32_t const fence, std::string handover) {
+void assign(KeyRow& row, std::uint16_t const holder, std::uint32_t const fence, std::string handover) {
   row.holder = holder;
   row.next = no_holder;
   row.fence = fence;
@@ -43,27 +43,27 @@
   ServiceState& service = services_[report.service];
   if (service.first_report == Instant{}) service.first_report = now;
   Backend& backend = backends_[report.instance];
-  if (backend.heard == Instant{}) {
+  if (backend.last_report == Instant{}) {
     ++service.known;
-    service.grew = now;
+    service.last_new_backend = now;
     backend.first_heard = now;
   }
-  backend.heard = now;
-  service.rates.learn(now, report);
+  backend.last_report = now;
+  service.rates.update(now, report);
   backend.report = std::move(report);
-  learn_capacity(backend);
+  update_capacity(backend);
 }
 
 // By the run times that its node measures; without those, by how busy the
 // requests on its rows make it.
-void KeyPlanner::learn_capacity(Backend& backend) {
-  if (backend.report.busy < least_measured_busy) return;
+void KeyPlanner::update_capacity(Backend& backend) {
+  if (backend.report.busy < min_measurable_busy) return;
   double demand = 0;
   for (KeyRowLoad const& load : backend.report.held) demand += std::max(0.0F, load.rate);
   if (demand <= 0) return;
   double const told = backend.report.capacity > 0 ? backend.report.capacity : demand / backend.report.busy;
   ++backend.measured;
-  double const weight = std::max(newest_capacity_weight, 1.0 / static_cast<double>(backend.measured));
+  double const weight = std::max(least_capacity_weight, 1.0 / static_cast<double>(backend.measured));
   backend.capacity += (told - backend.capacity) * weight;
 }
 
@@ -81,8 +81,8 @@
 }
 
 void KeyPlanner::tick(Instant const now) {
-  if (now - ticked_ > tick_gap) watching_since_ = now;
-  ticked_ = now;
+  if (now - last_tick_ > stall_threshold) observing_since_ = now;
+  last_tick_ = now;
 }
 
 KeyPlanner::Backend* KeyPlanner::backend_of(std::string const& instance) {
@@ -90,33 +90,34 @@
   return found == backends_.end() ? nullptr : &found->second;
 }
 
-bool KeyPlanner::able(Backend const& backend, Instant const now) const {
+bool KeyPlanner::is_serving(Backend const& backend, Instant const now) const {
   return backend.report.standing == KeyStanding::serving && backend.report.leased &&
-         now - backend.heard <= settings_.eligible_for && !ended(backend.report.instance);
+         now - backend.last_report <= settings_.report_valid_for && !ended(backend.report.instance);
 }
 
 bool KeyPlanner::eligible(Backend const& backend, Instant const now) const {
-  return able(backend, now) && !vacated(backend.report.zone);
+  return is_serving(backend, now) && !is_vacated(backend.report.zone);
 }
 
 // None, if there is nobody elsewhere to take the service's keys.
 void KeyPlanner::find_zones_to_vacate(std::string const& service, Instant const now) {
   bool const others = std::any_of(backends_.begin(), backends_.end(), [&](auto const& known) {
     KeyReport const& report = known.second.report;
-    return report.service == service && !withheld_zones_.contains(report.zone) && able(known.second, now);
+    return report.service == service && !withheld_zones_.contains(report.zone) && is_serving(known.second, now);
   });
   zones_to_vacate_ = others ? withheld_zones_ : std::set<std::string>{};
 }
 
-Duration KeyPlanner::silence(std::string const& instance, Instant const now) const {
+Duration KeyPlanner::silent_for(std::string const& instance, Instant const now) const {
   std::map<std::string, Backend>::const_iterator const found = backends_.find(instance);
-  Instant const heard = found == backends_.end() ? watching_since_ : std::max(found->second.heard, watching_since_);
-  return now - heard;
+  Instant const last_report =
+      found == backends_.end() ? observing_since_ : std::max(found->second.last_report, observing_since_);
+  return now - last_report;
 }
 
 // Whoever confirmed the table without the revocation asked before it was
 // chosen, so its lease ended a term after this process saw it chosen.
-bool KeyPlanner::wait_is_over(Revision const revoked, Instant const now) const {
+bool KeyPlanner::revocation_elapsed(Revision const revoked, Instant const now) const {
   std::map<Revision, Instant>::const_iterator const seen = revocations_.find(revoked);
   if (seen == revocations_.end()) return false;
   Duration const drift =
@@ -136,7 +137,7 @@
 
 std::optional<KeyTable> KeyPlanner::plan(Instant const now) {
   tick(now);
-  forget_old(now);
+  remove_expired(now);
   KeyTable next = table_;
   next.revision = table_.revision + 1;
   for (std::pair<std::string const, ServiceState> const& known : services_) create(next, known.first, now);
@@ -149,13 +150,13 @@
     finish_moves(next, service, all);
     assign_free(service, all);
     drain(next, service, all);
-    feed_newcomers(next, service, all);
+    fill_newcomers(next, service, all);
     rebalance(next, service, all, now);
   }
   KeyTable unchanged = table_;
   unchanged.revision = next.revision;
   if (next.services == unchanged.services) return std::nullopt;
-  next.forget_idle_holders();
+  next.remove_unused_holders();
   return next;
 }
 
@@ -164,8 +165,8 @@
   if (table.service(name) != nullptr) return;
   ServiceState const& state = services_[name];
   Duration const gathered = now - state.first_report;
-  bool const calm = gathered >= settings_.gather && now - state.grew >= growth_calm;
-  if (!calm && gathered < settings_.gather_limit) return;
+  bool const quiet = gathered >= settings_.gather_time && now - state.last_new_backend >= growth_quiet_time;
+  if (!quiet && gathered < settings_.gather_time_limit) return;
   KeyService service;
   service.name = name;
   find_zones_to_vacate(name, now);
@@ -186,7 +187,7 @@
     KeyRow row;
     row.from = static_cast<std::uint16_t>(i * 65536 / rows);
     row.to = static_cast<std::uint16_t>((i + 1) * 65536 / rows - 1);
-    give(row, all[best].number, 1, "");
+    assign(row, all[best].number, 1, "");
     service.rows.push_back(std::move(row));
   }
   table.services.push_back(std::move(service));
@@ -197,18 +198,19 @@
   for (KeyRow const& row : service.rows) {
     if (row.holder == no_holder) continue;
     holders.insert(row.holder);
-    if (silence(table.holders[row.holder].instance, now) > settings_.revoke_after) silent.insert(row.holder);
+    if (silent_for(table.holders[row.holder].instance, now) > settings_.revoke_after) silent.insert(row.holder);
   }
   // If most are silent, it's rather this process that hears nothing.
-  bool const deaf = silent.size() * 2 > holders.size();
-  Duration const patience = deaf ? 2 * settings_.revoke_after : settings_.revoke_after;
+  bool const most_are_silent = silent.size() * 2 > holders.size();
+  Duration const patience = most_are_silent ? 2 * settings_.revoke_after : settings_.revoke_after;
   for (KeyRow& row : service.rows) {
     if (row.holder == no_holder) continue;
     std::string const& instance = table.holders[row.holder].instance;
     if (ended(instance)) continue;
     Backend const* const backend = backend_of(instance);
-    bool const back = backend != nullptr && backend->report.leased && now - backend->heard <= settings_.eligible_for;
-    if (row.revoked == 0 && silence(instance, now) > patience) row.revoked = table.revision;
+    bool const back =
+        backend != nullptr && backend->report.leased && now - backend->last_report <= settings_.report_valid_for;
+    if (row.revoked == 0 && silent_for(instance, now) > patience) row.revoked = table.revision;
     if (row.revoked != 0 && back) row.revoked = 0;
   }
 }
@@ -221,10 +223,10 @@
     Backend const& backend = known.second;
     KeyReport const& report = backend.report;
     if (report.node != ended_holder.node || report.service != service || ended(report.instance)) continue;
-    if (vacated(report.zone)) continue;
-    bool const able = report.leased || now - backend.first_heard <= settings_.successor_patience;
-    bool const here = now - backend.heard <= settings_.eligible_for;
-    if (able && here && report.standing == KeyStanding::serving) return &backend;
+    if (is_vacated(report.zone)) continue;
+    bool const is_serving = report.leased || now - backend.first_heard <= settings_.successor_grace;
+    bool const here = now - backend.last_report <= settings_.report_valid_for;
+    if (is_serving && here && report.standing == KeyStanding::serving) return &backend;
   }
   return nullptr;
 }
@@ -238,10 +240,10 @@
     if (row.next != no_holder && ended(table.holders[row.next].instance)) row.next = no_holder;
     if (row.holder == no_holder) continue;
     bool const gone = ended(table.holders[row.holder].instance);
-    if (!gone && !(row.revoked != 0 && wait_is_over(row.revoked, now))) continue;
+    if (!gone && !(row.revoked != 0 && revocation_elapsed(row.revoked, now))) continue;
     Backend const* const successor = gone ? successor_of(table.holders[row.holder], service.name, now) : nullptr;
     if (successor != nullptr) {
-      give(row, table.add_holder(record_of(successor->report)), fence, "");
+      assign(row, table.add_holder(record_of(successor->report)), fence, "");
       continue;
     }
     row.holder = no_holder;
@@ -261,11 +263,11 @@
     taker.number = table.add_holder(record_of(backend.report));
     taker.cost = backend.report.busy;
     for (KeyRow const& row : service.rows) {
-      bool const goes = row.holder == taker.number && row.moving != 0;
-      bool const comes = row.next == taker.number;
-      taker.leaving += goes;
-      taker.arriving += comes;
-      if ((row.holder != taker.number || goes) && !comes) continue;
+      bool const is_leaving = row.holder == taker.number && row.moving != 0;
+      bool const is_arriving = row.next == taker.number;
+      taker.leaving += is_leaving;
+      taker.arriving += is_arriving;
+      if ((row.holder != taker.number || is_leaving) && !is_arriving) continue;
       ++taker.rows;
       taker.width += width_of(row);
     }
@@ -322,7 +324,7 @@
         row.moving = 0;
       }
     }
-    if (release != nullptr && row.next != no_holder) give(row, row.next, fence, release->handover);
+    if (release != nullptr && row.next != no_holder) assign(row, row.next, fence, release->handover);
   }
 }
 
@@ -357,7 +359,7 @@
     if (row.holder != no_holder) continue;
     Taker* taker = pick(takers, service, i, settings_.held_rows_limit);
     if (taker == nullptr) taker = pick(takers, service, i, std::numeric_limits<std::size_t>::max());
-    give(row, taker->number, fence, "");
+    assign(row, taker->number, fence, "");
     ++taker->rows;
     taker->width += width_of(row);
   }
@@ -384,7 +386,7 @@
     Backend const* const holder = backend_of(table.holders[row.holder].instance);
     if (holder == nullptr) continue;
     bool const ends = holder->report.standing == KeyStanding::draining;
-    bool const leaves = vacated(table.holders[row.holder].zone) && leaving[row.holder] < settings_.moving_rows_limit;
+    bool const leaves = is_vacated(table.holders[row.holder].zone) && leaving[row.holder] < settings_.moving_rows_limit;
     if (!ends && !leaves) continue;
     Taker* const taker = pick(takers, service, i, settings_.held_rows_limit);
     if (taker == nullptr) continue;
@@ -395,14 +397,14 @@
 
 // A backend with far less than its share, by slots, gets rows of those with the
 // widest share, a few at a time. Load decides from then on.
-void KeyPlanner::feed_newcomers(KeyTable& table, KeyService& service, Takers& takers) {
+void KeyPlanner::fill_newcomers(KeyTable& table, KeyService& service, Takers& takers) {
   double slots = 0;
   for (Taker const& taker : takers) slots += taker.backend->report.slots;
   for (Taker& newcomer : takers) {
     double const share = newcomer_share * newcomer.backend->report.slots / std::max(slots, 1.0);
-    bool& feeding = newcomer.backend->feeding;
-    feeding = (feeding || newcomer.rows == newcomer.arriving) && newcomer.width < share;
-    if (!feeding) continue;
+    bool& filling = newcomer.backend->filling;
+    filling = (filling || newcomer.rows == newcomer.arriving) && newcomer.width < share;
+    if (!filling) continue;
     while (newcomer.width < share && newcomer.rows < settings_.held_rows_limit) {
       Taker* widest = nullptr;
       for (Taker& giver : takers) {
@@ -448,38 +450,38 @@
 // The backends that take part are those whose rows' rates are known.
 void KeyPlanner::rebalance(KeyTable const& table, KeyService& service, Takers const& takers, Instant const now) {
   ServiceState& state = services_[service.name];
-  state.rates.forget_old(service, now);
+  state.rates.remove_expired(service, now);
   if (now < state.next_rebalance) return;
   double const of_slot = capacity_of_slot(takers);
   KeyRebalancer step(settings_, service, state.rates, table.revision, now);
   for (Taker const& taker : takers) {
     Backend const& backend = *taker.backend;
     double const capacity = backend.capacity > 0 ? backend.capacity : of_slot * backend.report.slots;
-    if (backend.feeding || capacity <= 0) continue;
+    if (backend.filling || capacity <= 0) continue;
     LoadedBackend loaded;
     loaded.instance = backend.report.instance;
     loaded.number = taker.number;
     loaded.capacity = capacity;
     loaded.busy = backend.report.busy;
-    loaded.settling = now < backend.settled;
+    loaded.settling = now < backend.settling_until;
     step.add(loaded);
   }
-  bool const evened = step.even_out(now < state.level_until);
-  if (step.uneven()) state.level_until = now + settings_.even_for;
-  bool const gathered = step.gather_cool_rows();
+  bool const evened = step.level_load(now < state.leveling_until);
+  if (step.uneven()) state.leveling_until = now + settings_.leveling_time;
+  bool const gathered = step.merge_cool_rows();
   if (evened || gathered) state.next_rebalance = now + settings_.rebalance_every;
   for (Taker const& taker : takers)
     if (std::count(step.settling().begin(), step.settling().end(), taker.number) > 0)
-      taker.backend->settled = now + settings_.settle;
+      taker.backend->settling_until = now + settings_.settle;
 }
 
-void KeyPlanner::forget_old(Instant const now) {
+void KeyPlanner::remove_expired(Instant const now) {
   std::erase_if(backends_, [&](std::pair<std::string const, Backend> const& known) {
-    bool const old = now - known.second.heard > remember_ends;
-    return ended(known.first) || (old && table_.number_of(known.first) == no_holder);
+    bool const old = now - known.second.last_report > ended_retention;
+    return ended(known.first) || (old && table_.holder_index(known.first) == no_holder);
   });
   std::erase_if(ended_, [&](std::pair<std::string const, Instant> const& known) {
-    return now - known.second > remember_ends && table_.number_of(known.first) == no_holder;
+    return now - known.second > ended_retention && table_.holder_index(known.first) == no_holder;
   });
 }
 
--- a/source/state/key_planner.hpp
+++ b/source/state/key_planner.hpp
@@ -36,19 +36,19 @@
   struct Backend {
     KeyReport report;
     Instant first_heard{};
-    Instant heard{};
-    Instant settled{};         // its load is judged from then on
+    Instant last_report{};
+    Instant settling_until{};  // its load is judged from then on
     double capacity = 0;       // requests a second, smoothed over its reports; 0: not known
     std::size_t measured = 0;  // reports that told its capacity
-    bool feeding = false;      // it's new and gets its first share
+    bool filling = false;      // it's new and gets its first share
   };
   struct ServiceState {
     Instant first_report{};
     Instant next_rebalance{};
     std::size_t known = 0;
-    Instant grew{};
+    Instant last_new_backend{};
     KeyRates rates;
-    Instant level_until{};  // somebody was overloaded, and loads haven't been even for a while yet
+    Instant leveling_until{};  // somebody was overloaded, and loads haven't been even for a while yet
   };
   // A backend that may take rows, and what it has by now.
   struct Taker {
@@ -64,12 +64,12 @@
 
   Backend* backend_of(std::string const& instance);
   bool ended(std::string const& instance) const { return ended_.contains(instance); }
-  bool able(Backend const& backend, Instant now) const;
+  bool is_serving(Backend const& backend, Instant now) const;
   bool eligible(Backend const& backend, Instant now) const;
   void find_zones_to_vacate(std::string const& service, Instant now);
-  bool vacated(std::string const& zone) const { return zones_to_vacate_.contains(zone); }
-  Duration silence(std::string const& instance, Instant now) const;
-  bool wait_is_over(Revision revoked, Instant now) const;
+  bool is_vacated(std::string const& zone) const { return zones_to_vacate_.contains(zone); }
+  Duration silent_for(std::string const& instance, Instant now) const;
+  bool revocation_elapsed(Revision revoked, Instant now) const;
   KeyRelease const* release_of(KeyTable const& table, KeyRow const& row) const;
 
   Takers takers(KeyTable& table, KeyService const& service, Instant now);
@@ -83,13 +83,13 @@
   void finish_moves(KeyTable& table, KeyService& service, Takers& takers);
   void assign_free(KeyService& service, Takers& takers);
   void drain(KeyTable& table, KeyService& service, Takers& takers);
-  void feed_newcomers(KeyTable& table, KeyService& service, Takers& takers);
-  static void learn_capacity(Backend& backend);
+  void fill_newcomers(KeyTable& table, KeyService& service, Takers& takers);
+  static void update_capacity(Backend& backend);
   static double capacity_of_slot(Takers const& takers);
   void rebalance(KeyTable const& table, KeyService& service, Takers const& takers, Instant now);
   void begin_move(KeyTable& table, KeyService& service, std::size_t row, Taker& taker);
   static void merge_free(KeyService& service, std::size_t room);
-  void forget_old(Instant now);
+  void remove_expired(Instant now);
 
   KeySettings const settings_;
   KeyTable table_;
@@ -99,8 +99,8 @@
   std::map<Revision, Instant> revocations_;  // when this process first saw each as chosen
   std::set<std::string> withheld_zones_;
   std::set<std::string> zones_to_vacate_;  // of these, those that the service being planned can do without
-  Instant watching_since_{};
-  Instant ticked_{};
+  Instant observing_since_{};
+  Instant last_tick_{};
 };
 
 }  // namespace banktide
--- a/source/state/key_rates.cpp
+++ b/source/state/key_rates.cpp
@@ -21,12 +21,12 @@
 
 }  // namespace
 
-void KeyRates::learn(Instant const now, KeyReport const& report) {
+void KeyRates::update(Instant const now, KeyReport const& report) {
   for (KeyRowLoad const& told : report.held) {
     if (told.rate < 0) continue;
     KeyRate& known = known_[Range{told.from, told.to}];
     known.told = now;
-    known.shown_by = report.instance;
+    known.last_reporter = report.instance;
     bool const of_another = !known.source.empty() && known.source != report.instance;
     if (of_another && believable(known, told)) continue;
     known.rate = told.rate;
--- a/source/state/key_rates.hpp
+++ b/source/state/key_rates.hpp
@@ -15,10 +15,10 @@
 namespace banktide {
 
 struct KeyRate {
-  double rate = 0;       // requests a second
-  double seconds = 0;    // over which it was taken; 0: not told
-  std::string source;    // the instance that told it; empty: derived from other rows
-  std::string shown_by;  // the instance that showed the row last
+  double rate = 0;            // requests a second
+  double seconds = 0;         // over which it was taken; 0: not told
+  std::string source;         // the instance that told it; empty: derived from other rows
+  std::string last_reporter;  // the instance that showed the row last
   Instant told{};
   Instant moved{};  // when a move for load began last
   std::vector<KeyCut> cuts;
@@ -26,7 +26,7 @@
 
 class KeyRates {
  public:
-  void learn(Instant now, KeyReport const& report);
+  void update(Instant now, KeyReport const& report);
   /// None if nothing is known of this very row.
   KeyRate const* find(KeyRow const& row) const;
   /// What is known of a row that was made from others.
--- a/source/state/key_rebalancer.cpp
+++ b/source/state/key_rebalancer.cpp
@@ -16,14 +16,14 @@
 
 constexpr double all_keys = 65536;
 constexpr double all_shares = 65535;
-constexpr double hot_row_share = 0.3;       // how far above the wanted shift a row's rate may lie
-constexpr double least_useful_share = 0.1;  // of the wanted shift, that a row in a fine step carries
+constexpr double rate_tolerance = 0.3;      // how far above the wanted shift a row's rate may lie
+constexpr double min_useful_share = 0.1;    // of the wanted shift, that a row in a fine step carries
 constexpr double neighbour_gap = 0.15;      // a taker may be this much more utilised, to hold no neighbour
-constexpr double target_share = 0.5;        // of the gap that calls for moves: a giver gives down to this
+constexpr double donor_target_share = 0.5;  // of the gap that calls for moves: a giver gives down to this
 constexpr double cool_share = 0.5;          // of the rate from which rows are cut, that a joined row may carry
 constexpr double narrow_share = 0.25;       // of a first row's width: such rows are brought together
 constexpr double room_share = 0.75;         // of the rows that a backend may hold, to which they are brought
-constexpr std::size_t most_cuts_at_once = 3;
+constexpr std::size_t max_splits_at_once = 3;
 
 }  // namespace
 
@@ -43,20 +43,20 @@
 void KeyRebalancer::add(LoadedBackend backend) { backends_.push_back(std::move(backend)); }
 
 // Rows on the move count for their takers already.
-void KeyRebalancer::sum_up() {
-  if (std::exchange(summed_up_, true)) return;
+void KeyRebalancer::sum_loads() {
+  if (std::exchange(loads_summed_, true)) return;
   std::set<std::uint16_t> unknown;
   for (KeyRow const& row : service_.rows) {
     KeyRate const* const known = rates_.find(row);
     bool const moves = row.moving != 0;
     LoadedBackend* const holder = backend(row.holder);
-    LoadedBackend* const bears = moves ? backend(row.next) : holder;
+    LoadedBackend* const carrier = moves ? backend(row.next) : holder;
     if (moves && holder != nullptr) ++holder->leaving;
-    if (bears != nullptr) ++bears->rows;
+    if (carrier != nullptr) ++carrier->rows;
     if (known == nullptr && !moves) unknown.insert(row.holder);
-    if (known == nullptr || bears == nullptr) continue;
-    bears->demand += known->rate;
-    if (known->seconds > 0) bears->variance += known->rate / known->seconds;
+    if (known == nullptr || carrier == nullptr) continue;
+    carrier->demand += known->rate;
+    if (known->seconds > 0) carrier->variance += known->rate / known->seconds;
   }
   std::erase_if(backends_, [&](LoadedBackend const& one) { return unknown.contains(one.number); });
 }
@@ -90,11 +90,11 @@
     demand += one.demand;
     capacity += one.capacity;
   }
-  part_limit_ = settings_.part_share * demand / static_cast<double>(backends_.size());
+  split_threshold_ = settings_.part_share * demand / static_cast<double>(backends_.size());
   mean_ = capacity > 0 ? demand / capacity : 0;
   std::vector<KeyRow const*> single;
   for (KeyRow const& row : service_.rows)
-    if (row.from == row.to && rate_of(row) > part_limit_) single.push_back(&row);
+    if (row.from == row.to && rate_of(row) > split_threshold_) single.push_back(&row);
   std::sort(single.begin(), single.end(), [&](KeyRow const* a, KeyRow const* b) { return rate_of(*a) > rate_of(*b); });
   for (KeyRow const* const row : single) {
     LoadedBackend const* const holder = backend(row->next != no_holder ? row->next : row->holder);
@@ -115,20 +115,20 @@
 
 double KeyRebalancer::gap(LoadedBackend const& one) const { return one.utilisation() / mean_ - 1; }
 
-double KeyRebalancer::gap_that_calls(LoadedBackend const& one, double const gap) const {
+double KeyRebalancer::gap_with_noise(LoadedBackend const& one, double const gap) const {
   return gap + (one.demand > 0 ? std::sqrt(one.variance) / one.demand : 0);
 }
 
-bool KeyRebalancer::too_far_apart(double const limit) const {
+bool KeyRebalancer::exceeds_gap(double const limit) const {
   return std::any_of(backends_.begin(), backends_.end(),
-                     [&](LoadedBackend const& one) { return gap(one) > gap_that_calls(one, limit); });
+                     [&](LoadedBackend const& one) { return gap(one) > gap_with_noise(one, limit); });
 }
 
 LoadedBackend* KeyRebalancer::most_utilised(bool const coarse) {
   LoadedBackend* most = nullptr;
   for (LoadedBackend& one : backends_) {
-    if (one.spent || (!coarse && one.settling)) continue;
-    if (gap(one) <= gap_that_calls(one, settings_.load_gap)) continue;
+    if (one.done || (!coarse && one.settling)) continue;
+    if (gap(one) <= gap_with_noise(one, settings_.load_gap)) continue;
     if (most == nullptr || one.utilisation() > most->utilisation()) most = &one;
   }
   return most;
@@ -140,7 +140,7 @@
       apart_from == nullptr ? service_.rows.size() : static_cast<std::size_t>(apart_from - service_.rows.data());
   for (LoadedBackend& one : backends_) {
     if (one.rows >= settings_.held_rows_limit || one.utilisation() >= mean_) continue;
-    if (!coarse && (one.settling || one.spent)) continue;
+    if (!coarse && (one.settling || one.done)) continue;
     if (apart_from != nullptr && holds_neighbour(one, row)) continue;
     if (least == nullptr || one.utilisation() < least->utilisation()) least = &one;
   }
@@ -154,27 +154,27 @@
 }
 
 // Told parts joined to at most so many, none above the rate if possible.
-std::vector<KeyCut> KeyRebalancer::grouped(KeyRate const& known, double const most, std::size_t const parts) const {
+std::vector<KeyCut> KeyRebalancer::group_cuts(KeyRate const& known, double const most, std::size_t const parts) const {
   double rest = all_shares;
-  for (KeyCut const& cut : known.cuts) rest -= cut.share;
+  for (KeyCut const& split : known.cuts) rest -= split.share;
   for (double limit = most;; limit *= 1.25) {
     std::vector<KeyCut> cuts;
     double gathered = std::max(rest, 0.0);
-    for (KeyCut const& cut : known.cuts) {
-      if ((gathered + cut.share) / all_shares * known.rate > limit) {
-        cuts.push_back(cut);
+    for (KeyCut const& split : known.cuts) {
+      if ((gathered + split.share) / all_shares * known.rate > limit) {
+        cuts.push_back(split);
         gathered = 0;
       } else if (!cuts.empty()) {
-        cuts.back().share = static_cast<std::uint16_t>(std::min<double>(cuts.back().share + cut.share, all_shares));
+        cuts.back().share = static_cast<std::uint16_t>(std::min<double>(cuts.back().share + split.share, all_shares));
       }
-      gathered += cut.share;
+      gathered += split.share;
     }
     if (cuts.size() < parts || limit > known.rate) return cuts.size() < parts ? cuts : std::vector<KeyCut>{};
   }
 }
 
 // The parts' rates are known at once, so they can be moved in the same step.
-void KeyRebalancer::cut(std::size_t const row, std::vector<KeyCut> const& cuts) {
+void KeyRebalancer::split(std::size_t const row, std::vector<KeyCut> const& cuts) {
   KeyRow const whole = service_.rows[row];
   KeyRate const known = *rates_.find(whole);
   std::vector<KeyRow> parts(cuts.size() + 1, whole);
@@ -197,11 +197,11 @@
 }
 
 // The hottest first, as far as there is room.
-bool KeyRebalancer::cut_hot_rows(LoadedBackend& holder) {
+bool KeyRebalancer::split_hot_rows(LoadedBackend& holder) {
   bool any = false;
-  for (std::size_t n = 0; n < most_cuts_at_once; ++n) {
+  for (std::size_t n = 0; n < max_splits_at_once; ++n) {
     std::size_t hottest = service_.rows.size();
-    double most = part_limit_ * (1 + hot_row_share);
+    double most = split_threshold_ * (1 + rate_tolerance);
     for (std::size_t i = 0; i < service_.rows.size(); ++i) {
       KeyRow const& row = service_.rows[i];
       if (row.holder != holder.number || row.moving != 0 || row.revoked != 0) continue;
@@ -213,9 +213,9 @@
     std::size_t const used = service_.rows.size();
     if (hottest == used || used >= settings_.rows_limit || holder.rows >= settings_.held_rows_limit) return any;
     std::size_t const room = std::min(settings_.rows_limit - used, settings_.held_rows_limit - holder.rows);
-    std::vector<KeyCut> const cuts = grouped(*rates_.find(service_.rows[hottest]), part_limit_, room + 1);
+    std::vector<KeyCut> const cuts = group_cuts(*rates_.find(service_.rows[hottest]), split_threshold_, room + 1);
     if (cuts.empty()) return any;
-    cut(hottest, cuts);
+    split(hottest, cuts);
     holder.rows += cuts.size();
     any = true;
   }
@@ -226,7 +226,7 @@
 std::optional<KeyRebalancer::Move> KeyRebalancer::best_move(LoadedBackend const& giver, bool const coarse) {
   LoadedBackend* const idle = least_utilised(coarse, nullptr);
   if (idle == nullptr) return coarse ? move_of_hot_key(giver) : std::nullopt;
-  double const target = mean_ * (1 + settings_.load_gap * target_share);
+  double const target = mean_ * (1 + settings_.load_gap * donor_target_share);
   double const wanted = std::min(giver.demand - target * giver.capacity, mean_ * idle->capacity - idle->demand);
   std::optional<Move> best;
   double least = std::numeric_limits<double>::max();
@@ -234,7 +234,7 @@
     KeyRow const& row = service_.rows[i];
     if (row.holder != giver.number || !movable(row) || width_of(row) > width_left_) continue;
     double const rate = rate_of(row);
-    if (rate > wanted * (1 + hot_row_share) || rate < wanted * least_useful_share) continue;
+    if (rate > wanted * (1 + rate_tolerance) || rate < wanted * min_useful_share) continue;
     double const cost = std::abs(wanted - rate) / wanted + width_of(row) / settings_.moving_width_limit;
     if (cost >= least) continue;
     least = cost;
@@ -255,7 +255,7 @@
   double rate = 0;
   for (KeyRow const& row : service_.rows) {
     bool const there = row.next == one.number || (row.holder == one.number && row.moving == 0);
-    if (there && row.from == row.to && rate_of(row) > part_limit_) rate += rate_of(row);
+    if (there && row.from == row.to && rate_of(row) > split_threshold_) rate += rate_of(row);
   }
   return rate;
 }
@@ -268,14 +268,14 @@
   std::optional<Move> best;
   double least = hot_keys_of(giver) / giver.capacity - settings_.load_gap_coarse * mean_;
   for (LoadedBackend& one : backends_) {
-    if (&one == &giver || one.spent || one.rows >= settings_.held_rows_limit) continue;
+    if (&one == &giver || one.done || one.rows >= settings_.held_rows_limit) continue;
     double const hot = hot_keys_of(one);
     for (std::size_t i = 0; i < service_.rows.size(); ++i) {
       KeyRow const& row = service_.rows[i];
       if (row.holder != giver.number || row.from != row.to || !movable(row)) continue;
       double const rate = rate_of(row);
       double const then = (hot + rate) / one.capacity;
-      if (then >= least || rate <= part_limit_) continue;
+      if (then >= least || rate <= split_threshold_) continue;
       least = then;
       best = Move{i, &one, rate};
     }
@@ -296,54 +296,54 @@
   ++move.taker->rows;
 }
 
-bool KeyRebalancer::even_out(bool const begun) {
-  sum_up();
+bool KeyRebalancer::level_load(bool const begun) {
+  sum_loads();
   if (backends_.size() < 2) return false;
   find_means();
   if (mean_ <= 0 || !(begun || overloaded())) return false;
-  uneven_ = too_far_apart(settings_.load_gap);
-  bool const coarse = too_far_apart(settings_.load_gap_coarse);
+  uneven_ = exceeds_gap(settings_.load_gap);
+  bool const coarse = exceeds_gap(settings_.load_gap_coarse);
   std::size_t const most_leaving = coarse ? settings_.coarse_moving_rows_limit : settings_.moving_rows_limit;
   bool changed = false;
   while (LoadedBackend* const giver = most_utilised(coarse)) {
-    changed = cut_hot_rows(*giver) || changed;
+    changed = split_hot_rows(*giver) || changed;
     // Once it gives, it gives until it's near the mean.
-    while (!giver->spent && gap(*giver) > settings_.load_gap * target_share && giver->leaving < most_leaving) {
+    while (!giver->done && gap(*giver) > settings_.load_gap * donor_target_share && giver->leaving < most_leaving) {
       std::optional<Move> const move = best_move(*giver, coarse);
       if (!move) break;
       begin(*move, *giver);
       changed = true;
       if (coarse) continue;
-      giver->spent = move->taker->spent = true;
+      giver->done = move->taker->done = true;
       settling_.push_back(giver->number);
       settling_.push_back(move->taker->number);
     }
-    giver->spent = true;
+    giver->done = true;
   }
   return changed;
 }
 
 // Neighbours of one holder under one fence, the higher of both: no fence of theirs
 // is above it, so the backend takes the joined row for what it holds already.
-bool KeyRebalancer::joinable(KeyRow const& left, KeyRow const& right) const {
+bool KeyRebalancer::mergeable(KeyRow const& left, KeyRow const& right) const {
   double const widest =
       1.0 / static_cast<double>(std::max<std::size_t>(1, settings_.rows_per_backend * backends_.size()));
   KeyRate const* const a = rates_.find(left);
   KeyRate const* const b = rates_.find(right);
   if (a == nullptr || b == nullptr || width_of(left) + width_of(right) > widest) return false;
   if (left.moving != 0 || right.moving != 0 || left.revoked != 0 || right.revoked != 0) return false;
-  return a->rate + b->rate <= part_limit_ * cool_share;
+  return a->rate + b->rate <= split_threshold_ * cool_share;
 }
 
-bool KeyRebalancer::join_neighbours() {
+bool KeyRebalancer::merge_neighbours() {
   bool any = false;
   for (std::size_t i = 0; i + 1 < service_.rows.size();) {
     KeyRow& left = service_.rows[i];
     KeyRow const& right = service_.rows[i + 1];
     LoadedBackend* const holder = left.holder == right.holder ? backend(left.holder) : nullptr;
     // The holder has shown both, so their handovers have reached it.
-    auto const shown = [&](KeyRow const& row) { return rates_.find(row)->shown_by == holder->instance; };
-    if (holder == nullptr || !joinable(left, right) || !shown(left) || !shown(right)) {
+    auto const shown = [&](KeyRow const& row) { return rates_.find(row)->last_reporter == holder->instance; };
+    if (holder == nullptr || !mergeable(left, right) || !shown(left) || !shown(right)) {
       ++i;
       continue;
     }
@@ -353,7 +353,7 @@
     joined.seconds = std::min(joined.seconds, other.seconds);
     joined.moved = std::max(joined.moved, other.moved);
     joined.cuts.clear();
-    joined.shown_by.clear();
+    joined.last_reporter.clear();
     left.to = right.to;
     left.fence = std::max(left.fence, right.fence);
     if (left.handover != right.handover) left.handover.clear();
@@ -367,17 +367,17 @@
 
 // The cooler of two neighbours goes to the other's holder; they are joined once it
 // is there.
-bool KeyRebalancer::bring_neighbours_together() {
+bool KeyRebalancer::move_neighbours_together() {
   double const narrow =
       narrow_share / static_cast<double>(std::max<std::size_t>(1, settings_.rows_per_backend * backends_.size()));
   std::size_t const room = static_cast<std::size_t>(static_cast<double>(settings_.held_rows_limit) * room_share);
   std::size_t begun = 0;
-  for (std::size_t i = 0; i + 1 < service_.rows.size() && begun < settings_.gathered_rows_limit; ++i) {
+  for (std::size_t i = 0; i + 1 < service_.rows.size() && begun < settings_.merge_moves_limit; ++i) {
     bool const left_goes = rate_of(service_.rows[i]) < rate_of(service_.rows[i + 1]);
     std::size_t const row = left_goes ? i : i + 1;
     KeyRow const& goes = service_.rows[row];
     KeyRow const& stays = service_.rows[left_goes ? i + 1 : i];
-    if (goes.holder == stays.holder || !joinable(goes, stays) || !movable(goes)) continue;
+    if (goes.holder == stays.holder || !mergeable(goes, stays) || !movable(goes)) continue;
     if (width_of(goes) > narrow || width_of(goes) > width_left_) continue;
     LoadedBackend* const giver = backend(goes.holder);
     LoadedBackend* const taker = backend(stays.holder);
@@ -389,15 +389,15 @@
   return begun > 0;
 }
 
-bool KeyRebalancer::gather_cool_rows() {
-  sum_up();
+bool KeyRebalancer::merge_cool_rows() {
+  sum_loads();
   if (backends_.size() < 2) return false;
   std::size_t const many = static_cast<std::size_t>(static_cast<double>(rows_limit()) * settings_.many_rows_share);
   if (service_.rows.size() <= many) return false;
   find_means();
   if (mean_ <= 0) return false;
-  bool const joined = join_neighbours();
-  return bring_neighbours_together() || joined;
+  bool const joined = merge_neighbours();
+  return move_neighbours_together() || joined;
 }
 
 }  // namespace banktide
--- a/source/state/key_rebalancer.hpp
+++ b/source/state/key_rebalancer.hpp
@@ -27,7 +27,7 @@
   double variance = 0;  // of the demand, by how long the rates were taken
   std::size_t rows = 0;
   std::size_t leaving = 0;
-  bool spent = false;  // no more of this step
+  bool done = false;  // no more of this step
   double utilisation() const { return demand / capacity; }
 };
 
@@ -39,10 +39,10 @@
   void add(LoadedBackend backend);
   /// To be called once all are added; whether anything was changed. Nothing is while
   /// nobody is overloaded, but what was begun goes on until loads are even.
-  bool even_out(bool begun);
+  bool level_load(bool begun);
   /// Whether a backend's load was so far above the mean that it should give.
   bool uneven() const { return uneven_; }
-  bool gather_cool_rows();
+  bool merge_cool_rows();
   /// The backends that took part in a fine step.
   std::vector<std::uint16_t> const& settling() const { return settling_; }
 
@@ -53,27 +53,27 @@
     double rate = 0;
   };
 
-  void sum_up();
+  void sum_loads();
   void find_means();
   double rate_of(KeyRow const& row) const;
   bool movable(KeyRow const& row) const;
   bool overloaded() const;
   double gap(LoadedBackend const& backend) const;
-  double gap_that_calls(LoadedBackend const& backend, double gap) const;
-  bool too_far_apart(double gap) const;
+  double gap_with_noise(LoadedBackend const& backend, double gap) const;
+  bool exceeds_gap(double gap) const;
   LoadedBackend* most_utilised(bool coarse);
   LoadedBackend* least_utilised(bool coarse, KeyRow const* apart_from);
   bool holds_neighbour(LoadedBackend const& backend, std::size_t row) const;
-  bool cut_hot_rows(LoadedBackend& holder);
-  std::vector<KeyCut> grouped(KeyRate const& known, double most, std::size_t parts) const;
-  void cut(std::size_t row, std::vector<KeyCut> const& cuts);
+  bool split_hot_rows(LoadedBackend& holder);
+  std::vector<KeyCut> group_cuts(KeyRate const& known, double most, std::size_t parts) const;
+  void split(std::size_t row, std::vector<KeyCut> const& cuts);
   std::optional<Move> best_move(LoadedBackend const& giver, bool coarse);
   double hot_keys_of(LoadedBackend const& backend) const;
   std::optional<Move> move_of_hot_key(LoadedBackend const& giver);
   void begin(Move const& move, LoadedBackend& giver);
-  bool joinable(KeyRow const& left, KeyRow const& right) const;
-  bool join_neighbours();
-  bool bring_neighbours_together();
+  bool mergeable(KeyRow const& left, KeyRow const& right) const;
+  bool merge_neighbours();
+  bool move_neighbours_together();
   LoadedBackend* backend(std::uint16_t number);
   std::size_t rows_limit() const;
 
@@ -84,10 +84,10 @@
   Instant const now_;
   std::vector<LoadedBackend> backends_;
   std::vector<std::uint16_t> settling_;
-  bool summed_up_ = false;
+  bool loads_summed_ = false;
   bool uneven_ = false;
-  double mean_ = 0;        // utilisation, without backends that one key fills
-  double part_limit_ = 0;  // requests a second that a row may carry without being cut
+  double mean_ = 0;             // utilisation, without backends that one key fills
+  double split_threshold_ = 0;  // requests a second that a row may carry without being cut
   double width_left_ = 0;
 };
 
--- a/source/state/key_table.cpp
+++ b/source/state/key_table.cpp
@@ -53,14 +53,14 @@
   return row == nullptr || row->holder == no_holder ? nullptr : &holders[row->holder];
 }
 
-std::uint16_t KeyTable::number_of(std::string_view const instance) const {
+std::uint16_t KeyTable::holder_index(std::string_view const instance) const {
   for (std::size_t i = 0; i < holders.size(); ++i)
     if (holders[i].instance == instance) return static_cast<std::uint16_t>(i);
   return no_holder;
 }
 
 std::uint16_t KeyTable::add_holder(KeyHolderRecord const& holder) {
-  std::uint16_t const known = number_of(holder.instance);
+  std::uint16_t const known = holder_index(holder.instance);
   if (known != no_holder) {
     holders[known] = holder;
     return known;
@@ -69,7 +69,7 @@
   return static_cast<std::uint16_t>(holders.size() - 1);
 }
 
-void KeyTable::forget_idle_holders() {
+void KeyTable::remove_unused_holders() {
   std::vector<std::uint16_t> renumbered(holders.size(), no_holder);
   for (KeyService const& s : services)
     for (KeyRow const& row : s.rows) {
--- a/source/state/key_table.hpp
+++ b/source/state/key_table.hpp
@@ -19,36 +19,36 @@
 
 // The times and bounds of holding keys.
 struct KeySettings {
-  Duration term = 5s;                // how long a confirmed reading lets a node grant, from its question
-  Duration hold_limit = 10s;         // the longest hold that a backend takes
-  Duration lease_margin = 100ms;     // a hold ends this much before its node's lease
-  Duration hold_margin = 50ms;       // a node stops sending this much before the hold ends
-  Duration revoke_slack = 300ms;     // added to the wait after a revocation
-  double clock_drift = 0.02;         // how slow a backend's clock may run
-  Duration confirm_every = 1s;       // how often a node confirms its lease
-  Duration report_every = 500ms;     // how often a node reports
-  Duration answer_wait = 850ms;      // how long a node may keep a beat's answer back for news
-  Duration eligible_for = 1200ms;    // a backend gets rows if its report is at most this old
-  Duration revoke_after = 2500ms;    // a silent holder's rows are revoked after this
-  Duration gather = 1s;              // from the first report of a service to its first table
-  Duration gather_limit = 3s;        // ... at the latest
-  Duration rebalance_every = 500ms;  // from one step of moves for load to the next
-  Duration settle = 4s;              // a row moved for load rests for this long, a backend after a fine step too
-  Duration successor_patience = 3s;  // a new life may lack its lease for this long and still inherit rows
-  Duration even_for = 10s;           // loads are evened out until they have been even for this long
-  double overloaded = 0.75;          // the busy share from which rows are moved away
-  double load_gap = 0.12;            // how much above the mean utilisation, as a part of it, calls for moves
-  double load_gap_coarse = 0.2;      // ... from which a step is coarse: several rows at once
-  double moving_width_limit = 0.12;  // the part of a service's keys that is on the move for load at one time
-  double part_share = 0.2;           // of a mean backend's load, that a row may carry without being cut
-  double many_rows_share = 0.65;     // of the rows that there may be: above it, cool narrow ones are joined
+  Duration term = 5s;                   // how long a confirmed reading lets a node grant, from its question
+  Duration hold_limit = 10s;            // the longest hold that a backend takes
+  Duration lease_margin = 100ms;        // a hold ends this much before its node's lease
+  Duration hold_margin = 50ms;          // a node stops sending this much before the hold ends
+  Duration revoke_slack = 300ms;        // added to the wait after a revocation
+  double clock_drift = 0.02;            // how slow a backend's clock may run
+  Duration confirm_every = 1s;          // how often a node confirms its lease
+  Duration report_every = 500ms;        // how often a node reports
+  Duration answer_delay_limit = 850ms;  // how long a node may keep a beat's answer back for news
+  Duration report_valid_for = 1200ms;   // a backend gets rows if its report is at most this old
+  Duration revoke_after = 2500ms;       // a silent holder's rows are revoked after this
+  Duration gather_time = 1s;            // from the first report of a service to its first table
+  Duration gather_time_limit = 3s;      // ... at the latest
+  Duration rebalance_every = 500ms;     // from one step of moves for load to the next
+  Duration settle = 4s;                 // a row moved for load rests for this long, a backend after a fine step too
+  Duration successor_grace = 3s;        // a new life may lack its lease for this long and still inherit rows
+  Duration leveling_time = 10s;         // loads are evened out until they have been even for this long
+  double overloaded = 0.75;             // the busy share from which rows are moved away
+  double load_gap = 0.12;               // how much above the mean utilisation, as a part of it, calls for moves
+  double load_gap_coarse = 0.2;         // ... from which a step is coarse: several rows at once
+  double moving_width_limit = 0.12;     // the part of a service's keys that is on the move for load at one time
+  double part_share = 0.2;              // of a mean backend's load, that a row may carry without being cut
+  double many_rows_share = 0.65;        // of the rows that there may be: above it, cool narrow ones are joined
   std::size_t rows_per_backend = 12;
   std::size_t first_rows_limit = 600;         // of one service, at first
   std::size_t rows_limit = 960;               // of one service
   std::size_t held_rows_limit = 56;           // of one backend, so that an answer fits in 4 KiB
   std::size_t moving_rows_limit = 4;          // of one holder at a time, drains excepted
   std::size_t coarse_moving_rows_limit = 24;  // the same, while loads are far apart
-  std::size_t gathered_rows_limit = 16;       // that are brought to their neighbours in a step
+  std::size_t merge_moves_limit = 16;         // that are brought to their neighbours in a step
 };
 
 // A backend that holds keys or is to hold them, and the node beside it.
@@ -94,11 +94,11 @@
   /// The backend that holds a key, revoked or not; none if nobody does.
   KeyHolderRecord const* find(std::string_view service, std::uint16_t key) const;
   /// The number of an instance among the holders; `no_holder` if it's not there.
-  std::uint16_t number_of(std::string_view instance) const;
+  std::uint16_t holder_index(std::string_view instance) const;
   /// The number of a holder, which is added if it's not there.
   std::uint16_t add_holder(KeyHolderRecord const& holder);
   /// Forgets holders that no row names.
-  void forget_idle_holders();
+  void remove_unused_holders();
 };
 
 /// The table as a register's value, and back; bytes that are no table are a mishap.
--- a/source/state/key_table_delta.cpp
+++ b/source/state/key_table_delta.cpp
@@ -68,7 +68,7 @@
   KeyTable table = before;
   table.holders = holders;
   std::vector<std::uint16_t> numbers;
-  for (KeyHolderRecord const& holder : before.holders) numbers.push_back(table.number_of(holder.instance));
+  for (KeyHolderRecord const& holder : before.holders) numbers.push_back(table.holder_index(holder.instance));
   for (KeyService& service : table.services)
     for (KeyRow& row : service.rows) {
       if (row.holder != no_holder) row.holder = numbers[row.holder];
--- a/source/transport/http_server.cpp
+++ b/source/transport/http_server.cpp
@@ -32,7 +32,7 @@
 constexpr std::size_t reads_per_event = 8;        // then other connections get their turn
 constexpr std::size_t refused_connections = 256;  // beyond the limit, kept long enough to be told 503
 constexpr std::size_t pending_slack = 64u << 10;  // unparsed bytes beyond a header's limit
-constexpr std::size_t gather_limit = 16;          // buffers in one write
+constexpr std::size_t gather_time_limit = 16;     // buffers in one write
 constexpr std::string_view retry_after_seconds = "0.2";
 
 bool would_block(ErrorCode const& error) {
@@ -475,10 +475,10 @@
 
 // Whether something was written and more may follow at once.
 bool HttpConnection::write_once() {
-  std::array<asio::const_buffer, gather_limit> buffers;
+  std::array<asio::const_buffer, gather_time_limit> buffers;
   std::size_t count = 0;
   for (Outgoing const& outgoing : unsent_) {
-    if (count + 2 > gather_limit) break;
+    if (count + 2 > gather_time_limit) break;
     buffers[count++] = asio::buffer(outgoing.head);
     buffers[count++] = asio::buffer(outgoing.body);
   }
--- a/tests/coordination/key_trial_test.cpp
+++ b/tests/coordination/key_trial_test.cpp
@@ -220,7 +220,7 @@
           });
         };
         if (!node.holder->answer_may_wait(loop.now)) push(node);
-        loop.after(KeySettings{}.answer_wait, [this, &node, life, number] {
+        loop.after(KeySettings{}.answer_delay_limit, [this, &node, life, number] {
           on_node(node, life, [&node, number] {
             if (!node.pending || node.pending_number != number) return;
             std::function<void()> const answer = std::move(node.pending);
--- a/tests/state/key_planner_test.cpp
+++ b/tests/state/key_planner_test.cpp
@@ -154,7 +154,7 @@
   Fleet fleet(5);
   fleet.run(3s);
   std::vector<KeyRow> const before = fleet.planner.table().services[0].rows;
-  std::uint16_t const former = fleet.planner.table().number_of("i-2");
+  std::uint16_t const former = fleet.planner.table().holder_index("i-2");
   KeyReport& report = fleet.reports[2];
   report.ended.push_back(KeyEnd{"i-2", "a new life began beside the same node"});
   report.instance = "i-2-again";
@@ -182,7 +182,7 @@
   fleet.add(4) = report;
   fleet.reports.back().instance = "i-2-again";
   fleet.reports.back().leased = false;
-  fleet.run(KeySettings{}.successor_patience + 500ms);
+  fleet.run(KeySettings{}.successor_grace + 500ms);
   EXPECT_FALSE(fleet.rows_by_holder().contains("i-2-again"));
   fleet.reports.back().ended.push_back(KeyEnd{"i-2", "a new life began beside the same node"});
   fleet.run(200ms);
--- a/tests/state/key_table_changes.hpp
+++ b/tests/state/key_table_changes.hpp
@@ -116,7 +116,7 @@
             if (r.holder == gone) r.holder = no_holder;
             if (r.next == gone) r.next = no_holder;
           }
-        table.forget_idle_holders();
+        table.remove_unused_holders();
         break;
       }
       case 9:  // a holder is known by another address
--- a/tests/state/key_table_delta_test.cpp
+++ b/tests/state/key_table_delta_test.cpp
@@ -49,7 +49,7 @@
   for (KeyService& service : renumbered.services)
     for (KeyRow& row : service.rows)
       if (row.holder == 0) row.holder = 1;
-  renumbered.forget_idle_holders();
+  renumbered.remove_unused_holders();
   ASSERT_EQ(renumbered.holders.size(), 43u);
   EXPECT_LT(make_key_delta(base, held_of(renumbered))->bytes.size(), base.bytes.size() / 10);
 }
--- a/tests/state/key_table_test.cpp
+++ b/tests/state/key_table_test.cpp
@@ -71,8 +71,8 @@
     if (row.next == 1) row.next = no_holder;
   }
   KeyTable const before = table;
-  table.forget_idle_holders();
-  EXPECT_EQ(table.number_of("i-1"), no_holder);
+  table.remove_unused_holders();
+  EXPECT_EQ(table.holder_index("i-1"), no_holder);
   for (std::uint32_t key = 0; key < 65536; key += 101) {
     KeyHolderRecord const* const was = before.find("payments", static_cast<std::uint16_t>(key));
     KeyHolderRecord const* const is = table.find("payments", static_cast<std::uint16_t>(key));
