--- a/source/programs/process.hpp
+++ b/source/programs/process.hpp
@@ -49,9 +49,9 @@
     if (!errors.empty()) return;
     std::string applied, needs_restart;
     for (std::string const& name : fresh.changed_from(in_force)) {
-      bool const applied_now = name == "log-level" || apply(name, fresh);
+      bool const now = name == "log-level" || apply(name, fresh);
       if (name == "log-level") logger().setLogLevel(log4cplus::getLogLevelManager().fromString(fresh.text(name)));
-      (applied_now ? applied : needs_restart) += (applied_now ? applied : needs_restart).empty() ? name : "," + name;
+      (now ? applied : needs_restart) += (applied_now ? applied : needs_restart).empty() ? name : "," + name;
     }
     log_info("reload", {{"taken", applied}, {"needs_restart", needs_restart}});
   }
--- a/source/programs/proxy.hpp
+++ b/source/programs/proxy.hpp
@@ -41,9 +41,9 @@
   }
   // Applies the settings that may change at run time.
   void apply_settings(ProxySettings const& s) {
-    node_.s.heartbeat_expiry = s.heartbeat_expiry;
-    node_.s.backend_limit = s.backend_limit;
-    node_.s.slice_limit = s.slice_limit;
+    node_.settings.heartbeat_expiry = s.heartbeat_expiry;
+    node_.settings.backend_limit = s.backend_limit;
+    node_.settings.slice_limit = s.slice_limit;
   }
   Rules const& rules() const { return *node_.rules; }
 
@@ -70,9 +70,9 @@
 
   Json state() const {
     Json j = view_json(node_.view);
-    j["node"] = node_.s.id;
-    j["cell"] = node_.s.cell;
-    j["gateway"] = node_.s.gateway;
+    j["node"] = node_.settings.id;
+    j["cell"] = node_.settings.cell;
+    j["gateway"] = node_.settings.gateway;
     j["epoch"] = follower_.at().epoch;
     j["position"] = follower_.at().seq;
     j["routing"] = node_.rules->routing;
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -347,7 +347,7 @@
   Task<RegistryExchangeReply> meet(RegistryExchange q) {
     directory_.learn_addresses(q.registries, env_.now());
     RegistryExchangeReply reply;
-    reply.registries = directory_.told(env_.now());
+    reply.registries = directory_.entries_with_ages(env_.now());
     std::size_t const cores = settings_.voters.empty() ? directory_.entries().size() : settings_.voters.size();
     reply.cores = static_cast<std::uint32_t>(cores);
     co_return reply;
@@ -356,7 +356,7 @@
   // One task for each peer, so that a peer that hangs doesn't delay the others.
   Task<void> meet_one(Address const peer) {
     Instant const asked = env_.now();
-    RegistryExchange const question{directory_.told(asked)};
+    RegistryExchange const question{directory_.entries_with_ages(asked)};
     Result<RegistryExchangeReply> const r = co_await ask(env_, peer, question, asked + meet_timeout);
     if (!r) co_return;
     directory_.heard(peer, env_.now());
