--- a/source/state/key_planner.cpp
+++ b/source/state/key_planner.cpp
@@ -146,7 +146,7 @@
     find_zones_to_vacate(service.name, now);
     revoke_and_restore(next, service, now);
     free_rows(next, service, now);
-    Takers all = takers(next, service, now);
+    Recipients all = recipients(next, service, now);
     finish_moves(next, service, all);
     assign_free(service, all);
     drain(next, service, all);
@@ -170,24 +170,24 @@
   KeyService service;
   service.name = name;
   find_zones_to_vacate(name, now);
-  Takers all = takers(table, service, now);
+  Recipients all = recipients(table, service, now);
   if (all.empty()) return;
   std::size_t const rows = std::min(settings_.first_rows_limit, settings_.rows_per_backend * all.size());
   double slots = 0;
-  for (Taker const& taker : all) slots += taker.backend->report.slots;
+  for (Recipient const& recipient : all) slots += recipient.backend->report.slots;
   std::vector<double> credit(all.size(), 0);
   for (std::size_t i = 0; i < rows; ++i) {
     std::size_t best = all.size();
     for (std::size_t t = 0; t < all.size(); ++t) {
       credit[t] += all[t].backend->report.slots / slots;
-      bool const beside = i > 0 && all.size() > 1 && service.rows[i - 1].holder == all[t].number;
+      bool const beside = i > 0 && all.size() > 1 && service.rows[i - 1].holder == all[t].holder_index;
       if (!beside && (best == all.size() || credit[t] > credit[best])) best = t;
     }
     credit[best] -= 1;
     KeyRow row;
     row.from = static_cast<std::uint16_t>(i * 65536 / rows);
     row.to = static_cast<std::uint16_t>((i + 1) * 65536 / rows - 1);
-    assign(row, all[best].number, 1, "");
+    assign(row, all[best].holder_index, 1, "");
     service.rows.push_back(std::move(row));
   }
   table.services.push_back(std::move(service));
@@ -253,43 +253,45 @@
   }
 }
 
-KeyPlanner::Takers KeyPlanner::takers(KeyTable& table, KeyService const& service, Instant const now) {
-  Takers all;
+KeyPlanner::Recipients KeyPlanner::recipients(KeyTable& table, KeyService const& service, Instant const now) {
+  Recipients all;
   for (std::pair<std::string const, Backend>& known : backends_) {
     Backend& backend = known.second;
     if (backend.report.service != service.name || !eligible(backend, now)) continue;
-    Taker taker;
-    taker.backend = &backend;
-    taker.number = table.add_holder(record_of(backend.report));
-    taker.cost = backend.report.busy;
+    Recipient recipient;
+    recipient.backend = &backend;
+    recipient.holder_index = table.add_holder(record_of(backend.report));
+    recipient.cost = backend.report.busy;
     for (KeyRow const& row : service.rows) {
-      bool const is_leaving = row.holder == taker.number && row.moving != 0;
-      bool const is_arriving = row.next == taker.number;
-      taker.leaving += is_leaving;
-      taker.arriving += is_arriving;
-      if ((row.holder != taker.number || is_leaving) && !is_arriving) continue;
-      ++taker.rows;
-      taker.width += width_of(row);
+      bool const is_leaving = row.holder == recipient.holder_index && row.moving != 0;
+      bool const is_arriving = row.next == recipient.holder_index;
+      recipient.leaving += is_leaving;
+      recipient.arriving += is_arriving;
+      if ((row.holder != recipient.holder_index || is_leaving) && !is_arriving) continue;
+      ++recipient.rows;
+      recipient.width += width_of(row);
     }
-    all.push_back(taker);
+    all.push_back(recipient);
   }
   return all;
 }
 
-KeyPlanner::Taker* KeyPlanner::pick(Takers& takers, KeyService const& service, std::size_t const row,
-                                    std::size_t const rows_limit) {
-  Taker* best = nullptr;
+KeyPlanner::Recipient* KeyPlanner::pick(Recipients& recipients, KeyService const& service, std::size_t const row,
+                                        std::size_t const rows_limit) {
+  Recipient* best = nullptr;
   double least = std::numeric_limits<double>::max();
-  for (Taker& taker : takers) {
-    if (taker.rows >= rows_limit || taker.number == service.rows[row].holder) continue;
-    auto const holds = [&](KeyRow const& r) { return r.next == taker.number || r.holder == taker.number; };
+  for (Recipient& recipient : recipients) {
+    if (recipient.rows >= rows_limit || recipient.holder_index == service.rows[row].holder) continue;
+    auto const holds = [&](KeyRow const& r) {
+      return r.next == recipient.holder_index || r.holder == recipient.holder_index;
+    };
     bool const beside =
         (row > 0 && holds(service.rows[row - 1])) || (row + 1 < service.rows.size() && holds(service.rows[row + 1]));
-    double const mean = takers.empty() ? 1 : 1.0 / static_cast<double>(takers.size());
-    double const cost = taker.cost + width_weight * taker.width / mean + (beside ? neighbour_cost : 0);
+    double const mean = recipients.empty() ? 1 : 1.0 / static_cast<double>(recipients.size());
+    double const cost = recipient.cost + width_weight * recipient.width / mean + (beside ? neighbour_cost : 0);
     if (cost >= least) continue;
     least = cost;
-    best = &taker;
+    best = &recipient;
   }
   return best;
 }
@@ -307,16 +309,17 @@
   return all <= 0 ? 0 : found->second.report.busy * mine / all;
 }
 
-void KeyPlanner::finish_moves(KeyTable& table, KeyService& service, Takers& takers) {
+void KeyPlanner::finish_moves(KeyTable& table, KeyService& service, Recipients& recipients) {
   std::uint32_t const fence = service.highest_fence() + 1;
   for (std::size_t i = 0; i < service.rows.size(); ++i) {
     KeyRow& row = service.rows[i];
     KeyRelease const* const release = release_of(table, row);
-    bool const wanted = std::any_of(takers.begin(), takers.end(), [&](Taker const& t) { return t.number == row.next; });
+    bool const wanted = std::any_of(recipients.begin(), recipients.end(),
+                                    [&](Recipient const& t) { return t.holder_index == row.next; });
     if (row.moving != 0 && !wanted) {
       // Its taker is gone: another one, or the move is off.
-      Taker* const other = pick(takers, service, i, settings_.held_rows_limit);
-      row.next = other == nullptr ? no_holder : other->number;
+      Recipient* const other = pick(recipients, service, i, settings_.held_rows_limit);
+      row.next = other == nullptr ? no_holder : other->holder_index;
       if (other != nullptr) {
         ++other->rows;
         other->width += width_of(row);
@@ -347,37 +350,37 @@
   }
 }
 
-void KeyPlanner::assign_free(KeyService& service, Takers& takers) {
-  if (takers.empty()) return;
+void KeyPlanner::assign_free(KeyService& service, Recipients& recipients) {
+  if (recipients.empty()) return;
   std::uint32_t const fence = service.highest_fence() + 1;
   std::size_t const wanted = settings_.held_rows_limit * 3 / 4;  // leaves room for moves
   std::size_t room = 0;
-  for (Taker const& taker : takers) room += wanted - std::min(wanted, taker.rows);
-  merge_free(service, std::max(room, takers.size()));
+  for (Recipient const& recipient : recipients) room += wanted - std::min(wanted, recipient.rows);
+  merge_free(service, std::max(room, recipients.size()));
   for (std::size_t i = 0; i < service.rows.size(); ++i) {
     KeyRow& row = service.rows[i];
     if (row.holder != no_holder) continue;
-    Taker* taker = pick(takers, service, i, settings_.held_rows_limit);
-    if (taker == nullptr) taker = pick(takers, service, i, std::numeric_limits<std::size_t>::max());
-    assign(row, taker->number, fence, "");
-    ++taker->rows;
-    taker->width += width_of(row);
+    Recipient* recipient = pick(recipients, service, i, settings_.held_rows_limit);
+    if (recipient == nullptr) recipient = pick(recipients, service, i, std::numeric_limits<std::size_t>::max());
+    assign(row, recipient->holder_index, fence, "");
+    ++recipient->rows;
+    recipient->width += width_of(row);
   }
 }
 
-void KeyPlanner::begin_move(KeyTable& table, KeyService& service, std::size_t const row, Taker& taker) {
+void KeyPlanner::begin_move(KeyTable& table, KeyService& service, std::size_t const row, Recipient& recipient) {
   double const cost = row_cost(table, service.rows[row]);
-  service.rows[row].next = taker.number;
+  service.rows[row].next = recipient.holder_index;
   service.rows[row].moving = table.revision;
-  ++taker.rows;
-  ++taker.arriving;
-  taker.cost += cost;
-  taker.width += width_of(service.rows[row]);
+  ++recipient.rows;
+  ++recipient.arriving;
+  recipient.cost += cost;
+  recipient.width += width_of(service.rows[row]);
 }
 
 // A holder that ends soon lets everything go at once; one whose zone is withheld
 // has more time, and lets go a few rows at a time.
-void KeyPlanner::drain(KeyTable& table, KeyService& service, Takers& takers) {
+void KeyPlanner::drain(KeyTable& table, KeyService& service, Recipients& recipients) {
   std::map<std::uint16_t, std::size_t> leaving;
   for (KeyRow const& row : service.rows) leaving[row.holder] += row.moving != 0;
   for (std::size_t i = 0; i < service.rows.size(); ++i) {
@@ -388,39 +391,39 @@
     bool const ends = holder->report.standing == KeyStanding::draining;
     bool const leaves = is_vacated(table.holders[row.holder].zone) && leaving[row.holder] < settings_.moving_rows_limit;
     if (!ends && !leaves) continue;
-    Taker* const taker = pick(takers, service, i, settings_.held_rows_limit);
-    if (taker == nullptr) continue;
-    begin_move(table, service, i, *taker);
+    Recipient* const recipient = pick(recipients, service, i, settings_.held_rows_limit);
+    if (recipient == nullptr) continue;
+    begin_move(table, service, i, *recipient);
     ++leaving[row.holder];
   }
 }
 
 // A backend with far less than its share, by slots, gets rows of those with the
 // widest share, a few at a time. Load decides from then on.
-void KeyPlanner::fill_newcomers(KeyTable& table, KeyService& service, Takers& takers) {
+void KeyPlanner::fill_newcomers(KeyTable& table, KeyService& service, Recipients& recipients) {
   double slots = 0;
-  for (Taker const& taker : takers) slots += taker.backend->report.slots;
-  for (Taker& newcomer : takers) {
+  for (Recipient const& recipient : recipients) slots += recipient.backend->report.slots;
+  for (Recipient& newcomer : recipients) {
     double const share = newcomer_share * newcomer.backend->report.slots / std::max(slots, 1.0);
     bool& filling = newcomer.backend->filling;
     filling = (filling || newcomer.rows == newcomer.arriving) && newcomer.width < share;
     if (!filling) continue;
     while (newcomer.width < share && newcomer.rows < settings_.held_rows_limit) {
-      Taker* widest = nullptr;
-      for (Taker& giver : takers) {
-        if (&giver == &newcomer || giver.leaving >= settings_.moving_rows_limit || giver.rows <= 1) continue;
-        if (giver.width * slots / giver.backend->report.slots <=
+      Recipient* widest = nullptr;
+      for (Recipient& donor : recipients) {
+        if (&donor == &newcomer || donor.leaving >= settings_.moving_rows_limit || donor.rows <= 1) continue;
+        if (donor.width * slots / donor.backend->report.slots <=
             newcomer.width * slots / newcomer.backend->report.slots)
           continue;
         if (widest == nullptr ||
-            giver.width / giver.backend->report.slots > widest->width / widest->backend->report.slots)
-          widest = &giver;
+            donor.width / donor.backend->report.slots > widest->width / widest->backend->report.slots)
+          widest = &donor;
       }
       if (widest == nullptr) break;
       std::size_t chosen = service.rows.size();
       for (std::size_t i = 0; i < service.rows.size(); ++i) {
         KeyRow const& row = service.rows[i];
-        if (row.holder != widest->number || row.moving != 0 || row.revoked != 0) continue;
+        if (row.holder != widest->holder_index || row.moving != 0 || row.revoked != 0) continue;
         if (width_of(row) > 2 * share) continue;
         bool const hotter =
             chosen == service.rows.size() || row_cost(table, row) > row_cost(table, service.rows[chosen]);
@@ -437,30 +440,31 @@
 
 // Requests a second that a slot finishes, by those backends that have told; one
 // that has hardly had a request yet is taken for as able as these.
-double KeyPlanner::capacity_of_slot(Takers const& takers) {
+double KeyPlanner::capacity_of_slot(Recipients const& recipients) {
   double capacity = 0, slots = 0;
-  for (Taker const& taker : takers) {
-    if (taker.backend->capacity <= 0) continue;
-    capacity += taker.backend->capacity;
-    slots += taker.backend->report.slots;
+  for (Recipient const& recipient : recipients) {
+    if (recipient.backend->capacity <= 0) continue;
+    capacity += recipient.backend->capacity;
+    slots += recipient.backend->report.slots;
   }
   return slots > 0 ? capacity / slots : 0;
 }
 
 // The backends that take part are those whose rows' rates are known.
-void KeyPlanner::rebalance(KeyTable const& table, KeyService& service, Takers const& takers, Instant const now) {
+void KeyPlanner::rebalance(KeyTable const& table, KeyService& service, Recipients const& recipients,
+                           Instant const now) {
   ServiceState& state = services_[service.name];
   state.rates.remove_expired(service, now);
   if (now < state.next_rebalance) return;
-  double const of_slot = capacity_of_slot(takers);
+  double const of_slot = capacity_of_slot(recipients);
   KeyRebalancer step(settings_, service, state.rates, table.revision, now);
-  for (Taker const& taker : takers) {
-    Backend const& backend = *taker.backend;
+  for (Recipient const& recipient : recipients) {
+    Backend const& backend = *recipient.backend;
     double const capacity = backend.capacity > 0 ? backend.capacity : of_slot * backend.report.slots;
     if (backend.filling || capacity <= 0) continue;
     LoadedBackend loaded;
     loaded.instance = backend.report.instance;
-    loaded.number = taker.number;
+    loaded.holder_index = recipient.holder_index;
     loaded.capacity = capacity;
     loaded.busy = backend.report.busy;
     loaded.settling = now < backend.settling_until;
@@ -470,9 +474,9 @@
   if (step.uneven()) state.leveling_until = now + settings_.leveling_time;
   bool const gathered = step.merge_cool_rows();
   if (evened || gathered) state.next_rebalance = now + settings_.rebalance_every;
-  for (Taker const& taker : takers)
-    if (std::count(step.settling().begin(), step.settling().end(), taker.number) > 0)
-      taker.backend->settling_until = now + settings_.settle;
+  for (Recipient const& recipient : recipients)
+    if (std::count(step.settling().begin(), step.settling().end(), recipient.holder_index) > 0)
+      recipient.backend->settling_until = now + settings_.settle;
 }
 
 void KeyPlanner::remove_expired(Instant const now) {
--- a/source/state/key_planner.hpp
+++ b/source/state/key_planner.hpp
@@ -51,16 +51,16 @@
     Instant leveling_until{};  // somebody was overloaded, and loads haven't been even for a while yet
   };
   // A backend that may take rows, and what it has by now.
-  struct Taker {
+  struct Recipient {
     Backend* backend = nullptr;
-    std::uint16_t number = no_holder;
+    std::uint16_t holder_index = no_holder;
     std::size_t rows = 0;     // held, and on the move to it
     double cost = 0;          // busy share, and what was given to it since
     double width = 0;         // its share of the keys
     std::size_t leaving = 0;  // rows on the move away
     std::size_t arriving = 0;
   };
-  using Takers = std::vector<Taker>;
+  using Recipients = std::vector<Recipient>;
 
   Backend* backend_of(std::string const& instance);
   bool ended(std::string const& instance) const { return ended_.contains(instance); }
@@ -72,22 +72,22 @@
   bool revocation_elapsed(Revision revoked, Instant now) const;
   KeyRelease const* release_of(KeyTable const& table, KeyRow const& row) const;
 
-  Takers takers(KeyTable& table, KeyService const& service, Instant now);
-  static Taker* pick(Takers& takers, KeyService const& service, std::size_t row, std::size_t rows_limit);
+  Recipients recipients(KeyTable& table, KeyService const& service, Instant now);
+  static Recipient* pick(Recipients& recipients, KeyService const& service, std::size_t row, std::size_t rows_limit);
   double row_cost(KeyTable const& table, KeyRow const& row) const;
 
   void create(KeyTable& table, std::string const& name, Instant now);
   void revoke_and_restore(KeyTable& table, KeyService& service, Instant now);
   void free_rows(KeyTable& table, KeyService& service, Instant now);
   Backend const* successor_of(KeyHolderRecord const& ended_holder, std::string const& service, Instant now) const;
-  void finish_moves(KeyTable& table, KeyService& service, Takers& takers);
-  void assign_free(KeyService& service, Takers& takers);
-  void drain(KeyTable& table, KeyService& service, Takers& takers);
-  void fill_newcomers(KeyTable& table, KeyService& service, Takers& takers);
+  void finish_moves(KeyTable& table, KeyService& service, Recipients& recipients);
+  void assign_free(KeyService& service, Recipients& recipients);
+  void drain(KeyTable& table, KeyService& service, Recipients& recipients);
+  void fill_newcomers(KeyTable& table, KeyService& service, Recipients& recipients);
   static void update_capacity(Backend& backend);
-  static double capacity_of_slot(Takers const& takers);
-  void rebalance(KeyTable const& table, KeyService& service, Takers const& takers, Instant now);
-  void begin_move(KeyTable& table, KeyService& service, std::size_t row, Taker& taker);
+  static double capacity_of_slot(Recipients const& recipients);
+  void rebalance(KeyTable const& table, KeyService& service, Recipients const& recipients, Instant now);
+  void begin_move(KeyTable& table, KeyService& service, std::size_t row, Recipient& recipient);
   static void merge_free(KeyService& service, std::size_t room);
   void remove_expired(Instant now);
 
--- a/source/state/key_rates.cpp
+++ b/source/state/key_rates.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-constexpr double surprise = 4;               // standard deviations beyond which a new rate is no chance
-constexpr double seconds_to_believe = 4;     // a rate taken over this long needs no other
-constexpr Duration remember_rows_for = 10s;  // that are in the table no more
+constexpr double max_deviations = 4;            // standard deviations beyond which a new rate is no chance
+constexpr double sufficient_seconds = 4;        // a rate taken over this long needs no other
+constexpr Duration absent_row_retention = 10s;  // that are in the table no more
 
-bool believable(KeyRate const& known, KeyRowLoad const& told) {
-  if (told.seconds <= 0 || told.seconds >= std::min(known.seconds, seconds_to_believe)) return false;
+bool agrees_with(KeyRate const& known, KeyRowLoad const& told) {
+  if (told.seconds <= 0 || told.seconds >= std::min(known.seconds, sufficient_seconds)) return false;
   double const deviation = std::sqrt((known.rate * told.seconds + 1)) / told.seconds;
-  return std::abs(told.rate - known.rate) <= surprise * deviation;
+  return std::abs(told.rate - known.rate) <= max_deviations * deviation;
 }
 
 }  // namespace
@@ -28,7 +28,7 @@
     known.told = now;
     known.last_reporter = report.instance;
     bool const of_another = !known.source.empty() && known.source != report.instance;
-    if (of_another && believable(known, told)) continue;
+    if (of_another && agrees_with(known, told)) continue;
     known.rate = told.rate;
     known.seconds = told.seconds;
     known.source = report.instance;
@@ -45,11 +45,11 @@
 
 void KeyRates::set(KeyRow const& row, KeyRate rate) { known_[Range{row.from, row.to}] = std::move(rate); }
 
-void KeyRates::note_move(KeyRow const& row, Instant const now) { known_[Range{row.from, row.to}].moved = now; }
+void KeyRates::note_move(KeyRow const& row, Instant const now) { known_[Range{row.from, row.to}].moved_at = now; }
 
-void KeyRates::forget_old(KeyService const& service, Instant const now) {
+void KeyRates::remove_expired(KeyService const& service, Instant const now) {
   std::erase_if(known_, [&](std::pair<Range const, KeyRate> const& known) {
-    if (now - known.second.told <= remember_rows_for) return false;
+    if (now - known.second.told <= absent_row_retention) return false;
     KeyRow const* const row = service.row_of(known.first.from);
     return row == nullptr || row->from != known.first.from || row->to != known.first.to;
   });
--- a/source/state/key_rates.hpp
+++ b/source/state/key_rates.hpp
@@ -20,7 +20,7 @@
   std::string source;         // the instance that told it; empty: derived from other rows
   std::string last_reporter;  // the instance that showed the row last
   Instant told{};
-  Instant moved{};  // when a move for load began last
+  Instant moved_at{};  // when a move for load began last
   std::vector<KeyCut> cuts;
 };
 
@@ -33,7 +33,7 @@
   void set(KeyRow const& row, KeyRate rate);
   void note_move(KeyRow const& row, Instant now);
   /// Forgets rows that the service hasn't had for a while.
-  void forget_old(KeyService const& service, Instant now);
+  void remove_expired(KeyService const& service, Instant now);
 
  private:
   struct Range {
--- a/source/state/key_rebalancer.cpp
+++ b/source/state/key_rebalancer.cpp
@@ -58,12 +58,12 @@
     carrier->demand += known->rate;
     if (known->seconds > 0) carrier->variance += known->rate / known->seconds;
   }
-  std::erase_if(backends_, [&](LoadedBackend const& one) { return unknown.contains(one.number); });
+  std::erase_if(backends_, [&](LoadedBackend const& one) { return unknown.contains(one.holder_index); });
 }
 
-LoadedBackend* KeyRebalancer::backend(std::uint16_t const number) {
+LoadedBackend* KeyRebalancer::backend(std::uint16_t const holder_index) {
   for (LoadedBackend& one : backends_)
-    if (one.number == number) return &one;
+    if (one.holder_index == holder_index) return &one;
   return nullptr;
 }
 
@@ -75,7 +75,7 @@
 bool KeyRebalancer::movable(KeyRow const& row) const {
   if (row.moving != 0 || row.revoked != 0) return false;
   KeyRate const* const known = rates_.find(row);
-  return known != nullptr && (known->moved == Instant{} || now_ - known->moved >= settings_.settle);
+  return known != nullptr && (known->moved_at == Instant{} || now_ - known->moved_at >= settings_.settle);
 }
 
 std::size_t KeyRebalancer::rows_limit() const {
@@ -148,7 +148,7 @@
 }
 
 bool KeyRebalancer::holds_neighbour(LoadedBackend const& one, std::size_t const row) const {
-  auto const holds = [&](KeyRow const& r) { return (r.next != no_holder ? r.next : r.holder) == one.number; };
+  auto const holds = [&](KeyRow const& r) { return (r.next != no_holder ? r.next : r.holder) == one.holder_index; };
   return (row > 0 && holds(service_.rows[row - 1])) ||
          (row + 1 < service_.rows.size() && holds(service_.rows[row + 1]));
 }
@@ -204,7 +204,7 @@
     double most = split_threshold_ * (1 + rate_tolerance);
     for (std::size_t i = 0; i < service_.rows.size(); ++i) {
       KeyRow const& row = service_.rows[i];
-      if (row.holder != holder.number || row.moving != 0 || row.revoked != 0) continue;
+      if (row.holder != holder.holder_index || row.moving != 0 || row.revoked != 0) continue;
       KeyRate const* const known = rates_.find(row);
       if (known == nullptr || known->cuts.empty() || known->rate <= most) continue;
       most = known->rate;
@@ -223,16 +223,16 @@
 }
 
 // The row whose rate is nearest to what is wanted, rather narrow than wide.
-std::optional<KeyRebalancer::Move> KeyRebalancer::best_move(LoadedBackend const& giver, bool const coarse) {
+std::optional<KeyRebalancer::Move> KeyRebalancer::best_move(LoadedBackend const& donor, bool const coarse) {
   LoadedBackend* const idle = least_utilised(coarse, nullptr);
-  if (idle == nullptr) return coarse ? move_of_hot_key(giver) : std::nullopt;
+  if (idle == nullptr) return coarse ? move_of_hot_key(donor) : std::nullopt;
   double const target = mean_ * (1 + settings_.load_gap * donor_target_share);
-  double const wanted = std::min(giver.demand - target * giver.capacity, mean_ * idle->capacity - idle->demand);
+  double const wanted = std::min(donor.demand - target * donor.capacity, mean_ * idle->capacity - idle->demand);
   std::optional<Move> best;
   double least = std::numeric_limits<double>::max();
   for (std::size_t i = 0; i < service_.rows.size(); ++i) {
     KeyRow const& row = service_.rows[i];
-    if (row.holder != giver.number || !movable(row) || width_of(row) > width_left_) continue;
+    if (row.holder != donor.holder_index || !movable(row) || width_of(row) > width_left_) continue;
     double const rate = rate_of(row);
     if (rate > wanted * (1 + rate_tolerance) || rate < wanted * min_useful_share) continue;
     double const cost = std::abs(wanted - rate) / wanted + width_of(row) / settings_.moving_width_limit;
@@ -240,12 +240,12 @@
     least = cost;
     best = Move{i, idle, rate};
   }
-  if (!best) return coarse ? move_of_hot_key(giver) : std::nullopt;
+  if (!best) return coarse ? move_of_hot_key(donor) : std::nullopt;
   if (holds_neighbour(*idle, best->row)) {
     LoadedBackend* const other = least_utilised(coarse, &service_.rows[best->row]);
     bool const good = other != nullptr && other->utilisation() <= idle->utilisation() + neighbour_gap * mean_ &&
                       other->demand + best->rate <= target * other->capacity;
-    if (good) best->taker = other;
+    if (good) best->recipient = other;
   }
   return best;
 }
@@ -254,7 +254,7 @@
 double KeyRebalancer::hot_keys_of(LoadedBackend const& one) const {
   double rate = 0;
   for (KeyRow const& row : service_.rows) {
-    bool const there = row.next == one.number || (row.holder == one.number && row.moving == 0);
+    bool const there = row.next == one.holder_index || (row.holder == one.holder_index && row.moving == 0);
     if (there && row.from == row.to && rate_of(row) > split_threshold_) rate += rate_of(row);
   }
   return rate;
@@ -264,15 +264,15 @@
 // keys goes to the backend that is then the least loaded by hot keys, and this one
 // gives cool rows to others in later steps. So hot keys come apart, and the
 // hottest goes to a backend that bears it better.
-std::optional<KeyRebalancer::Move> KeyRebalancer::move_of_hot_key(LoadedBackend const& giver) {
+std::optional<KeyRebalancer::Move> KeyRebalancer::move_of_hot_key(LoadedBackend const& donor) {
   std::optional<Move> best;
-  double least = hot_keys_of(giver) / giver.capacity - settings_.load_gap_coarse * mean_;
+  double least = hot_keys_of(donor) / donor.capacity - settings_.load_gap_coarse * mean_;
   for (LoadedBackend& one : backends_) {
-    if (&one == &giver || one.done || one.rows >= settings_.held_rows_limit) continue;
+    if (&one == &donor || one.done || one.rows >= settings_.held_rows_limit) continue;
     double const hot = hot_keys_of(one);
     for (std::size_t i = 0; i < service_.rows.size(); ++i) {
       KeyRow const& row = service_.rows[i];
-      if (row.holder != giver.number || row.from != row.to || !movable(row)) continue;
+      if (row.holder != donor.holder_index || row.from != row.to || !movable(row)) continue;
       double const rate = rate_of(row);
       double const then = (hot + rate) / one.capacity;
       if (then >= least || rate <= split_threshold_) continue;
@@ -283,17 +283,17 @@
   return best;
 }
 
-void KeyRebalancer::begin(Move const& move, LoadedBackend& giver) {
+void KeyRebalancer::begin(Move const& move, LoadedBackend& donor) {
   KeyRow& row = service_.rows[move.row];
-  row.next = move.taker->number;
+  row.next = move.recipient->holder_index;
   row.moving = revision_;
   rates_.note_move(row, now_);
   width_left_ -= width_of(row);
-  giver.demand -= move.rate;
-  --giver.rows;
-  ++giver.leaving;
-  move.taker->demand += move.rate;
-  ++move.taker->rows;
+  donor.demand -= move.rate;
+  --donor.rows;
+  ++donor.leaving;
+  move.recipient->demand += move.rate;
+  ++move.recipient->rows;
 }
 
 bool KeyRebalancer::level_load(bool const begun) {
@@ -305,20 +305,20 @@
   bool const coarse = exceeds_gap(settings_.load_gap_coarse);
   std::size_t const most_leaving = coarse ? settings_.coarse_moving_rows_limit : settings_.moving_rows_limit;
   bool changed = false;
-  while (LoadedBackend* const giver = most_utilised(coarse)) {
-    changed = split_hot_rows(*giver) || changed;
+  while (LoadedBackend* const donor = most_utilised(coarse)) {
+    changed = split_hot_rows(*donor) || changed;
     // Once it gives, it gives until it's near the mean.
-    while (!giver->done && gap(*giver) > settings_.load_gap * donor_target_share && giver->leaving < most_leaving) {
-      std::optional<Move> const move = best_move(*giver, coarse);
+    while (!donor->done && gap(*donor) > settings_.load_gap * donor_target_share && donor->leaving < most_leaving) {
+      std::optional<Move> const move = best_move(*donor, coarse);
       if (!move) break;
-      begin(*move, *giver);
+      begin(*move, *donor);
       changed = true;
       if (coarse) continue;
-      giver->done = move->taker->done = true;
-      settling_.push_back(giver->number);
-      settling_.push_back(move->taker->number);
+      donor->done = move->recipient->done = true;
+      settling_.push_back(donor->holder_index);
+      settling_.push_back(move->recipient->holder_index);
     }
-    giver->done = true;
+    donor->done = true;
   }
   return changed;
 }
@@ -351,7 +351,7 @@
     KeyRate const& other = *rates_.find(right);
     joined.rate += other.rate;
     joined.seconds = std::min(joined.seconds, other.seconds);
-    joined.moved = std::max(joined.moved, other.moved);
+    joined.moved_at = std::max(joined.moved_at, other.moved_at);
     joined.cuts.clear();
     joined.last_reporter.clear();
     left.to = right.to;
@@ -379,10 +379,10 @@
     KeyRow const& stays = service_.rows[left_goes ? i + 1 : i];
     if (goes.holder == stays.holder || !mergeable(goes, stays) || !movable(goes)) continue;
     if (width_of(goes) > narrow || width_of(goes) > width_left_) continue;
-    LoadedBackend* const giver = backend(goes.holder);
-    LoadedBackend* const taker = backend(stays.holder);
-    if (giver == nullptr || taker == nullptr || taker->rows >= room) continue;
-    begin(Move{row, taker, rate_of(goes)}, *giver);
+    LoadedBackend* const donor = backend(goes.holder);
+    LoadedBackend* const recipient = backend(stays.holder);
+    if (donor == nullptr || recipient == nullptr || recipient->rows >= room) continue;
+    begin(Move{row, recipient, rate_of(goes)}, *donor);
     ++begun;
     ++i;  // the one that stays is to stay
   }
--- a/source/state/key_rebalancer.hpp
+++ b/source/state/key_rebalancer.hpp
@@ -18,7 +18,7 @@
 // A backend whose rows' rates are known, and what it can do.
 struct LoadedBackend {
   std::string instance;
-  std::uint16_t number = no_holder;
+  std::uint16_t holder_index = no_holder;
   double capacity = 0;  // requests a second
   double busy = 0;
   bool settling = false;  // it took part in a fine step lately
@@ -49,7 +49,7 @@
  private:
   struct Move {
     std::size_t row = 0;
-    LoadedBackend* taker = nullptr;
+    LoadedBackend* recipient = nullptr;
     double rate = 0;
   };
 
@@ -67,14 +67,14 @@
   bool split_hot_rows(LoadedBackend& holder);
   std::vector<KeyCut> group_cuts(KeyRate const& known, double most, std::size_t parts) const;
   void split(std::size_t row, std::vector<KeyCut> const& cuts);
-  std::optional<Move> best_move(LoadedBackend const& giver, bool coarse);
+  std::optional<Move> best_move(LoadedBackend const& donor, bool coarse);
   double hot_keys_of(LoadedBackend const& backend) const;
-  std::optional<Move> move_of_hot_key(LoadedBackend const& giver);
-  void begin(Move const& move, LoadedBackend& giver);
+  std::optional<Move> move_of_hot_key(LoadedBackend const& donor);
+  void begin(Move const& move, LoadedBackend& donor);
   bool mergeable(KeyRow const& left, KeyRow const& right) const;
   bool merge_neighbours();
   bool move_neighbours_together();
-  LoadedBackend* backend(std::uint16_t number);
+  LoadedBackend* backend(std::uint16_t holder_index);
   std::size_t rows_limit() const;
 
   KeySettings const& settings_;
