--- a/source/coordination/registry_directory.cpp
+++ b/source/coordination/registry_directory.cpp
@@ -83,7 +83,7 @@
 
 std::string RegistryDirectory::zone_of(Address const& address) const {
   for (RegistryEntry const& e : entries_)
-    if (e.address == address) return e.cell;
+    if (e.address == address) return e.zone;
   return "";
 }
 
@@ -105,7 +105,7 @@
   Instant& last = last_heard_[entry.address];
   if (heard_at <= last || entry.address == own_) return false;
   last = heard_at;
-  known->cell = entry.cell;
+  known->zone = entry.zone;
   return true;
 }
 
@@ -114,7 +114,7 @@
 RegistryEntry const* RegistryDirectory::first_of_zone(std::string const& zone, Usable const& usable) const {
   RegistryEntry const* first = nullptr;
   for (RegistryEntry const& e : entries_) {
-    if (e.cell != zone || !usable(e)) continue;
+    if (e.zone != zone || !usable(e)) continue;
     if (first == nullptr || digest_of(e.address) < digest_of(first->address)) first = &e;
   }
   return first;
--- a/source/coordination/zone_entries.hpp
+++ b/source/coordination/zone_entries.hpp
@@ -38,7 +38,7 @@
   /// What another registry told; the entry if it counts. Two may tell of one zone
   /// while its nodes go from one to the other: who has more gateways counts.
   ZoneEntry const* take(ZoneAnnouncement told, Instant const now) {
-    Incoming& known = incoming_[told.entry.cell];
+    Incoming& known = incoming_[told.entry.zone];
     bool const same = told.sender == known.sender;
     bool const overtaken = same && told.at.epoch == known.at.epoch && told.at.seq < known.at.seq;
     bool const rivals = !same && now - known.heard < rival_timeout;
--- a/source/coordination/zone_feed.hpp
+++ b/source/coordination/zone_feed.hpp
@@ -141,13 +141,13 @@
 
   /// What another zone offers.
   void update_zone_entry(ZoneEntry const& entry) {
-    if (entry.cell == settings_.zone) return;
-    auto const it = view_.zones.find(entry.cell);
+    if (entry.zone == settings_.zone) return;
+    auto const it = view_.zones.find(entry.zone);
     if (it == view_.zones.end()) return publish(Change{0, std::nullopt, std::nullopt, entry}, Urgency::at_once);
     if (it->second == entry) return;
     Change change;
     change.entry_delta = make_entry_delta(it->second, entry);
-    if (!change.entry_delta) change.cell = entry;
+    if (!change.entry_delta) change.zone = entry;
     bool const loads_only = change.entry_delta && tells_loads_only(*change.entry_delta);
     publish(std::move(change), loads_only ? Urgency::with_next_pulse : Urgency::at_once);
   }
@@ -177,7 +177,7 @@
   /// The zone as others see it.
   ZoneEntry entry() const {
     ZoneEntry e;
-    e.cell = settings_.zone;
+    e.zone = settings_.zone;
     for (auto const& [id, m] : view_.members)
       if (m.role == Role::gateway && m.standing == Standing::fit) e.gateways.push_back(m);
     std::map<std::pair<std::string, std::string>, ServiceOffer> by_node;
@@ -209,7 +209,7 @@
   static constexpr std::uint32_t load_rounding_steps = 8;  // in which an offer's load is told
 
   bool is_valid(Join const& q) const {
-    bool const named = !q.self.id.empty() && q.self.id != settings_.registry_id && q.self.cell == settings_.zone;
+    bool const named = !q.self.id.empty() && q.self.id != settings_.registry_id && q.self.zone == settings_.zone;
     bool const node = q.self.role == Role::node || q.self.role == Role::gateway;
     bool const present = q.self.standing == Standing::fit || q.self.standing == Standing::leaving;
     return named && node && present && q.backends.size() <= backend_limit;
--- a/source/coordination/zone_follower.hpp
+++ b/source/coordination/zone_follower.hpp
@@ -442,7 +442,7 @@
     Result<FollowReply> const r = co_await ask(env_, from, request, env_.now() + 400ms);
     if (!r || !r->known || !r->snapshot || has_view_) co_return;
     for (ZoneEntry const& c : r->snapshot->cells)
-      if (c.cell != settings_.zone) view_.cells[c.cell] = c;
+      if (c.zone != settings_.zone) view_.cells[c.zone] = c;
     has_view_ = true;
     view_changed();
     status_changed();
--- a/source/programs/hollow_fleet_objects.cpp
+++ b/source/programs/hollow_fleet_objects.cpp
@@ -85,7 +85,7 @@
 
 ZoneEntry entry_of(std::size_t const n) {
   ZoneEntry entry;
-  entry.cell = "zone-2";
+  entry.zone = "zone-2";
   for (std::size_t i = 0; i < n; ++i) {
     entry.gateways.push_back(member(i));
     entry.services.push_back(offer(i));
--- a/source/programs/maintenance_interface.cpp
+++ b/source/programs/maintenance_interface.cpp
@@ -92,9 +92,9 @@
   for (ZoneEntry const& entry : entries)
     for (ServiceOffer const& offer : entry.services) {
       std::uint32_t const used = offer.burden + offer.waiting;
-      if (entry.cell == zone)
+      if (entry.zone == zone)
         busy[offer.service] += used;
-      else if (!withheld.contains(entry.cell))
+      else if (!withheld.contains(entry.zone))
         free[offer.service] += offer.slots - std::min(offer.slots, used);
     }
   for (auto const& [service, needed] : busy) {
@@ -113,7 +113,7 @@
   auto const machine_of = [](std::string const& address) { return address.substr(0, address.rfind(':')); };
   std::set<std::string> machines;
   for (RegistryEntry const& e : registries)
-    if (e.cell == zone || withheld.contains(e.cell)) machines.insert(machine_of(e.address));
+    if (e.zone == zone || withheld.contains(e.zone)) machines.insert(machine_of(e.address));
   std::size_t elsewhere = 0;
   for (VoterEntry const& v : voters.voters) elsewhere += !machines.contains(machine_of(v.address));
   if (elsewhere >= quorum_size(voters)) return std::nullopt;
@@ -124,7 +124,7 @@
 ZoneRemains remains_in(std::string const& zone, std::vector<ZoneEntry> const& entries, KeyTable const& keys) {
   ZoneRemains remains;
   for (ZoneEntry const& entry : entries) {
-    if (entry.cell != zone) continue;
+    if (entry.zone != zone) continue;
     for (ServiceOffer const& offer : entry.services) {
       remains.requests += offer.burden + offer.waiting;
       remains.backends += offer.burden + offer.waiting > 0;
--- a/source/programs/operator_streams.hpp
+++ b/source/programs/operator_streams.hpp
@@ -76,7 +76,7 @@
   Json j = {{"node", e.node},         {"n", e.n},
             {"at_ms", e.at_ms},       {"call", e.call},
             {"decision", e.decision}, {"service", e.service},
-            {"cell", e.cell},         {"reason", e.reason},
+            {"cell", e.zone},         {"reason", e.reason},
             {"step", e.step},         {"peer", e.peer},
             {"routing", e.routing},   {"catalogue", e.catalogue}};
   if (e.keyed) j["slice"] = e.slice;
--- a/source/protocol/operator_messages.hpp
+++ b/source/protocol/operator_messages.hpp
@@ -14,11 +14,11 @@
   std::uint64_t n = 0;  // its number in the journal
   std::int64_t at_ms = 0;
   std::uint64_t call = 0;
-  std::string state, decision, service, reason, step, peer, cell;
+  std::string state, decision, service, reason, step, peer, zone;
   bool keyed = false;
   std::uint32_t slice = 0;
   Revision routing = 0, catalogue = 0;
-  BANKTIDE_FIELDS(node, n, at_ms, call, state, decision, service, reason, step, peer, cell, keyed, slice, routing,
+  BANKTIDE_FIELDS(node, n, at_ms, call, state, decision, service, reason, step, peer, zone, keyed, slice, routing,
                   catalogue)
 };
 
@@ -31,13 +31,13 @@
 };
 
 struct DecisionFilter {
-  std::string service, decision, cell;  // empty: any
+  std::string service, decision, zone;  // empty: any
   bool operator==(DecisionFilter const&) const = default;
   bool passes(CallEvent const& e) const {
     return (service.empty() || e.service == service) && (decision.empty() || e.decision == decision) &&
-           (cell.empty() || e.cell == cell);
+           (zone.empty() || e.zone == zone);
   }
-  BANKTIDE_FIELDS(service, decision, cell)
+  BANKTIDE_FIELDS(service, decision, zone)
 };
 
 using Positions = std::map<std::string, Position>;  // by node: its life, and the last event seen
--- a/source/protocol/zone_messages.hpp
+++ b/source/protocol/zone_messages.hpp
@@ -13,13 +13,13 @@
 
 struct Member {
   std::string id;
-  std::string cell;
+  std::string zone;
   std::string address;
   Role role = Role::node;
   std::uint64_t incarnation = 0;
   Standing standing = Standing::fit;
   bool operator==(Member const&) const = default;
-  BANKTIDE_FIELDS(id, cell, address, role, incarnation, standing)
+  BANKTIDE_FIELDS(id, zone, address, role, incarnation, standing)
 };
 
 struct BackendRecord {
@@ -51,12 +51,12 @@
 
 // A remote cell as the others see it: its gateways and what they offer.
 struct ZoneEntry {
-  std::string cell;
+  std::string zone;
   std::vector<Member> gateways;
   std::vector<std::string> offers;
   std::vector<ServiceOffer> services;
   bool operator==(ZoneEntry const&) const = default;
-  BANKTIDE_FIELDS(cell, gateways, offers, services)
+  BANKTIDE_FIELDS(zone, gateways, offers, services)
 };
 
 // The load of one offer, by its index in the entry's `services`.
@@ -71,7 +71,7 @@
 // What has changed of a zone's entry, from one change of the feed to another; made and
 // applied by state/zone_entry_delta.hpp. Indexes are those before the change.
 struct ZoneEntryDelta {
-  std::string cell;
+  std::string zone;
   std::vector<OfferLoad> loads;
   std::vector<std::uint16_t> offers_removed;  // rising
   std::vector<ServiceOffer> offers_set;       // new, or changed in more than their load
@@ -79,7 +79,7 @@
   std::vector<Member> gateways_set;
   std::optional<std::vector<std::string>> service_names;  // `offers`, if they changed
   bool operator==(ZoneEntryDelta const&) const = default;
-  BANKTIDE_FIELDS(cell, loads, offers_removed, offers_set, gateways_removed, gateways_set, service_names)
+  BANKTIDE_FIELDS(zone, loads, offers_removed, offers_set, gateways_removed, gateways_set, service_names)
 };
 
 // The registers whose values go to every node.
@@ -105,9 +105,9 @@
   std::uint64_t seq = 0;
   std::optional<Member> member;
   std::optional<BackendRecord> backend;
-  std::optional<ZoneEntry> cell;
+  std::optional<ZoneEntry> zone;
   std::optional<ZoneEntryDelta> entry_delta{};  // of a zone whose entry came before
-  BANKTIDE_FIELDS(seq, member, backend, cell, entry_delta)
+  BANKTIDE_FIELDS(seq, member, backend, zone, entry_delta)
 };
 
 struct Snapshot {
@@ -204,12 +204,12 @@
 };
 
 struct RegistryEntry {
-  std::string cell;
+  std::string zone;
   std::string address;
   std::uint32_t age_ms = 0;  // how long ago the teller last heard of it
   // The same registry, whatever its age.
-  bool operator==(RegistryEntry const& o) const { return cell == o.cell && address == o.address; }
-  BANKTIDE_FIELDS(cell, address, age_ms)
+  bool operator==(RegistryEntry const& o) const { return zone == o.zone && address == o.address; }
+  BANKTIDE_FIELDS(zone, address, age_ms)
 };
 struct RegistryExchangeReply {
   std::vector<RegistryEntry> registries;
--- a/source/state/zone_entry_delta.cpp
+++ b/source/state/zone_entry_delta.cpp
@@ -73,7 +73,7 @@
 std::optional<ZoneEntryDelta> make_entry_delta(ZoneEntry const& before, ZoneEntry const& after) {
   if (before.services.size() > largest_index) return std::nullopt;
   ZoneEntryDelta delta;
-  delta.cell = after.cell;
+  delta.zone = after.zone;
   compare_offers(delta, before.services, after.services);
   compare_gateways(delta, before.gateways, after.gateways);
   if (before.offers != after.offers) delta.service_names = after.offers;
@@ -86,7 +86,7 @@
 
 bool tells_loads_only(ZoneEntryDelta const& delta) {
   ZoneEntryDelta loads;
-  loads.cell = delta.cell;
+  loads.zone = delta.zone;
   loads.loads = delta.loads;
   return loads == delta;
 }
--- a/source/state/zone_view.hpp
+++ b/source/state/zone_view.hpp
@@ -39,7 +39,7 @@
       else
         backends[key] = *c.backend;
     }
-    if (c.cell) zones[c.cell->cell] = *c.cell;
+    if (c.zone) zones[c.zone->zone] = *c.zone;
     if (c.entry_delta) apply_delta(*c.entry_delta);
   }
 
@@ -50,7 +50,7 @@
     zones.clear();
     for (Member const& m : s.members) members[m.id] = m;
     for (BackendRecord const& b : s.backends) backends[{b.service, b.instance}] = b;
-    for (ZoneEntry const& c : s.cells) cells[c.cell] = c;
+    for (ZoneEntry const& c : s.cells) cells[c.zone] = c;
   }
 
   Snapshot snapshot(Position const at) const {
@@ -72,7 +72,7 @@
     return before.role != after.role || before.standing != after.standing;
   }
   void fold_entry(ZoneEntryDelta const& delta) {
-    auto const known = cells.find(delta.cell);
+    auto const known = cells.find(delta.zone);
     if (known != cells.end()) apply_entry_delta(known->second, delta);
   }
 
--- a/tests/coordination/zone_feed_test.cpp
+++ b/tests/coordination/zone_feed_test.cpp
@@ -105,7 +105,7 @@
   t.join("n1", {});
   t.run_for(2s);
   ZoneEntry entry;
-  entry.cell = "b";
+  entry.zone = "b";
   for (int i = 10; i < 58; ++i) {
     std::string const node = "machine-in-zone-b-" + std::to_string(i);
     entry.gateways.push_back(Member{node, "b", node + ":1", Role::gateway, 1, Standing::fit});
@@ -292,7 +292,7 @@
 
 ZoneEntry entry_with(std::size_t const gateways) {
   ZoneEntry e;
-  e.cell = "a";
+  e.zone = "a";
   for (std::size_t i = 0; i < gateways; ++i) {
     std::string const id = "g" + std::to_string(i);
     e.gateways.push_back(Member{id, "a", id, Role::gateway, 1, Standing::fit});
--- a/tests/programs/maintenance_interface_test.cpp
+++ b/tests/programs/maintenance_interface_test.cpp
@@ -64,7 +64,7 @@
 ZoneEntry entry(std::string const& zone, std::string const& service, std::uint32_t const slots,
                 std::uint32_t const busy, std::uint32_t const waiting = 0) {
   ZoneEntry e;
-  e.cell = zone;
+  e.zone = zone;
   e.services.push_back(ServiceOffer{service, "node-" + zone, zone + ":1", slots, busy, waiting});
   return e;
 }
--- a/tests/protocol/wire_format_test.cpp
+++ b/tests/protocol/wire_format_test.cpp
@@ -241,7 +241,7 @@
 
 TEST(WireFormat, ZoneMessages) {
   expect_bytes(Member{.id = "s2",
-                      .cell = "s3",
+                      .zone = "s3",
                       .address = "s4",
                       .role = Role::gateway,
                       .incarnation = 10000000006u,
@@ -262,9 +262,9 @@
       "020000007332020000007333020000007334751101007611010077110100");
   expect_bytes(
       ZoneEntry{
-          .cell = "s2",
+          .zone = "s2",
           .gateways = {Member{.id = "s5",
-                              .cell = "s6",
+                              .zone = "s6",
                               .address = "s7",
                               .role = Role::gateway,
                               .incarnation = 10000000009u,
@@ -276,14 +276,14 @@
   expect_bytes(OfferLoad{.index = 258, .burden = 259, .waiting = 260}, "020103010401");
   expect_bytes(
       ZoneEntryDelta{
-          .cell = "s2",
+          .zone = "s2",
           .loads = {OfferLoad{.index = 261, .burden = 262, .waiting = 263}},
           .offers_removed = {265},
           .offers_set = {ServiceOffer{
               .service = "s12", .node = "s13", .address = "s14", .slots = 70015, .burden = 70016, .waiting = 70017}},
           .gateways_removed = {"s19"},
           .gateways_set = {Member{.id = "s22",
-                                  .cell = "s23",
+                                  .zone = "s23",
                                   .address = "s24",
                                   .role = Role::gateway,
                                   .incarnation = 10000000026u,
@@ -304,7 +304,7 @@
   expect_bytes(
       Change{.seq = 10000000002u,
              .member = Member{.id = "s5",
-                              .cell = "s6",
+                              .zone = "s6",
                               .address = "s7",
                               .role = Role::gateway,
                               .incarnation = 10000000009u,
@@ -318,9 +318,9 @@
                                       .slots = 70019,
                                       .waiting = 70020,
                                       .warming = true},
-             .cell = ZoneEntry{.cell = "s24",
+             .zone = ZoneEntry{.zone = "s24",
                                .gateways = {Member{.id = "s27",
-                                                   .cell = "s28",
+                                                   .zone = "s28",
                                                    .address = "s29",
                                                    .role = Role::gateway,
                                                    .incarnation = 10000000031u,
@@ -332,7 +332,7 @@
                                                          .slots = 70040,
                                                          .burden = 70041,
                                                          .waiting = 70042}}},
-             .entry_delta = ZoneEntryDelta{.cell = "s45",
+             .entry_delta = ZoneEntryDelta{.zone = "s45",
                                            .loads = {OfferLoad{.index = 304, .burden = 305, .waiting = 306}},
                                            .offers_removed = {308},
                                            .offers_set = {ServiceOffer{.service = "s55",
@@ -343,7 +343,7 @@
                                                                        .waiting = 70060}},
                                            .gateways_removed = {"s62"},
                                            .gateways_set = {Member{.id = "s65",
-                                                                   .cell = "s66",
+                                                                   .zone = "s66",
                                                                    .address = "s67",
                                                                    .role = Role::gateway,
                                                                    .incarnation = 10000000069u,
@@ -353,7 +353,7 @@
   expect_bytes(
       Snapshot{.at = Position{.epoch = 10000000003u, .seq = 10000000004u},
                .members = {Member{.id = "s7",
-                                  .cell = "s8",
+                                  .zone = "s8",
                                   .address = "s9",
                                   .role = Role::gateway,
                                   .incarnation = 10000000011u,
@@ -367,9 +367,9 @@
                                           .slots = 70021,
                                           .waiting = 70022,
                                           .warming = true}},
-               .cells = {ZoneEntry{.cell = "s26",
+               .cells = {ZoneEntry{.zone = "s26",
                                    .gateways = {Member{.id = "s29",
-                                                       .cell = "s30",
+                                                       .zone = "s30",
                                                        .address = "s31",
                                                        .role = Role::gateway,
                                                        .incarnation = 10000000033u,
@@ -394,7 +394,7 @@
                  .changes = {Change{
                      .seq = 10000000010u,
                      .member = Member{.id = "s13",
-                                      .cell = "s14",
+                                      .zone = "s14",
                                       .address = "s15",
                                       .role = Role::gateway,
                                       .incarnation = 10000000017u,
@@ -408,9 +408,9 @@
                                               .slots = 70027,
                                               .waiting = 70028,
                                               .warming = true},
-                     .cell = ZoneEntry{.cell = "s32",
+                     .zone = ZoneEntry{.zone = "s32",
                                        .gateways = {Member{.id = "s35",
-                                                           .cell = "s36",
+                                                           .zone = "s36",
                                                            .address = "s37",
                                                            .role = Role::gateway,
                                                            .incarnation = 10000000039u,
@@ -422,7 +422,7 @@
                                                                  .slots = 70048,
                                                                  .burden = 70049,
                                                                  .waiting = 70050}}},
-                     .entry_delta = ZoneEntryDelta{.cell = "s53",
+                     .entry_delta = ZoneEntryDelta{.zone = "s53",
                                                    .loads = {OfferLoad{.index = 312, .burden = 313, .waiting = 314}},
                                                    .offers_removed = {316},
                                                    .offers_set = {ServiceOffer{.service = "s63",
@@ -434,7 +434,7 @@
                                                    .gateways_removed = {"s70"},
                                                    .gateways_set = {Member{
                                                        .id = "s73",
-                                                       .cell = "s74",
+                                                       .zone = "s74",
                                                        .address = "s75",
                                                        .role = Role::gateway,
                                                        .incarnation = 10000000077u,
@@ -454,7 +454,7 @@
       FollowReply{.known = true,
                   .snapshot = Snapshot{.at = Position{.epoch = 10000000006u, .seq = 10000000007u},
                                        .members = {Member{.id = "s10",
-                                                          .cell = "s11",
+                                                          .zone = "s11",
                                                           .address = "s12",
                                                           .role = Role::gateway,
                                                           .incarnation = 10000000014u,
@@ -468,9 +468,9 @@
                                                                   .slots = 70024,
                                                                   .waiting = 70025,
                                                                   .warming = true}},
-                                       .cells = {ZoneEntry{.cell = "s29",
+                                       .cells = {ZoneEntry{.zone = "s29",
                                                            .gateways = {Member{.id = "s32",
-                                                                               .cell = "s33",
+                                                                               .zone = "s33",
                                                                                .address = "s34",
                                                                                .role = Role::gateway,
                                                                                .incarnation = 10000000036u,
@@ -485,7 +485,7 @@
                   .changes = {Change{
                       .seq = 10000000050u,
                       .member = Member{.id = "s53",
-                                       .cell = "s54",
+                                       .zone = "s54",
                                        .address = "s55",
                                        .role = Role::gateway,
                                        .incarnation = 10000000057u,
@@ -499,9 +499,9 @@
                                                .slots = 70067,
                                                .waiting = 70068,
                                                .warming = true},
-                      .cell = ZoneEntry{.cell = "s72",
+                      .zone = ZoneEntry{.zone = "s72",
                                         .gateways = {Member{.id = "s75",
-                                                            .cell = "s76",
+                                                            .zone = "s76",
                                                             .address = "s77",
                                                             .role = Role::gateway,
                                                             .incarnation = 10000000079u,
@@ -513,7 +513,7 @@
                                                                   .slots = 70088,
                                                                   .burden = 70089,
                                                                   .waiting = 70090}}},
-                      .entry_delta = ZoneEntryDelta{.cell = "s93",
+                      .entry_delta = ZoneEntryDelta{.zone = "s93",
                                                     .loads = {OfferLoad{.index = 352, .burden = 353, .waiting = 354}},
                                                     .offers_removed = {356},
                                                     .offers_set = {ServiceOffer{.service = "s103",
@@ -524,7 +524,7 @@
                                                                                 .waiting = 70108}},
                                                     .gateways_removed = {"s110"},
                                                     .gateways_set = {Member{.id = "s113",
-                                                                            .cell = "s114",
+                                                                            .zone = "s114",
                                                                             .address = "s115",
                                                                             .role = Role::gateway,
                                                                             .incarnation = 10000000117u,
@@ -558,7 +558,7 @@
       "0103e40b540200000004e40b5402000000020000007335020000007336");
   expect_bytes(
       Join{.self = Member{.id = "s3",
-                          .cell = "s4",
+                          .zone = "s4",
                           .address = "s5",
                           .role = Role::gateway,
                           .incarnation = 10000000007u,
@@ -574,11 +574,11 @@
                                       .warming = true}}},
       "0200000073330200000073340200000073350107e40b540200000002010000000300000073313103000000733132030000007331330e017f11010002811101008211010001");
   EXPECT_EQ(Join::kind, 13);
-  expect_bytes(RegistryEntry{.cell = "s2", .address = "s3", .age_ms = 70004}, "02000000733202000000733374110100");
-  expect_bytes(RegistryExchangeReply{.registries = {RegistryEntry{.cell = "s4", .address = "s5", .age_ms = 70006}},
+  expect_bytes(RegistryEntry{.zone = "s2", .address = "s3", .age_ms = 70004}, "02000000733202000000733374110100");
+  expect_bytes(RegistryExchangeReply{.registries = {RegistryEntry{.zone = "s4", .address = "s5", .age_ms = 70006}},
                                      .cores = 70007},
                "010000000200000073340200000073357611010077110100");
-  expect_bytes(RegistryExchange{.registries = {RegistryEntry{.cell = "s4", .address = "s5", .age_ms = 70006}}},
+  expect_bytes(RegistryExchange{.registries = {RegistryEntry{.zone = "s4", .address = "s5", .age_ms = 70006}}},
                "0100000002000000733402000000733576110100");
   EXPECT_EQ(RegistryExchange::kind, 14);
   expect_bytes(
@@ -605,9 +605,9 @@
                "02000000733302000000733402000000733506017711010002791101007a11010001");
   EXPECT_EQ(Drain::kind, 17);
   expect_bytes(
-      ZoneAnnouncement{.entry = ZoneEntry{.cell = "s3",
+      ZoneAnnouncement{.entry = ZoneEntry{.zone = "s3",
                                           .gateways = {Member{.id = "s6",
-                                                              .cell = "s7",
+                                                              .zone = "s7",
                                                               .address = "s8",
                                                               .role = Role::gateway,
                                                               .incarnation = 10000000010u,
@@ -767,14 +767,14 @@
                 .reason = "s9",
                 .step = "s10",
                 .peer = "s11",
-                .cell = "s12",
+                .zone = "s12",
                 .keyed = true,
                 .slice = 70014,
                 .routing = 10000000015u,
                 .catalogue = 10000000016u},
       "02000000733203e40b540200000004e40b540200000005e40b5402000000020000007336020000007337020000007338020000007339030000007331300300000073313103000000733132017e1101000fe40b540200000010e40b5402000000");
   expect_bytes(Gap{.node = "s2", .lost = 10000000003u}, "02000000733203e40b5402000000");
-  expect_bytes(DecisionFilter{.service = "s2", .decision = "s3", .cell = "s4"}, "020000007332020000007333020000007334");
+  expect_bytes(DecisionFilter{.service = "s2", .decision = "s3", .zone = "s4"}, "020000007332020000007333020000007334");
   expect_bytes(
       DecisionsReply{.events = {CallEvent{.node = "s4",
                                           .n = 10000000005u,
@@ -786,7 +786,7 @@
                                           .reason = "s11",
                                           .step = "s12",
                                           .peer = "s13",
-                                          .cell = "s14",
+                                          .zone = "s14",
                                           .keyed = true,
                                           .slice = 70016,
                                           .routing = 10000000017u,
@@ -797,7 +797,7 @@
   expect_bytes(
       DecisionsRequest{.after = {{"s3", Position{.epoch = 10000000005u, .seq = 10000000006u}}},
                        .from_now = true,
-                       .filter = DecisionFilter{.service = "s9", .decision = "s10", .cell = "s11"},
+                       .filter = DecisionFilter{.service = "s9", .decision = "s10", .zone = "s11"},
                        .most = 70012},
       "0100000002000000733305e40b540200000006e40b54020000000102000000733903000000733130030000007331317c110100");
   EXPECT_EQ(DecisionsRequest::kind, 50);
--- a/tests/state/zone_entry_delta_test.cpp
+++ b/tests/state/zone_entry_delta_test.cpp
@@ -13,7 +13,7 @@
 /// An entry as a feed makes it: gateways by id, offers by service and node.
 ZoneEntry random_entry(std::mt19937& random, std::uint32_t const gateways) {
   ZoneEntry entry;
-  entry.cell = "east";
+  entry.zone = "east";
   std::map<std::pair<std::string, std::string>, ServiceOffer> offers;
   for (std::uint32_t i = 0; i < gateways; ++i) {
     if (random() % 5 == 0) continue;
@@ -36,7 +36,7 @@
 TEST(ZoneEntryDelta, leads_from_any_entry_to_any_other) {
   std::mt19937 random(5);
   ZoneEntry before;
-  before.cell = "east";
+  before.zone = "east";
   for (int round = 0; round < 2000; ++round) {
     ZoneEntry const after = random_entry(random, random() % 12);
     std::optional<ZoneEntryDelta> const delta = make_entry_delta(before, after);
@@ -51,7 +51,7 @@
 // Guards against CONFIG: other zones' entries filled the links that configurations travel on.
 TEST(ZoneEntryDelta, loads_of_a_large_zone_take_a_fiftieth_of_its_entry) {
   ZoneEntry before;
-  before.cell = "jhb-a";
+  before.zone = "jhb-a";
   for (int i = 0; i < 48; ++i) {
     std::string const node = "adjunct-jhb-a-" + std::to_string(10 + i);
     before.gateways.push_back(Member{node, "jhb-a", "10.1.0.20:7120", Role::gateway, 1, Standing::fit});
@@ -61,7 +61,7 @@
   ZoneEntry after = before;
   for (std::size_t i = 0; i < 5; ++i) after.services[9 * i].burden = 4;
   Change whole, changed;
-  whole.cell = after;
+  whole.zone = after;
   changed.entry_delta = make_entry_delta(before, after);
   ASSERT_TRUE(changed.entry_delta);
   EXPECT_LT(50 * pack(changed).size(), pack(whole).size());
@@ -82,7 +82,7 @@
   view.apply(change);
   EXPECT_TRUE(view.zones.empty());
   Change whole;
-  whole.cell = before;
+  whole.zone = before;
   view.apply(whole);
   view.apply(change);
   EXPECT_EQ(view.zones.at("east"), after);
