--- a/source/programs/process.hpp
+++ b/source/programs/process.hpp
@@ -51,7 +51,7 @@
     for (std::string const& name : fresh.changed_from(in_force)) {
       bool const now = name == "log-level" || apply(name, fresh);
       if (name == "log-level") logger().setLogLevel(log4cplus::getLogLevelManager().fromString(fresh.text(name)));
-      (now ? applied : needs_restart) += (applied_now ? applied : needs_restart).empty() ? name : "," + name;
+      (now ? applied : needs_restart) += (now ? applied : needs_restart).empty() ? name : "," + name;
     }
     log_info("reload", {{"taken", applied}, {"needs_restart", needs_restart}});
   }
