--- a/source/coordination/backend_side.hpp
+++ b/source/coordination/backend_side.hpp
@@ -62,20 +62,20 @@
       if (n_.local_backends.size() >= 256)
         return json_reply(503, {{"error", "256 backends beat here already"}, {"step", "beat"}});
       it = n_.local_backends.emplace(key, LocalBackendState{}).first;
-      it->second.record = BackendRecord{service, instance, settings_.id, port, 0, Standing::fit};
+      it->second.record = BackendRecord{service, instance, settings_.id, port, 0, Liveness::fit};
       n_.rejoin();
     }
     LocalBackendState& l = it->second;
-    std::uint32_t const burden = j->value("burden", 0u);
-    Standing const standing = leaving || l.record.standing == Standing::leaving ? Standing::leaving : Standing::fit;
-    if (standing != l.record.standing || port != l.record.port || burden / 4 != l.record.burden / 4) n_.rejoin();
-    if (standing == Standing::leaving && l.record.standing != Standing::leaving) {
-      l.record.standing = standing;
+    std::uint32_t const running = j->value("burden", 0u);
+    Liveness const liveness = leaving || l.record.liveness == Liveness::leaving ? Liveness::leaving : Liveness::fit;
+    if (liveness != l.record.liveness || port != l.record.port || running / 4 != l.record.running / 4) n_.rejoin();
+    if (liveness == Liveness::leaving && l.record.liveness != Liveness::leaving) {
+      l.record.liveness = liveness;
       spawn(env_, spread_drain(l.record));
     }
-    l.record.standing = standing;
+    l.record.liveness = liveness;
     l.record.port = port;
-    l.record.burden = burden;
+    l.record.running = running;
     l.refused = false;
     l.last_heartbeat = env_.now();
     return json_reply(200,
@@ -149,12 +149,12 @@
       all.push_back({{"service", key.first},
                      {"instance", key.second},
                      {"port", l.record.port},
-                     {"burden", l.record.burden},
+                     {"burden", l.record.running},
                      {"in_flight", l.in_flight},
                      {"standing", l.refused ? "refusing"
                                   : env_.now() - l.last_heartbeat > settings_.heartbeat_expiry
                                       ? "silent"
-                                      : standing_name(l.record.standing)}});
+                                      : standing_name(l.record.liveness)}});
     return all;
   }
 
--- a/source/coordination/caller_side.hpp
+++ b/source/coordination/caller_side.hpp
@@ -114,7 +114,7 @@
           ejected.push_back(std::move(t));
           continue;
         }
-        candidates.push_back(Candidate{static_cast<double>(b.burden) + marks_.at(t.mark, now).in_flight,
+        candidates.push_back(Candidate{static_cast<double>(b.running) + marks_.at(t.mark, now).in_flight,
                                        marks_.slow_start_share(t.mark, now)});
         targets.push_back(std::move(t));
       }
--- a/source/coordination/key_holder.cpp
+++ b/source/coordination/key_holder.cpp
@@ -66,7 +66,7 @@
   beats_ = 0;
   signed_off_ = false;
   granted_until_ = Instant{};
-  standing_ = KeyStanding::serving;
+  holder_state_ = KeyHolderState::serving;
   held_.clear();
   released_.clear();
   serving_.clear();
@@ -110,8 +110,8 @@
   ++beats_;
   arrived_ = now;
   slots_ = beat.slots;
-  news_ = news_ || beat.standing != standing_;
-  standing_ = beat.standing;
+  news_ = news_ || beat.state != holder_state_;
+  holder_state_ = beat.state;
   held_ = beat.held;
   take_releases(beat);
   judge_leaving(beat);
@@ -319,10 +319,10 @@
 }
 
 void KeyHolder::on_instance_signed_off(std::string const& instance, Instant const now) {
-  bool const may_hold_on = instance == instance_ && standing_ == KeyStanding::serving && now < granted_until_;
+  bool const may_hold_on = instance == instance_ && holder_state_ == KeyHolderState::serving && now < granted_until_;
   if (!may_hold_on) return end_life(instance, "it signed off");
   signed_off_ = true;
-  standing_ = KeyStanding::draining;  // so that others are chosen for its rows meanwhile
+  holder_state_ = KeyHolderState::draining;  // so that others are chosen for its rows meanwhile
   serving_.clear();
   news_ = true;
 }
@@ -405,7 +405,7 @@
   report.node = node_;
   report.address = address_;
   report.zone = zone_;
-  report.standing = standing_;
+  report.state = holder_state_;
   report.leased = leased(now);
   report.slots = slots_;
   report.busy = busy;
--- a/source/coordination/key_holder.hpp
+++ b/source/coordination/key_holder.hpp
@@ -29,7 +29,7 @@
 struct KeyBeat {
   std::string instance;
   std::uint64_t sequence = 0;  // rises with each beat of an instance
-  KeyStanding standing = KeyStanding::serving;
+  KeyHolderState state = KeyHolderState::serving;
   std::uint32_t slots = 1;
   std::vector<HeldRange> held;  // holds or still works on
   std::vector<ReleasedRange> released;
@@ -168,7 +168,7 @@
   std::uint64_t sequence_ = 0;  // of the last beat
   std::size_t beats_ = 0;       // of this life, heard here
   Instant arrived_{};
-  KeyStanding standing_ = KeyStanding::serving;
+  KeyHolderState holder_state_ = KeyHolderState::serving;
   std::uint32_t slots_ = 1;
   std::vector<HeldRange> held_;         // by the last beat
   std::vector<KnownRelease> released_;  // tokens of what was let go and not granted again
--- a/source/coordination/proxy_zone_follower.hpp
+++ b/source/coordination/proxy_zone_follower.hpp
@@ -29,7 +29,7 @@
     for (auto const& [key, l] : n_.local_backends) {
       if (n_.env.now() - l.last_heartbeat > n_.settings.heartbeat_expiry || l.refused) continue;
       all.push_back(l.record);
-      all.back().burden = l.record.burden / burden_step * burden_step;
+      all.back().running = l.record.running / burden_step * burden_step;
     }
     return all;
   }
--- a/source/coordination/zone_feed.hpp
+++ b/source/coordination/zone_feed.hpp
@@ -42,7 +42,7 @@
         last_node_at_(env.now()),
         neighbours_(settings_.registry_id) {
     Member const self{settings_.registry_id, settings_.zone, settings_.registry_address, Role::registry, 1,
-                      Standing::fit};
+                      Liveness::fit};
     record_change(Change{0, self, std::nullopt, std::nullopt});
   }
 
@@ -64,8 +64,8 @@
     reply.epoch = epoch_;
     if (!is_valid(q)) return reply;
     auto const it = view_.members.find(q.self.id);
-    bool const suspected = it != view_.members.end() && it->second.standing == Standing::suspected;
-    if (suspected && q.self.standing == Standing::fit && q.self.incarnation <= it->second.incarnation) {
+    bool const suspected = it != view_.members.end() && it->second.liveness == Liveness::suspected;
+    if (suspected && q.self.liveness == Liveness::fit && q.self.incarnation <= it->second.incarnation) {
       reply.incarnation = it->second.incarnation + 1;  // refute with this
       return reply;
     }
@@ -75,7 +75,7 @@
     if (it == view_.members.end() || !(it->second == q.self)) {
       log_info("member", {{"id", q.self.id},
                           {"zone", settings_.zone},
-                          {"standing", standing_name(q.self.standing)},
+                          {"standing", standing_name(q.self.liveness)},
                           {"incarnation", std::to_string(q.self.incarnation)}});
       publish_member(q.self);
     }
@@ -104,11 +104,11 @@
 
   void suspect(Suspect const& q) {
     auto const it = view_.members.find(q.id);
-    if (it == view_.members.end() || it->second.incarnation != q.incarnation || it->second.standing != Standing::fit ||
+    if (it == view_.members.end() || it->second.incarnation != q.incarnation || it->second.liveness != Liveness::fit ||
         it->second.role == Role::registry)
       return;
     Member m = it->second;
-    m.standing = Standing::suspected;
+    m.liveness = Liveness::suspected;
     suspected_[m.id] = env_.now();
     log_info("member", {{"id", m.id}, {"zone", settings_.zone}, {"standing", "suspected"}, {"by", q.by}});
     publish_member(m);
@@ -166,7 +166,7 @@
       if (m.role == Role::registry) continue;
       bool const watched = neighbours_.watched().contains(id);
       Instant const heard = effective_last_heard(id, watched, was_suspended);
-      if (watched && now - heard > timing_.suspect_after && m.standing == Standing::fit)
+      if (watched && now - heard > timing_.suspect_after && m.liveness == Liveness::fit)
         silent.push_back(Suspect{id, m.incarnation, settings_.registry_id, settings_.zone});
       if (is_dead(m, watched)) dead.push_back(m);
     }
@@ -179,10 +179,10 @@
     ZoneEntry e;
     e.zone = settings_.zone;
     for (auto const& [id, m] : view_.members)
-      if (m.role == Role::gateway && m.standing == Standing::fit) e.gateways.push_back(m);
+      if (m.role == Role::gateway && m.liveness == Liveness::fit) e.gateways.push_back(m);
     std::map<std::pair<std::string, std::string>, ServiceOffer> by_node;
     for (auto const& [key, b] : view_.backends) {
-      if (b.standing != Standing::fit || !view_.usable_node(b.node)) continue;
+      if (b.liveness != Liveness::fit || !view_.usable_node(b.node)) continue;
       if (e.offers.empty() || e.offers.back() != b.service) e.offers.push_back(b.service);
       Member const& beside = view_.members.at(b.node);
       if (beside.role != Role::gateway) continue;
@@ -191,11 +191,11 @@
       o.node = b.node;
       o.address = beside.address;
       o.slots += b.slots;
-      o.burden += b.slots > 0 ? b.burden : 0;
+      o.running += b.slots > 0 ? b.running : 0;
       o.waiting += b.slots > 0 ? b.waiting : 0;
     }
     for (auto& [key, o] : by_node) {
-      o.burden = round_up_load(o.burden, o.slots);
+      o.running = round_up_load(o.running, o.slots);
       o.waiting = round_up_load(o.waiting, o.slots);
       e.services.push_back(std::move(o));
     }
@@ -211,7 +211,7 @@
   bool is_valid(Join const& q) const {
     bool const named = !q.self.id.empty() && q.self.id != settings_.registry_id && q.self.zone == settings_.zone;
     bool const node = q.self.role == Role::node || q.self.role == Role::gateway;
-    bool const present = q.self.standing == Standing::fit || q.self.standing == Standing::leaving;
+    bool const present = q.self.liveness == Liveness::fit || q.self.liveness == Liveness::leaving;
     return named && node && present && q.backends.size() <= backend_limit;
   }
 
@@ -243,13 +243,13 @@
     for (auto const& [key, b] : view_.backends)
       if (b.node == node && !named.contains(key)) gone.push_back(b);
     for (BackendRecord& b : gone) {
-      b.standing = Standing::dead;
+      b.liveness = Liveness::dead;
       publish(Change{0, std::nullopt, b, std::nullopt}, Urgency::at_once);
     }
   }
 
   static bool differ_in_load_only(BackendRecord before, BackendRecord const& after) {
-    before.burden = after.burden;
+    before.running = after.running;
     before.waiting = after.waiting;
     return before == after;
   }
@@ -334,15 +334,15 @@
 
   bool is_dead(Member const& m, bool const watched) const {
     Instant const now = env_.now();
-    if (m.standing == Standing::suspected) return now - suspected_.at(m.id) > timing_.dead_after;
-    if (m.standing != Standing::leaving) return false;
+    if (m.liveness == Liveness::suspected) return now - suspected_.at(m.id) > timing_.dead_after;
+    if (m.liveness != Liveness::leaving) return false;
     if (watched && now - last_heard_.at(m.id) > timing_.suspect_after) return true;
     auto const joined = joined_.find(m.id);
     return joined != joined_.end() && now - joined->second > timing_.leave_after;
   }
 
   void remove_dead(Member& m) {
-    m.standing = Standing::dead;
+    m.liveness = Liveness::dead;
     log_info("member", {{"id", m.id}, {"zone", settings_.zone}, {"standing", "dead"}});
     publish_member(m);
     last_heard_.erase(m.id);
--- a/source/coordination/zone_follower.hpp
+++ b/source/coordination/zone_follower.hpp
@@ -182,7 +182,7 @@
     Join q;
     q.self = Member{settings_.id,      settings_.zone,
                     settings_.address, settings_.gateway ? Role::gateway : Role::node,
-                    incarnation_,      leaving_ ? Standing::leaving : Standing::fit};
+                    incarnation_,      leaving_ ? Liveness::leaving : Liveness::fit};
     if (events_.backends) q.backends = events_.backends();
     return q;
   }
@@ -212,7 +212,7 @@
 
   void handle_join_reply(Join const& q, JoinReply const& r, Address const& registry) {
     heard(registry);
-    if (r.taken && q.self.standing == Standing::leaving) leave_acknowledged_ = true;
+    if (r.taken && q.self.liveness == Liveness::leaving) leave_acknowledged_ = true;
     if (!r.taken && r.incarnation > incarnation_) {
       incarnation_ = r.incarnation;
       join_due_ = true;
@@ -251,7 +251,7 @@
     accept_deltas(q.key_deltas, q.routing_deltas);
     if (!current) co_return NoReply{};
     apply_changes(q.at, q.changes);
-    if (!q.vouched || !(q.at == position_) || values_.is_behind(q.revisions)) mark_behind();
+    if (!q.has_quorum_reading || !(q.at == position_) || values_.is_behind(q.revisions)) mark_behind();
     co_return NoReply{};
   }
 
@@ -264,7 +264,7 @@
     if (q.at.epoch == pulse_epoch_ && q.pulse <= pulse_) return false;
     pulse_epoch_ = q.at.epoch;
     pulse_ = q.pulse;
-    if (q.vouched) confirmed_at_ = env_.now();
+    if (q.has_quorum_reading) confirmed_at_ = env_.now();
     return true;
   }
 
@@ -292,7 +292,7 @@
   // If the zone's view has us wrong, say so.
   void check_own_entry() {
     auto const me = view_.members.find(settings_.id);
-    if (me == view_.members.end() || me->second.standing != (leaving_ ? Standing::leaving : Standing::fit)) rejoin();
+    if (me == view_.members.end() || me->second.liveness != (leaving_ ? Liveness::leaving : Liveness::fit)) rejoin();
   }
 
   void mark_behind() {
@@ -508,7 +508,7 @@
       Member const& m = view_.members.at(id);
       Instant& at = last_heard_.try_emplace(id, now).first->second;
       if (was_suspended) at = now;
-      if (now - at > timing_.suspect_after && m.standing == Standing::fit && m.role != Role::registry &&
+      if (now - at > timing_.suspect_after && m.liveness == Liveness::fit && m.role != Role::registry &&
           !registry.empty())
         tell(env_, registry, Suspect{id, m.incarnation, settings_.id, settings_.zone});
     }
--- a/source/data_path/local_backend.hpp
+++ b/source/data_path/local_backend.hpp
@@ -107,11 +107,11 @@
     r.service = i.beat.service;
     r.instance = i.beat.id;
     r.node = s_.node;
-    r.burden = announced_running_;
+    r.running = announced_running_;
     r.waiting = announced_waiting_;
     r.slots = i.beat.slots;
     r.warming = i.beat.warm_left > Duration::zero();
-    r.standing = i.draining_since ? Standing::leaving : Standing::fit;
+    r.liveness = i.draining_since ? Liveness::leaving : Liveness::fit;
     return {r};
   }
 
--- a/source/programs/maintenance_interface.cpp
+++ b/source/programs/maintenance_interface.cpp
@@ -91,7 +91,7 @@
   std::map<std::string, std::uint64_t> busy, free;
   for (ZoneEntry const& entry : entries)
     for (ServiceOffer const& offer : entry.services) {
-      std::uint32_t const used = offer.burden + offer.waiting;
+      std::uint32_t const used = offer.running + offer.waiting;
       if (entry.zone == zone)
         busy[offer.service] += used;
       else if (!withheld.contains(entry.zone))
@@ -126,8 +126,8 @@
   for (ZoneEntry const& entry : entries) {
     if (entry.zone != zone) continue;
     for (ServiceOffer const& offer : entry.services) {
-      remains.requests += offer.burden + offer.waiting;
-      remains.backends += offer.burden + offer.waiting > 0;
+      remains.requests += offer.running + offer.waiting;
+      remains.backends += offer.running + offer.waiting > 0;
     }
   }
   for (KeyService const& service : keys.services)
--- a/source/protocol/key_messages.hpp
+++ b/source/protocol/key_messages.hpp
@@ -8,7 +8,7 @@
 namespace banktide {
 
 // How a backend stands towards its keys.
-enum class KeyStanding : std::uint8_t { serving = 0, draining = 1 };
+enum class KeyHolderState : std::uint8_t { serving = 0, draining = 1 };
 
 // A row that the backend may serve now, and the requests a second on it, below 0
 // until they have been measured.
@@ -63,7 +63,7 @@
   std::string node;
   std::string address;
   std::string zone;
-  KeyStanding standing = KeyStanding::serving;
+  KeyHolderState standing = KeyHolderState::serving;
   bool leased = false;  // the node has a lease and so can grant
   std::uint32_t slots = 1;
   float busy = 0;      // the share of its slots in use over the last seconds; over 1 if requests queue
--- a/source/protocol/zone_messages.hpp
+++ b/source/protocol/zone_messages.hpp
@@ -9,7 +9,7 @@
 // ---- members, beats and news of a cell
 
 enum class Role : std::uint8_t { node = 0, gateway = 1, registry = 2 };
-enum class Standing : std::uint8_t { fit = 0, suspected = 1, leaving = 2, dead = 3 };
+enum class Liveness : std::uint8_t { fit = 0, suspected = 1, leaving = 2, dead = 3 };
 
 struct Member {
   std::string id;
@@ -17,9 +17,9 @@
   std::string address;
   Role role = Role::node;
   std::uint64_t incarnation = 0;
-  Standing standing = Standing::fit;
+  Liveness liveness = Liveness::fit;
   bool operator==(Member const&) const = default;
-  BANKTIDE_FIELDS(id, zone, address, role, incarnation, standing)
+  BANKTIDE_FIELDS(id, zone, address, role, incarnation, liveness)
 };
 
 struct BackendRecord {
@@ -27,13 +27,13 @@
   std::string instance;
   std::string node;
   std::uint16_t port = 0;
-  std::uint32_t burden = 0;  // calls that it runs now
-  Standing standing = Standing::fit;
+  std::uint32_t running = 0;  // calls that it runs now
+  Liveness liveness = Liveness::fit;
   std::uint32_t slots = 0;    // calls that it can run at once; 0: not told
   std::uint32_t waiting = 0;  // calls that wait for it at its node
   bool warming = false;
   bool operator==(BackendRecord const&) const = default;
-  BANKTIDE_FIELDS(service, instance, node, port, burden, standing, slots, waiting, warming)
+  BANKTIDE_FIELDS(service, instance, node, port, running, liveness, slots, waiting, warming)
 };
 
 // A gateway that stands beside usable backends of a service: what they have
@@ -43,10 +43,10 @@
   std::string node;
   std::string address;
   std::uint32_t slots = 0;
-  std::uint32_t burden = 0;
+  std::uint32_t running = 0;
   std::uint32_t waiting = 0;
   bool operator==(ServiceOffer const&) const = default;
-  BANKTIDE_FIELDS(service, node, address, slots, burden, waiting)
+  BANKTIDE_FIELDS(service, node, address, slots, running, waiting)
 };
 
 // A remote cell as the others see it: its gateways and what they offer.
@@ -62,10 +62,10 @@
 // The load of one offer, by its index in the entry's `services`.
 struct OfferLoad {
   std::uint16_t index = 0;
-  std::uint16_t burden = 0;
+  std::uint16_t running = 0;
   std::uint16_t waiting = 0;
   bool operator==(OfferLoad const&) const = default;
-  BANKTIDE_FIELDS(index, burden, waiting)
+  BANKTIDE_FIELDS(index, running, waiting)
 };
 
 // What has changed of a zone's entry, from one change of the feed to another; made and
@@ -144,14 +144,14 @@
   using Reply = NoReply;
   Position at;  // the root's position when it was sent: a pulse as well as news
   std::uint64_t pulse = 0;
-  bool vouched = false;  // the root has a recent reading of a majority
-  std::string root;      // the address of the registry that sent it
+  bool has_quorum_reading = false;  // the root has a recent reading of a majority
+  std::string root;                 // the address of the registry that sent it
   std::vector<Change> changes;
   Revisions revisions{};
   std::vector<std::pair<Register, RegisterValue>> layouts;
   std::vector<KeyDelta> key_deltas;  // each from where the one before ends
   std::vector<TextDelta> routing_deltas;
-  BANKTIDE_FIELDS(at, pulse, vouched, root, changes, revisions, layouts, key_deltas, routing_deltas)
+  BANKTIDE_FIELDS(at, pulse, has_quorum_reading, root, changes, revisions, layouts, key_deltas, routing_deltas)
 };
 
 struct FollowReply {
--- a/source/state/view_json.hpp
+++ b/source/state/view_json.hpp
@@ -6,7 +6,7 @@
 
 namespace banktide {
 
-inline char const* standing_name(Standing const s) {
+inline char const* standing_name(Liveness const s) {
   constexpr char const* names[] = {"fit", "suspected", "leaving", "dead"};
   return names[static_cast<std::size_t>(s) & 3];
 }
@@ -26,14 +26,14 @@
                             {"address", m.address},
                             {"role", role_name(m.role)},
                             {"incarnation", m.incarnation},
-                            {"standing", standing_name(m.standing)}});
+                            {"standing", standing_name(m.liveness)}});
   for (auto const& [key, b] : v.backends)
     j["backends"].push_back({{"service", b.service},
                              {"instance", b.instance},
                              {"node", b.node},
                              {"port", b.port},
-                             {"burden", b.burden},
-                             {"standing", standing_name(b.standing)}});
+                             {"burden", b.running},
+                             {"standing", standing_name(b.liveness)}});
   for (auto const& [name, c] : v.zones) {
     Json gateways = Json::array();
     for (Member const& g : c.gateways) gateways.push_back({{"id", g.id}, {"address", g.address}});
--- a/source/state/zone_entry_delta.cpp
+++ b/source/state/zone_entry_delta.cpp
@@ -18,7 +18,7 @@
 bool member_comes_first(Member const& a, Member const& b) { return a.id < b.id; }
 
 bool differs_by_load_only(ServiceOffer const& a, ServiceOffer const& b) {
-  bool const fits = b.burden <= largest_index && b.waiting <= largest_index;
+  bool const fits = b.running <= largest_index && b.waiting <= largest_index;
   return fits && a.address == b.address && a.slots == b.slots;
 }
 
@@ -26,7 +26,7 @@
                    ServiceOffer const& after) {
   if (before == after) return;
   if (differs_by_load_only(before, after)) {
-    delta.loads.push_back({static_cast<std::uint16_t>(index), static_cast<std::uint16_t>(after.burden),
+    delta.loads.push_back({static_cast<std::uint16_t>(index), static_cast<std::uint16_t>(after.running),
                            static_cast<std::uint16_t>(after.waiting)});
   } else {
     delta.offers_set.push_back(after);
@@ -94,7 +94,7 @@
 void apply_entry_delta(ZoneEntry& entry, ZoneEntryDelta const& delta) {
   for (OfferLoad const& load : delta.loads) {
     if (load.index >= entry.services.size()) continue;
-    entry.services[load.index].burden = load.burden;
+    entry.services[load.index].running = load.running;
     entry.services[load.index].waiting = load.waiting;
   }
   for (auto index = delta.offers_removed.rbegin(); index != delta.offers_removed.rend(); ++index)
--- a/source/state/zone_view.hpp
+++ b/source/state/zone_view.hpp
@@ -22,7 +22,7 @@
   void apply(Change const& c) {
     if (c.member) {
       auto const known = members.find(c.member->id);
-      bool const dead = c.member->standing == Standing::dead;
+      bool const dead = c.member->liveness == Liveness::dead;
       if (known == members.end() ? !dead : dead || changes_role_or_standing(known->second, *c.member))
         ++membership_version_;
       if (dead) {
@@ -34,7 +34,7 @@
     }
     if (c.backend) {
       std::pair<std::string, std::string> const key{c.backend->service, c.backend->instance};
-      if (c.backend->standing == Standing::dead)
+      if (c.backend->liveness == Liveness::dead)
         backends.erase(key);
       else
         backends[key] = *c.backend;
@@ -64,12 +64,12 @@
 
   bool usable_node(std::string const& id) const {
     auto const it = members.find(id);
-    return it != members.end() && it->second.standing == Standing::fit;
+    return it != members.end() && it->second.liveness == Liveness::fit;
   }
 
  private:
   static bool changes_role_or_standing(Member const& before, Member const& after) {
-    return before.role != after.role || before.standing != after.standing;
+    return before.role != after.role || before.liveness != after.liveness;
   }
   void fold_entry(ZoneEntryDelta const& delta) {
     auto const known = cells.find(delta.zone);
--- a/tests/coordination/zone_feed_test.cpp
+++ b/tests/coordination/zone_feed_test.cpp
@@ -24,10 +24,10 @@
     sim.settle();
   }
 
-  JoinReply join(std::string const& id, std::vector<BackendRecord> backends, Standing const standing = Standing::fit,
+  JoinReply join(std::string const& id, std::vector<BackendRecord> backends, Liveness const liveness = Liveness::fit,
                  std::uint64_t const incarnation = 1) {
     Join q;
-    q.self = Member{id, "a", id + ":1", Role::gateway, incarnation, standing};
+    q.self = Member{id, "a", id + ":1", Role::gateway, incarnation, liveness};
     q.backends = std::move(backends);
     return feed->join(q);
   }
@@ -49,12 +49,12 @@
 };
 
 BackendRecord backend(std::string const& service, std::string const& instance, std::uint32_t const slots,
-                      std::uint32_t const burden, std::uint32_t const waiting = 0) {
+                      std::uint32_t const running, std::uint32_t const waiting = 0) {
   BackendRecord b;
   b.service = service;
   b.instance = instance;
   b.slots = slots;
-  b.burden = burden;
+  b.running = running;
   b.waiting = waiting;
   return b;
 }
@@ -108,13 +108,13 @@
   entry.zone = "b";
   for (int i = 10; i < 58; ++i) {
     std::string const node = "machine-in-zone-b-" + std::to_string(i);
-    entry.gateways.push_back(Member{node, "b", node + ":1", Role::gateway, 1, Standing::fit});
+    entry.gateways.push_back(Member{node, "b", node + ":1", Role::gateway, 1, Liveness::fit});
     entry.services.push_back(ServiceOffer{"s", node, node + ":1", 8, 2, 0});
   }
   entry.offers = {"s"};
   t.feed->update_zone_entry(entry);
   Position const seen = t.feed->position();
-  for (std::size_t i = 0; i < entry.services.size(); i += 3) entry.services[i].burden = 5;
+  for (std::size_t i = 0; i < entry.services.size(); i += 3) entry.services[i].running = 5;
   t.feed->update_zone_entry(entry);
   FollowReply const told = t.feed->follow(Follow{seen, "a"});
   ASSERT_EQ(told.changes.size(), 1u);
@@ -128,13 +128,13 @@
 TEST(ZoneFeed, joins_of_other_zones_and_of_odd_members_are_not_taken) {
   FeedTrial t;
   Join q;
-  q.self = Member{"n", "b", "n:1", Role::node, 1, Standing::fit};
+  q.self = Member{"n", "b", "n:1", Role::node, 1, Liveness::fit};
   EXPECT_FALSE(t.feed->join(q).taken);
-  q.self = Member{"n", "a", "n:1", Role::registry, 1, Standing::fit};
+  q.self = Member{"n", "a", "n:1", Role::registry, 1, Liveness::fit};
   EXPECT_FALSE(t.feed->join(q).taken);
-  q.self = Member{"n", "a", "n:1", Role::node, 1, Standing::suspected};
+  q.self = Member{"n", "a", "n:1", Role::node, 1, Liveness::suspected};
   EXPECT_FALSE(t.feed->join(q).taken);
-  q.self = Member{"r", "a", "n:1", Role::node, 1, Standing::fit};
+  q.self = Member{"r", "a", "n:1", Role::node, 1, Liveness::fit};
   EXPECT_FALSE(t.feed->join(q).taken);
   EXPECT_FALSE(t.feed->has_nodes());
 }
@@ -152,10 +152,10 @@
   t.join("n1", {backend("s", "i1", 32, 6, 2), backend("s", "i2", 32, 5)});
   EXPECT_EQ(t.feed->entry(), e) << "a small change makes no other entry";
   BackendRecord leaving = backend("s", "i3", 8, 3);
-  leaving.standing = Standing::leaving;
+  leaving.liveness = Liveness::leaving;
   t.join("n2", {leaving});
   EXPECT_EQ(t.feed->entry().services.size(), 1u);
-  t.join("n1", {}, Standing::leaving);
+  t.join("n1", {}, Liveness::leaving);
   EXPECT_TRUE(t.feed->entry().services.empty());
 }
 
@@ -164,11 +164,11 @@
   t.join("n1", {});
   t.join("n2", {backend("s", "i", 4, 0)});
   t.watch_for(1600ms, "n2");
-  EXPECT_EQ(t.feed->view().members.at("n2").standing, Standing::suspected);
+  EXPECT_EQ(t.feed->view().members.at("n2").liveness, Liveness::suspected);
   JoinReply const refused = t.join("n2", {backend("s", "i", 4, 0)});
   EXPECT_FALSE(refused.taken);
-  EXPECT_TRUE(t.join("n2", {backend("s", "i", 4, 0)}, Standing::fit, refused.incarnation).taken);
-  EXPECT_EQ(t.feed->view().members.at("n2").standing, Standing::fit);
+  EXPECT_TRUE(t.join("n2", {backend("s", "i", 4, 0)}, Liveness::fit, refused.incarnation).taken);
+  EXPECT_EQ(t.feed->view().members.at("n2").liveness, Liveness::fit);
   t.watch_for(4400ms, "n2");
   EXPECT_FALSE(t.feed->view().members.contains("n2"));
   EXPECT_TRUE(t.feed->view().backends.empty());
@@ -177,7 +177,7 @@
 
 TEST(ZoneFeed, a_leaving_member_that_joins_no_more_is_gone_whoever_watches_it) {
   FeedTrial t;
-  for (int i = 0; i < 12; ++i) t.join("n" + std::to_string(i), {}, Standing::leaving);
+  for (int i = 0; i < 12; ++i) t.join("n" + std::to_string(i), {}, Liveness::leaving);
   t.watch_for(5400ms, "");
   EXPECT_FALSE(t.feed->has_nodes());
 }
@@ -190,8 +190,8 @@
     x = x * 6364136223846793005ull + 1442695040888963407ull;
     std::string const id = "n" + std::to_string((x >> 33) % 12);
     Role const role = (x >> 40) % 5 == 0 ? Role::registry : Role::node;
-    Standing const standing = (x >> 45) % 3 == 0 ? Standing::dead : Standing::fit;
-    view.apply(Change{0, Member{id, "a", "", role, 1, standing}, std::nullopt, std::nullopt});
+    Liveness const liveness = (x >> 45) % 3 == 0 ? Liveness::dead : Liveness::fit;
+    view.apply(Change{0, Member{id, "a", "", role, 1, liveness}, std::nullopt, std::nullopt});
     places.follow(view);
     std::vector<std::string> all, nodes;
     for (auto const& [member, m] : view.members) {
@@ -214,17 +214,17 @@
 TEST(ZoneFeed, who_leaves_or_is_suspected_stands_last_in_the_relay_tree_and_stays_on_the_ring) {
   ZoneView view;
   RingNeighbours places("");
-  auto const fold = [&](std::string const& id, Standing const standing) {
-    view.apply(Change{0, Member{id, "a", id, Role::node, 1, standing}, std::nullopt, std::nullopt});
+  auto const fold = [&](std::string const& id, Liveness const liveness) {
+    view.apply(Change{0, Member{id, "a", id, Role::node, 1, liveness}, std::nullopt, std::nullopt});
     places.follow(view);
   };
   std::vector<std::string> ids;
   for (int i = 0; i < 13; ++i) ids.push_back("n" + std::to_string(i));
-  for (std::string const& id : ids) fold(id, Standing::fit);
+  for (std::string const& id : ids) fold(id, Liveness::fit);
   std::vector<std::string> const first = places.first_relays();
   ASSERT_EQ(first.size(), 3u);
-  fold(first[0], Standing::leaving);
-  fold(first[1], Standing::suspected);
+  fold(first[0], Liveness::leaving);
+  fold(first[1], Liveness::suspected);
   std::vector<std::string> const then = places.first_relays();
   EXPECT_EQ(then.front(), first[2]);
   std::set<std::string> reached(then.begin(), then.end());
@@ -239,8 +239,8 @@
     }
   }
   EXPECT_EQ(reached.size(), ids.size());
-  fold(first[0], Standing::fit);
-  fold(first[1], Standing::fit);
+  fold(first[0], Liveness::fit);
+  fold(first[1], Liveness::fit);
   EXPECT_EQ(places.first_relays(), first);
 }
 
@@ -295,7 +295,7 @@
   e.zone = "a";
   for (std::size_t i = 0; i < gateways; ++i) {
     std::string const id = "g" + std::to_string(i);
-    e.gateways.push_back(Member{id, "a", id, Role::gateway, 1, Standing::fit});
+    e.gateways.push_back(Member{id, "a", id, Role::gateway, 1, Liveness::fit});
   }
   return e;
 }
--- a/tests/coordination/zone_trial.hpp
+++ b/tests/coordination/zone_trial.hpp
@@ -122,7 +122,7 @@
   /// How many nodes the view of this node holds, itself among them.
   std::size_t nodes_seen(std::string const& node) {
     std::size_t n = 0;
-    for (auto const& [id, m] : view(node).members) n += m.role != Role::registry && m.standing == Standing::fit;
+    for (auto const& [id, m] : view(node).members) n += m.role != Role::registry && m.liveness == Liveness::fit;
     return n;
   }
   std::size_t services_seen(std::string const& node, std::string const& zone) {
--- a/tests/programs/maintenance_interface_test.cpp
+++ b/tests/programs/maintenance_interface_test.cpp
@@ -210,7 +210,7 @@
 // A zone whose backends are used now and then shows no load at most looks.
 TEST(MaintenanceInterface, a_zone_is_clear_only_after_no_load_was_announced_for_a_while) {
   InterfaceTrial trial;
-  trial.registry.offers[0].services[0].burden = 0;
+  trial.registry.offers[0].services[0].running = 0;
   ASSERT_EQ(trial.outcome(put("a", R"({"opens_in_s":60,"lasts_s":50})")), "draining");
   auto const clear = [&] {
     HttpReply const list = trial.call(HttpRequest{"GET", "/maintenance", {}, ""});
@@ -219,9 +219,9 @@
   EXPECT_FALSE(clear());
   trial.sim.run_until(trial.sim.now + 10s);
   EXPECT_TRUE(clear());
-  trial.registry.offers[0].services[0].burden = 1;
+  trial.registry.offers[0].services[0].running = 1;
   trial.sim.run_until(trial.sim.now + 1s);
-  trial.registry.offers[0].services[0].burden = 0;
+  trial.registry.offers[0].services[0].running = 0;
   EXPECT_FALSE(clear());
   trial.sim.run_until(trial.sim.now + 10s);
   EXPECT_TRUE(clear());
@@ -237,8 +237,8 @@
 
 TEST(MaintenanceInterface, a_zone_that_the_others_cannot_stand_in_for_wants_force) {
   InterfaceTrial trial;
-  trial.registry.offers[1].services[0].burden = 9;
-  trial.registry.offers[2].services[0].burden = 8;
+  trial.registry.offers[1].services[0].running = 9;
+  trial.registry.offers[2].services[0].running = 8;
   EXPECT_EQ(trial.outcome(put("a", evening)), "409 no_capacity");
   EXPECT_EQ(trial.outcome(put("a", forced)), "scheduled");
   EXPECT_EQ(trial.outcome(put("a", evening)), "scheduled") << "a repeat is not judged again";
--- a/tests/state/zone_view_test.cpp
+++ b/tests/state/zone_view_test.cpp
@@ -15,17 +15,17 @@
   for (int i = 0; i < 3000; ++i) {
     Change c;
     if (r(3) == 0)
-      c.member = Member{"n" + std::to_string(r(5)), "a", "", Role::node, r(9), static_cast<Standing>(r(4))};
+      c.member = Member{"n" + std::to_string(r(5)), "a", "", Role::node, r(9), static_cast<Liveness>(r(4))};
     else
       c.backend =
-          BackendRecord{"s", "i" + std::to_string(r(9)), "n" + std::to_string(r(5)), 1, 0, static_cast<Standing>(r(4))};
+          BackendRecord{"s", "i" + std::to_string(r(9)), "n" + std::to_string(r(5)), 1, 0, static_cast<Liveness>(r(4))};
     a.apply(c);
     ZoneView b;
     b.replace(a.snapshot({}));
     ASSERT_EQ(a.members, b.members);
     ASSERT_EQ(a.backends, b.backends);
   }
-  a.apply(Change{0, Member{"n1", "a", "", Role::node, 1, Standing::dead}, std::nullopt, std::nullopt});
+  a.apply(Change{0, Member{"n1", "a", "", Role::node, 1, Liveness::dead}, std::nullopt, std::nullopt});
   for (auto const& [key, b] : a.backends) EXPECT_NE(b.node, "n1");
 }
 
