--- a/source/coordination/node_state.hpp
+++ b/source/coordination/node_state.hpp
@@ -1,6 +1,5 @@
-// What the parts of a node share: its settings, what it knows of its cell, the
-// layouts in force, and the backends that beat to it; and what follows from
-// these for one service or backend.
+// State shared by the parts of a proxy: its settings, its view of the zone, the rules in force and the local
+// backends, with queries on these for one service or backend.
 #pragma once
 
 #include "coordination/zone_follower.hpp"
@@ -30,12 +29,12 @@
   Revision catalogue_revision = 0;
 };
 
-// A backend that beats to this node.
+// A backend that sends its heartbeats to this node.
 struct LocalBackendState {
   BackendRecord record;
   Instant last_heartbeat{};
   std::uint32_t in_flight = 0;
-  bool refused = false;  // connections were refused since its last beat
+  bool refused = false;  // a connection was refused since its last heartbeat
   bool probing = false;
 };
 
@@ -53,7 +52,7 @@
 
   bool ready() const { return has_confirmed_values && has_view && !leaving; }
 
-  // The cells that have a backend of the service, by this view.
+  // The zones that have a backend of the service, by this view.
   std::set<std::string> offering(std::string const& service, Instant const now) const {
     std::set<std::string> cells;
     for (auto it = view.backends.lower_bound({service, ""});
@@ -88,7 +87,7 @@
            now - l.last_heartbeat <= settings.heartbeat_expiry;
   }
 
-  // The one backend of the cell that should have the slice, by this view.
+  // The one backend of the zone that should hold the slice, by this view (rendezvous hashing).
   BackendRecord const* owner_of(std::string const& service, std::uint32_t const slice, Instant const now) const {
     BackendRecord const* best = nullptr;
     std::uint64_t top = 0;
@@ -104,7 +103,7 @@
     return best;
   }
 
-  // The registry is to be told anew what this node has.
+  // Joins the registry again soon, to report changed backends or a changed state.
   void rejoin() {
     if (leaving)
       follower.leave();
@@ -124,7 +123,7 @@
   std::shared_ptr<Rules const> rules = std::make_shared<Rules>();
   std::map<std::pair<std::string, std::string>, LocalBackendState> local_backends;
   std::map<std::pair<std::string, std::string>, Instant> drained_until;
-  // As the follower of the zone last said.
+  // As the zone's follower last reported.
   std::vector<RegistryEntry> directory;
   std::uint32_t cores = 0;
   RecentErrors mishaps;
--- a/source/coordination/proxy_zone_follower.hpp
+++ b/source/coordination/proxy_zone_follower.hpp
@@ -1,5 +1,5 @@
-// The product's own node on top of its zone's follower: which of its backends
-// the registry is told of, and the rules that follow from the layouts in force.
+// Connects a proxy's NodeState to its ZoneFollower: reports the node's backends to the registry and builds the rules
+// from the routing and catalogue values in force.
 #pragma once
 
 #include "coordination/node_state.hpp"
@@ -22,7 +22,7 @@
   Position position() const { return n_.follower.position(); }
 
  private:
-  static constexpr std::uint32_t burden_step = 4;  // so that not each call is news
+  static constexpr std::uint32_t burden_step = 4;  // so that not every call changes the reported load
 
   std::vector<BackendRecord> backends() const {
     std::vector<BackendRecord> all;
@@ -41,7 +41,7 @@
     n_.has_view = n_.follower.has_view();
   }
 
-  // Several values may have come at once: the first of their events takes all.
+  // Several values may have arrived at once; the first of their events handles all of them.
   void take_layouts() {
     RegisterValue const& routing = n_.zone.held(Register::routing);
     RegisterValue const& catalogue = n_.zone.held(Register::catalogue);
--- a/source/coordination/registry_directory.cpp
+++ b/source/coordination/registry_directory.cpp
@@ -21,7 +21,7 @@
 
 void RegistryDirectory::learn_answer(std::vector<RegistryEntry> const& told, Instant const asked, Instant const now) {
   for (RegistryEntry const& e : told) {
-    // No younger than it was when the question left.
+    // The age counts from when the request was sent, so it never gets smaller on the way.
     Instant const at = asked - std::chrono::milliseconds(e.age_ms);
     if (now - at < kept_for) add(e, at);
   }
@@ -109,7 +109,7 @@
   return true;
 }
 
-// A zone's own registries come in the order of their digests.
+// Prefers the zone's own registry whose address has the smallest digest.
 template <class Usable>
 RegistryEntry const* RegistryDirectory::first_of_zone(std::string const& zone, Usable const& usable) const {
   RegistryEntry const* first = nullptr;
@@ -120,7 +120,8 @@
   return first;
 }
 
-// A zone without one goes to the highest digest of its name and an address.
+// A zone without a registry of its own is adopted by rendezvous hashing: the highest digest of zone name and address
+// wins.
 template <class Usable>
 RegistryEntry const* RegistryDirectory::adopter_of(std::string const& zone, Usable const& usable) const {
   RegistryEntry const* best = nullptr;
--- a/source/coordination/registry_directory.hpp
+++ b/source/coordination/registry_directory.hpp
@@ -1,8 +1,7 @@
-// Which registries there are, in which zones, and when each was last heard of.
-// Whoever answers a question says how long ago it heard of each other registry,
-// so nobody needs to ask all of them. Who is silent for a while is not used, and
-// later forgotten. From the same directory everyone comes to the same registry
-// for a zone: the first of its own that is alive, or else one that adopts it.
+// The known registries, their zones, and when each was last heard from. Replies say how long ago their sender heard
+// from each other registry, so that no process has to ask all of them. A registry that is silent for a while is no
+// longer used, and later forgotten. From the same directory every process selects the same registry for a zone: the
+// first live one of the zone's own, or else the one that adopts the zone.
 #pragma once
 
 #include "protocol/messages.hpp"
@@ -14,35 +13,35 @@
 
 class RegistryDirectory {
  public:
-  /// Registries not heard for so long are not used.
+  /// Registries not heard from for this long are not used.
   static constexpr Duration usable_for = 8s;
-  /// Registries not heard for so long are forgotten, unless their address is a seed's.
+  /// Registries not heard from for this long are forgotten, unless their address is a seed's.
   static constexpr Duration kept_for = 60s;
   static constexpr std::size_t entry_limit = 256;
 
   explicit RegistryDirectory(std::vector<Address> seeds);
 
-  /// A registry's own entry: always alive.
+  /// Sets the entry of the registry that owns this directory; it is always alive.
   void set_own(RegistryEntry own);
-  /// What the answer to a question sent at `asked` told.
+  /// Merges the entries of the reply to a request sent at `asked`.
   void learn_answer(std::vector<RegistryEntry> const& told, Instant asked, Instant now);
-  /// What came unasked: only names count, as it may have been long on its way.
+  /// Merges entries from an unsolicited message: only the addresses, as the message may have been delayed.
   void learn_addresses(std::vector<RegistryEntry> const& told, Instant now);
-  /// A registry was heard itself.
+  /// Records direct contact with a registry.
   void heard(Address const& address, Instant now);
   void heard(RegistryEntry const& entry, Instant now);
   void forget_silent(Instant now);
 
-  /// All that are known, also those that are silent.
+  /// All known registries, including silent ones.
   std::vector<RegistryEntry> const& entries() const { return entries_; }
-  /// The same with their ages.
+  /// The same entries, each with the time since its registry was heard from.
   std::vector<RegistryEntry> entries_with_ages(Instant now) const;
   bool alive(Address const& address, Instant now, Duration within = usable_for) const;
-  /// Addresses of those heard lately, in order.
+  /// Addresses of the registries heard from within that time, in order.
   std::vector<Address> live(Instant now, Duration within = usable_for) const;
-  /// The registry that keeps the zone; if none is alive, the one that would.
+  /// The registry in charge of the zone; if none is alive, the one that would be.
   Address registry_of(std::string const& zone, Instant now) const;
-  /// The zone in which the registry at the address stands.
+  /// The zone of the registry at the address.
   std::string zone_of(Address const& address) const;
 
  private:
--- a/source/coordination/ring.hpp
+++ b/source/coordination/ring.hpp
@@ -1,8 +1,7 @@
-// A member's place on the ring is the digest of its id. Its watchers are the
-// next few members after it, so any two that see the same members name the
-// same watchers with no word between them. The relay tree is laid over the
-// same order: the registry is the root, and each node passes news to the few
-// whose places in the order follow from its own.
+// The ring orders members by the digest of their ids. A member's watchers are the next few members after it, so any
+// two processes with the same member list compute the same watchers without coordination. The relay tree uses the
+// same order: the registry is the root, and each node forwards updates to a few nodes whose positions are computed
+// from its own.
 #pragma once
 
 #include "protocol/digest.hpp"
@@ -31,7 +30,7 @@
   return out;
 }
 
-// `order` holds the nodes without the root; `from` empty means the root.
+// The nodes to which `from` forwards; empty means the root. `order` doesn't contain the root.
 inline std::vector<std::string> relays_below(std::string const& from, std::vector<std::string> const& order) {
   std::size_t first = 0;
   if (!from.empty()) {
--- a/source/coordination/ring_neighbours.hpp
+++ b/source/coordination/ring_neighbours.hpp
@@ -1,4 +1,4 @@
-// What a member's place on the ring comes to, kept until the membership changes.
+// A member's neighbours on the ring and in the relay tree, cached until the membership changes.
 #pragma once
 
 #include "coordination/ring.hpp"
@@ -8,13 +8,13 @@
 
 namespace banktide {
 
-/// The places around one member (or registry) of a zone. Who leaves or is suspected stands last in the relay tree: it
-/// still gets the news, and nobody depends on it for them.
+/// The neighbours of one member (or registry) of a zone. Leaving and suspected nodes come last in the relay tree:
+/// they still get the updates, but no other node depends on them.
 class RingNeighbours {
  public:
   explicit RingNeighbours(std::string id) : id_(std::move(id)) {}
 
-  /// To be called before the others; costs nothing if no member came or went.
+  /// To be called before the accessors; does nothing if the membership hasn't changed.
   void follow(ZoneView const& view) {
     if (known_ && seen_ == view.membership_version()) return;
     known_ = true;
@@ -37,13 +37,13 @@
       watched_.insert(order[(at + order.size() - k) % order.size()]);
   }
 
-  /// Those that the member beats to.
+  /// The members to which this one sends heartbeats.
   std::vector<std::string> const& watchers() const { return watchers_; }
-  /// Those whose beats it should hear.
+  /// The members from which it expects heartbeats.
   std::set<std::string> const& watched() const { return watched_; }
-  /// Those to which it passes news on.
+  /// The nodes to which it forwards updates.
   std::vector<std::string> relays() const { return relays_below(id_, nodes_); }
-  /// Those to which a registry sends news first.
+  /// The nodes to which the registry sends updates.
   std::vector<std::string> first_relays() const { return relays_below("", nodes_); }
   std::size_t nodes() const { return nodes_.size(); }
 
--- a/source/coordination/transit_delay.hpp
+++ b/source/coordination/transit_delay.hpp
@@ -1,8 +1,7 @@
-// How long a message was on its way, with no common clock. For each sender the
-// least difference between its clock and ours is kept, over two windows so that
-// clocks of slightly different speed don't matter. What a message is late
-// against that is time it spent in a frozen process or a held-up link. A sender
-// that is new or was quiet for long is first asked for its clock.
+// Estimates how long a message was delayed, without a common clock. For each sender the smallest difference between
+// its clock and the local one is kept, over two windows so that clock drift doesn't matter. What a message exceeds
+// that difference by is time it spent in a suspended process or a stalled link. A sender that is new or was silent
+// for long is first asked for its clock.
 #pragma once
 
 #include "transport/result.hpp"
@@ -17,7 +16,7 @@
  public:
   static constexpr Duration window = 10s, sender_timeout = 60s, quick_answer = 20ms;
 
-  // None: the sender's clock isn't known.
+  // The delay of a message; none if the sender's clock isn't known.
   std::optional<Duration> delay_of(std::string const& sender, std::int64_t const sent_us, Instant const now) {
     auto const it = offsets_.find(sender);
     if (it == offsets_.end() || now - it->second.last > sender_timeout) return std::nullopt;
@@ -29,9 +28,9 @@
     return std::chrono::microseconds(offset - std::min(l.smallest, l.previous_smallest));
   }
 
-  // The same for a message that came when its sender's clock wasn't known. Asked
-  // for it from `asked` until `now`, the sender read `clock_us`; the message is
-  // taken to be as late as that allows. Only a quick answer is kept.
+  // The same for a message that arrived at `came`, when its sender's clock wasn't known. The sender was asked for its
+  // clock at `asked` and its answer `clock_us` arrived at `now`; the largest delay that these allow is returned. The
+  // clock is kept only if the answer was quick.
   Duration learn_clock(std::string const& sender, std::int64_t const clock_us, Instant const asked, Instant const now,
                        std::int64_t const sent_us, Instant const came) {
     if (offsets_.size() > 1024)
--- a/source/coordination/zone_entries.hpp
+++ b/source/coordination/zone_entries.hpp
@@ -1,5 +1,5 @@
-// What zones tell each other through their registries: of the zones kept here,
-// when their entries are due to be told; of the others, what was last heard.
+// The zone entries that registries exchange: for the zones served by this registry, when their entries are due to be
+// sent; for the others, the last entry received.
 #pragma once
 
 #include "coordination/feed_timing.hpp"
@@ -11,8 +11,8 @@
  public:
   explicit ZoneEntries(FeedTiming const& timing) : timing_(timing) {}
 
-  /// The entry of a zone kept here, if it is to be told now. `make` is called
-  /// only if its feed has moved. The caller fills in the sender.
+  /// The announcement of a zone served here, if it is due now. `make` is called only if the feed's position has
+  /// changed. The caller fills in the sender.
   template <class Make>
   std::optional<ZoneAnnouncement> due(std::string const& zone, Position const at, Instant const now, Make make) {
     Outgoing& out = outgoing_[zone];
@@ -32,11 +32,11 @@
     return told;
   }
 
-  /// The zone is kept here no more.
+  /// The zone is no longer served by this registry.
   void stop(std::string const& zone) { outgoing_.erase(zone); }
 
-  /// What another registry told; the entry if it counts. Two may tell of one zone
-  /// while its nodes go from one to the other: who has more gateways counts.
+  /// Takes in another registry's announcement; returns the entry if it was accepted, else null. Two registries may
+  /// announce one zone while its nodes move from one to the other: the one with more gateways wins.
   ZoneEntry const* take(ZoneAnnouncement told, Instant const now) {
     Incoming& known = incoming_[told.entry.zone];
     bool const same = told.sender == known.sender;
@@ -47,7 +47,7 @@
     return &known.entry;
   }
 
-  /// Zones of which nobody has told for long, each as an entry with nothing in it.
+  /// Forgets zones that nobody has announced for long; returns an empty entry for each.
   std::vector<ZoneEntry> forget(Instant const now) {
     std::vector<ZoneEntry> gone;
     std::erase_if(incoming_, [&](auto const& e) {
@@ -66,7 +66,7 @@
 
  private:
   static constexpr Duration rival_timeout = 3s;
-  static constexpr unsigned repeats = 3;  // of a changed entry, as one-way messages may be lost
+  static constexpr unsigned repeats = 3;  // of a changed entry, because one-way messages may be lost
 
   struct Outgoing {
     Position at;
--- a/source/coordination/zone_feed.hpp
+++ b/source/coordination/zone_feed.hpp
@@ -1,7 +1,6 @@
-// What a registry keeps of one zone: its members and backends, the journal of
-// their changes, the news of these that go down the relay tree, and the watch on
-// the members that beat to it. It is memory only: a feed that begins takes its
-// zone from the nodes, and tells nothing of it until they had time to join.
+// A registry's state of one zone: its members and backends, the journal of their changes, the updates sent down the
+// relay tree, and failure detection for the members that send it heartbeats. It is kept in memory only: a new feed
+// learns its zone from the joining nodes, and publishes nothing until they had time to join.
 #pragma once
 
 #include "coordination/feed_timing.hpp"
@@ -12,7 +11,7 @@
 
 namespace banktide {
 
-/// Whose feed it is, of which zone.
+/// Identifies the registry and the zone of a feed.
 struct FeedSettings {
   std::string zone;
   std::string registry_id;
@@ -20,13 +19,13 @@
   FeedTiming timing{};
 };
 
-/// What the feed's pulses say of the registry besides the zone.
+/// Registry state that the feed's updates carry besides the zone's changes.
 struct FeedSources {
   std::function<bool()> vouched;
   std::function<Revisions()> revisions;
 };
 
-// Always made by make_shared: news on their way keep it.
+// Must be created by make_shared: pending updates keep it alive.
 template <Environment Env>
 class ZoneFeed : public std::enable_shared_from_this<ZoneFeed<Env>> {
  public:
@@ -50,23 +49,23 @@
   ZoneView const& view() const { return view_; }
   std::uint64_t epoch() const { return epoch_; }
   Position position() const { return Position{epoch_, journal_.last()}; }
-  /// Nodes had time to join, so that what is known here may be told.
+  /// Whether nodes had time to join, so that this view is complete enough to publish.
   bool warm() const { return env_.now() >= warm_at_; }
   bool has_nodes() const { return nodes_ > 0; }
   bool had_nodes() const { return had_nodes_; }
-  /// How long there has been no node.
+  /// How long the zone has had no node.
   Duration empty_for() const { return has_nodes() ? Duration::zero() : env_.now() - last_node_at_; }
 
-  // ---- what members say
+  // ---- requests from members
 
   JoinReply join(Join q) {
     JoinReply reply;
     reply.epoch = epoch_;
     if (!is_valid(q)) return reply;
     auto const it = view_.members.find(q.self.id);
-    bool const suspected = it != view_.members.end() && it->second.liveness == Liveness::suspected;
-    if (suspected && q.self.liveness == Liveness::fit && q.self.incarnation <= it->second.incarnation) {
-      reply.incarnation = it->second.incarnation + 1;  // refute with this
+    bool const suspected = it != view_.members.end() && it->second.standing == Standing::suspected;
+    if (suspected && q.self.standing == Standing::fit && q.self.incarnation <= it->second.incarnation) {
+      reply.incarnation = it->second.incarnation + 1;  // the member refutes the suspicion with this one
       return reply;
     }
     if (!has_nodes()) begin_warm_up();
@@ -87,7 +86,7 @@
 
   FollowReply follow(Follow const& q) const {
     FollowReply reply;
-    // A feed without nodes has nothing to tell those that are about to join it.
+    // A feed without nodes has no view yet for nodes that are about to join it.
     reply.known = warm() && (has_nodes() || q.zone != settings_.zone);
     if (!reply.known) return reply;
     reply.at = position();
@@ -114,32 +113,32 @@
     publish_member(m);
   }
 
-  // ---- what is told to them
+  // ---- updates to members
 
-  /// To be called every `pulse_every`; what isn't urgent goes along.
+  /// To be called every `pulse_every`; sends the changes that aren't urgent.
   void pulse() { send_down(next_update()); }
 
-  /// A newer value of a register, at once.
+  /// Sends a newer value of a register at once.
   void send_value(Register const reg, RegisterValue const& held) {
     ZoneUpdate n = next_update();
     n.layouts.emplace_back(reg, held);
     send_down(n);
   }
-  /// A newer table of keys, by what has changed.
+  /// Sends a newer key table as a delta.
   void send_key_delta(KeyDelta const& delta) {
     ZoneUpdate n = next_update();
     n.key_deltas.push_back(delta);
     send_down(n);
   }
 
-  /// A newer configuration, by what has changed.
+  /// Sends a newer configuration as a delta.
   void send_routing_delta(TextDelta const& delta) {
     ZoneUpdate n = next_update();
     n.routing_deltas.push_back(delta);
     send_down(n);
   }
 
-  /// What another zone offers.
+  /// Takes in another zone's entry and publishes what has changed in it.
   void update_zone_entry(ZoneEntry const& entry) {
     if (entry.zone == settings_.zone) return;
     auto const it = view_.zones.find(entry.zone);
@@ -152,11 +151,11 @@
     publish(std::move(change), loads_only ? Urgency::with_next_pulse : Urgency::at_once);
   }
 
-  /// To be called every `beat_every`: beats to the registry's own watchers, and
-  /// looks for members that are silent.
+  /// To be called every `beat_every`: sends heartbeats to the registry's own watchers, and detects silent members.
   void watch() {
     Instant const now = env_.now();
-    bool const was_suspended = now - watched_at_ > 4 * timing_.beat_every;  // we were frozen: nobody else was silent
+    bool const was_suspended =
+        now - watched_at_ > 4 * timing_.beat_every;  // this process was suspended, the others were not silent
     watched_at_ = now;
     neighbours_.follow(view_);
     send_heartbeats();
@@ -174,7 +173,7 @@
     for (Member& m : dead) remove_dead(m);
   }
 
-  /// The zone as others see it.
+  /// The zone's entry for other zones.
   ZoneEntry entry() const {
     ZoneEntry e;
     e.zone = settings_.zone;
@@ -206,7 +205,7 @@
   static constexpr std::size_t backend_limit = 1000;
   static constexpr std::size_t journal_length = 512;
   static constexpr Duration batching_delay = 2ms;
-  static constexpr std::uint32_t load_rounding_steps = 8;  // in which an offer's load is told
+  static constexpr std::uint32_t load_rounding_steps = 8;  // to which an offer's load is rounded, per number of slots
 
   bool is_valid(Join const& q) const {
     bool const named = !q.self.id.empty() && q.self.id != settings_.registry_id && q.self.zone == settings_.zone;
@@ -215,14 +214,14 @@
     return named && node && present && q.backends.size() <= backend_limit;
   }
 
-  // Rounded up, so that 0 means that there is nothing.
+  // Rounds up, so that 0 means no load.
   static std::uint32_t round_up_load(std::uint32_t const load, std::uint32_t const slots) {
     std::uint32_t const step = std::max<std::uint32_t>(1, slots / load_rounding_steps);
     return (load + step - 1) / step * step;
   }
 
-  // Nodes that come to a feed that has none come one after the other: from their
-  // start, or from another registry that has kept them until now.
+  // The nodes of an empty feed join one after the other, either at their start or when they move from another
+  // registry.
   void begin_warm_up() {
     bool const moved = env_.now() - started_ > timing_.warm_up;
     warm_at_ = std::max(warm_at_, env_.now() + (moved ? timing_.moved_warm_up : timing_.warm_up));
@@ -254,7 +253,7 @@
     return before == after;
   }
 
-  // ---- news
+  // ---- publishing
 
   void record_change(Change c) {
     c.seq = journal_.last() + 1;
@@ -271,7 +270,7 @@
     last_node_at_ = env_.now();
   }
 
-  // Loads change all the time, and a message for each would be most of what a node hears.
+  // Loads change constantly; a message for each change would be most of a node's traffic.
   enum class Urgency : std::uint8_t { at_once, with_next_pulse };
 
   void publish(Change c, Urgency const urgency) {
@@ -283,14 +282,14 @@
   }
   void publish_member(Member const& m) { publish(Change{0, m, std::nullopt, std::nullopt}, Urgency::at_once); }
 
-  // Changes of one moment go in one piece of news.
+  // Batches changes that happen close together into one update.
   static Task<void> flush_soon(std::shared_ptr<ZoneFeed> const feed) {
     co_await sleep_for(feed->env_, batching_delay);
     feed->flushing_ = false;
     if (!feed->unsent_.empty()) feed->send_down(feed->next_update());
   }
 
-  // With all changes that weren't sent yet: whoever gets it has everything up to its position.
+  // Contains all unsent changes, so that a receiver has everything up to its position.
   ZoneUpdate next_update() {
     ZoneUpdate n;
     n.changes = std::exchange(unsent_, {});
@@ -311,7 +310,7 @@
       env_.tell_raw(view_.members.at(id).address, ZoneUpdate::kind, raw);
   }
 
-  // ---- watching
+  // ---- failure detection
 
   void send_heartbeats() {
     if (neighbours_.watchers().empty()) return;
@@ -322,8 +321,8 @@
       env_.tell_raw(view_.members.at(id).address, Heartbeat::kind, raw);
   }
 
-  // When the member was last heard, as far as silence counts against it: one
-  // that isn't watched here, or while we were frozen, isn't silent.
+  // When the member was last heard from, for failure detection. A member that isn't watched by this registry, or any
+  // member while this process was suspended, doesn't count as silent.
   Instant effective_last_heard(std::string const& id, bool const watched, bool const was_suspended) {
     Instant const now = env_.now();
     Instant& heard = last_heard_.try_emplace(id, watched ? now : Instant{}).first->second;
@@ -364,7 +363,7 @@
   std::uint64_t pulse_ = 0;
   bool flushing_ = false, had_nodes_ = false;
   std::vector<Change> unsent_;
-  Position announced_{};  // by the latest news
+  Position announced_{};  // in the latest update
   std::map<std::string, Instant> last_heard_, suspected_, joined_;
 };
 
--- a/source/coordination/zone_follower.hpp
+++ b/source/coordination/zone_follower.hpp
@@ -1,8 +1,7 @@
-// How a node knows its zone and the values of the registers: it meets the
-// registries, joins its own, takes the news that comes down the relay tree and
-// passes it on, beats to its watchers on the ring, and asks when it is behind.
-// While its registry is gone it asks others, for values only. What the values
-// mean is none of its business.
+// Keeps a node's view of its zone and the register values up to date. It exchanges registry lists, joins the zone's
+// registry, applies the updates that arrive through the relay tree and forwards them, sends heartbeats to its
+// watchers on the ring, and requests what it has missed. While its registry is down it asks other registries, for
+// register values only. It doesn't interpret the values.
 #pragma once
 
 #include "coordination/feed_timing.hpp"
@@ -23,17 +22,17 @@
   FeedTiming timing{};
 };
 
-/// What a follower tells its owner, and asks of it. Each may be left empty.
+/// Callbacks to the follower's owner. Each may be left empty.
 struct FollowerEvents {
-  /// The backends that stand beside this node; asked at each join.
+  /// Returns the backends attached to this node; called before each join.
   std::function<std::vector<BackendRecord>()> backends;
-  /// A newer value of a register is known, and its digest is right.
+  /// A newer value of a register was accepted; its digest has been verified.
   std::function<void(Register, RegisterValue const&)> value;
-  /// The routing register's value here is the newest of those chosen before this instant, a quorum says.
+  /// A quorum confirmed that the held routing value is the newest of those chosen before this instant.
   std::function<void(Instant)> routing_confirmed;
   /// The view of the zone has changed.
   std::function<void()> view_changed;
-  /// The directory, `cores`, `fresh` or `viewed` may have changed.
+  /// The directory, `registry_count`, `has_confirmed_values` or `has_view` may have changed.
   std::function<void()> status_changed;
 };
 
@@ -52,7 +51,7 @@
         started_(env.now()),
         last_contact_(env.now()) {}
 
-  /// Takes the place of the events given at first; before `start`.
+  /// Replaces the callbacks given to the constructor; must be called before `start`.
   void set_events(FollowerEvents events) { events_ = std::move(events); }
 
   void start(Dispatcher& dispatcher) {
@@ -68,26 +67,26 @@
 
   ZoneView const& view() const { return view_; }
   std::vector<RegistryEntry> const& directory() const { return directory_.entries(); }
-  /// Registries that were heard of lately.
+  /// Registries heard from recently.
   std::vector<Address> live_registries() const { return directory_.live(env_.now()); }
   Address own_registry() const { return directory_.registry_of(settings_.zone, env_.now()); }
-  /// How many registries there are, as they say themselves.
-  std::uint32_t cores() const { return cores_; }
+  /// The configured number of registries, as the registries report it.
+  std::uint32_t registry_count() const { return registry_count_; }
   RegisterValue const& held(Register const r) const { return values_.of(r); }
-  /// There was a reading that a majority vouched for.
+  /// Whether the values have been confirmed by a majority at least once.
   bool has_confirmed_values() const { return has_confirmed_values_; }
-  /// There was a view of the zone.
+  /// Whether a view of the zone has been received.
   bool has_view() const { return has_view_; }
   Position position() const { return position_; }
   std::uint64_t incarnation() const { return incarnation_; }
-  /// How long ago any registry or member was last heard.
+  /// Time since the last message from any registry or member.
   Duration since_contact() const { return env_.now() - last_contact_; }
 
-  /// Takes up a chosen value that the owner has from elsewhere.
-  void take(Register const r, RegisterValue const& held) { accept_values({{r, held}}); }
-  /// Asks registries for a table of keys of at least this revision, which was chosen
-  /// a moment ago: the own one, again for a while as it may be about to learn of it,
-  /// then another. True if the table is here then, also by news.
+  /// Accepts a chosen value that the owner obtained elsewhere.
+  void accept(Register const r, RegisterValue const& held) { accept_values({{r, held}}); }
+  /// Fetches a key table of at least this revision, which was chosen a moment ago. Asks the zone's own registry,
+  /// repeatedly for a short time because it may not have learnt of the table yet, then another one. True if the table
+  /// is held afterwards, even if it arrived in an update.
   Task<bool> fetch_key_table(Revision const wanted) {
     Instant const own_until = env_.now() + own_registry_keys_timeout;
     while (env_.now() < own_until && keys().revision < wanted && !own_registry().empty()) {
@@ -101,28 +100,28 @@
     co_return keys().revision >= wanted;
   }
 
-  /// Asks for a reading that confirms the routing register's value here, or brings a newer one: the own registry, and
-  /// others if that doesn't vouch. False if none did.
+  /// Requests a reading that confirms the held routing value or returns a newer one: from the zone's own registry,
+  /// and from others if that one can't confirm. False if none could.
   Task<bool> confirm_routing() {
     Address const own = own_registry();
     co_return co_await catch_up_values(own);
   }
 
-  /// The registry is to be told anew what this node has.
+  /// Joins again soon, to report changed backends or a changed state to the registry.
   void rejoin() {
     join_due_ = true;
     join_alarm_.wake();
   }
-  /// From now on the node is leaving.
+  /// Marks the node as leaving and reports it.
   void leave() {
     leaving_ = true;
     rejoin();
   }
-  /// The registry knows that this node is leaving.
+  /// Whether the registry has acknowledged that this node is leaving.
   bool leave_acknowledged() const { return leave_acknowledged_; }
 
  private:
-  // ---- what is heard
+  // ---- contact and callbacks
 
   void heard(Address const& registry) {
     last_contact_ = env_.now();
@@ -157,7 +156,7 @@
     status_changed();
   }
 
-  // The seeds, and one other, should all seeds be gone.
+  // The seeds and one other known registry, in case all seeds are down.
   std::vector<Address> peers_to_meet() {
     std::vector<Address> peers = settings_.seeds;
     std::vector<RegistryEntry> const& known = directory_.entries();
@@ -223,7 +222,7 @@
     if (own_registry() != registry) join_due_ = true;
   }
 
-  // ---- values of the registers
+  // ---- register values
 
   void accept_values(std::vector<std::pair<Register, RegisterValue>> newer) {
     if (broken_on_purpose("old_catalogue") && held(Register::catalogue).revision > 0)
@@ -240,9 +239,10 @@
   }
   RegisterValue const& keys() const { return held(Register::keys); }
 
-  // ---- news of the zone
+  // ---- updates of the zone
 
-  // What is to be passed on goes first: reading a value takes long on a small machine, on each level of the tree.
+  // Forwards the update before applying it: parsing a value is slow on a small machine, and the delay would add up
+  // over the levels of the tree.
   Task<NoReply> news(ZoneUpdate q) {
     last_contact_ = env_.now();
     bool const current = is_current(q);
@@ -255,8 +255,8 @@
     co_return NoReply{};
   }
 
-  // Whether the news come from the zone's registry, and are the latest. A registry that has kept the zone before may
-  // not know yet that it doesn't.
+  // Whether the update comes from the registry in charge of the zone and is newer than the last one. A registry that
+  // was in charge before may not know yet that it no longer is.
   bool is_current(ZoneUpdate const& q) {
     Address const own = own_registry();
     if (!own.empty() && q.root != own) return false;
@@ -289,7 +289,7 @@
     if (changed) view_changed();
   }
 
-  // If the zone's view has us wrong, say so.
+  // Joins again if the zone's view of this node is wrong.
   void check_own_entry() {
     auto const me = view_.members.find(settings_.id);
     if (me == view_.members.end() || me->second.liveness != (leaving_ ? Liveness::leaving : Liveness::fit)) rejoin();
@@ -312,7 +312,7 @@
     if (r->snapshot) {
       view_.replace(*r->snapshot);
       position_ = r->snapshot->at;
-      last_heard_.clear();  // members that had lost sight of this node owe it no beats from before
+      last_heard_.clear();  // members that didn't know this node sent it no heartbeats before
       check_own_entry();
       view_changed();
     } else {
@@ -327,8 +327,8 @@
 
   Duration values_timeout() const { return has_confirmed_values_ ? Duration(400ms) : Duration(1000ms); }
 
-  // The newest values that a quorum vouches for: from the registry named, if it answers and vouches for its own, else
-  // from others. False if nobody vouched.
+  // Fetches the newest values that a quorum confirms: from `first`, if it answers and can confirm its own, else from
+  // other registries. False if none could.
   Task<bool> catch_up_values(Address const first) {
     if (!first.empty() && co_await ask_for_values(first, env_.now() + values_timeout())) co_return true;
     if (broken_on_purpose("own_registry_only")) co_return false;
@@ -341,8 +341,8 @@
     co_return co_await catch_up_from_one_of(rest);
   }
 
-  // Each tells its revisions only. The first that a quorum vouches for is the one whose values are fetched, if they
-  // are newer: whole values of many registries would fill the links.
+  // Asks each registry for its revisions only, and fetches newer values from the first one that a quorum confirms.
+  // Whole values from many registries would fill the links.
   Task<bool> catch_up_from_one_of(std::vector<Address> const from) {
     if (from.empty()) co_return false;
     RegisterValuesRequest request = values_.request();
@@ -366,7 +366,7 @@
     co_return co_await ask_for_values(newest, env_.now() + values_timeout());
   }
 
-  // Takes whatever newer values that registry has. Whether it vouches for them.
+  // Accepts whatever newer values that registry has; returns whether it confirms them.
   Task<bool> ask_for_values(Address const from, Instant const deadline) {
     RegisterValuesRequest request = values_.request();
     request.fresh = !fresh_;
@@ -381,7 +381,7 @@
     co_await ask_registry(from, request, deadline);
   }
 
-  // What one registry has is chosen even if it can't vouch that it's the newest.
+  // A registry's value is a chosen one even if the registry can't confirm that it is the newest.
   Task<std::optional<RegisterValuesReply>> ask_registry(Address const from, RegisterValuesRequest const request,
                                                         Instant const deadline) {
     Result<RegisterValuesReply> const r = co_await ask(env_, from, request, deadline);
@@ -392,7 +392,7 @@
     co_return *r;
   }
 
-  // The reply was made after the question was sent, and its reading was begun at most its age before that.
+  // The reply was made after the request was sent, and its reading began at most `reading_age_ms` before that.
   void accept_confirmed_reply(RegisterValuesReply const& reply, Instant const asked) {
     confirmed_at_ = env_.now();
     bool const here = held(Register::routing).revision >= reply.revisions[static_cast<std::size_t>(Register::routing)];
@@ -403,7 +403,7 @@
     status_changed();
   }
 
-  // Registries of any zone that were heard lately, or all that are known if none was.
+  // Registries of any zone heard from recently, or all known ones if there is none.
   std::vector<Address> other_live_registries(Address const& but) const {
     std::vector<Address> all = directory_.live(env_.now());
     if (all.empty())
@@ -412,9 +412,9 @@
     return all;
   }
 
-  // Behind or without a pulse that is vouched for, a node asks its registry. While that is gone, or
-  // has no majority to vouch for its values, it asks another zone's for
-  // them too: the one way in which zones lean on each other's control planes.
+  // A node that is behind, or has no confirmed pulse, asks its registry. While that one is down, or has no majority
+  // to confirm its values, the node also asks another zone's registry for values. This is the only way in which zones
+  // depend on each other's control planes.
   Task<void> refresh_loop() {
     while (true) {
       if (!is_behind_) co_await refresh_alarm_.wait(env_.now() + timing_.pulse_every);
@@ -435,8 +435,8 @@
     }
   }
 
-  // A node that starts while its registry is gone knows no zone mates; it can
-  // still cross by what another zone's registry knows.
+  // A node that starts while its registry is down knows no members of its own zone; it can still send calls to other
+  // zones by the view of another zone's registry.
   Task<void> fetch_foreign_view(Address const from) {
     Follow const request{};
     Result<FollowReply> const r = co_await ask(env_, from, request, env_.now() + 400ms);
@@ -456,7 +456,7 @@
     co_return reply;
   }
 
-  // ---- beats
+  // ---- heartbeats
 
   Task<NoReply> on_heartbeat(Heartbeat q) {
     last_contact_ = env_.now();
@@ -472,7 +472,7 @@
     return (at.epoch == position_.epoch && at.seq > position_.seq) || values_.is_behind(revisions);
   }
 
-  // The news that the sender has already may be on their way here.
+  // Waits first: the update that the sender already has may still be on its way here.
   Task<void> recheck_behind(Position const at, Revisions const revisions) {
     co_await sleep_for(env_, in_transit_allowance);
     recheck_pending_ = false;
@@ -484,7 +484,8 @@
     while (true) {
       co_await sleep_for(env_, timing_.beat_every);
       Instant const now = env_.now();
-      bool const was_suspended = now - last > 4 * timing_.beat_every;  // we were frozen: nobody else was silent
+      bool const was_suspended =
+          now - last > 4 * timing_.beat_every;  // this process was suspended, the others were not silent
       last = now;
       neighbours_.follow(view_);
       send_heartbeats();
@@ -514,7 +515,7 @@
     }
   }
 
-  // Nodes that fail together don't ask again together.
+  // Random jitter, so that nodes that fail together don't retry together.
   Duration jittered(Duration const pause) { return pause * 3 / 4 + Duration(env_.chance()() % (pause.count() / 2)); }
 
   static constexpr Duration meet_timeout = 500ms;
@@ -524,9 +525,10 @@
   static constexpr Duration other_registry_keys_timeout = 300ms;
   static constexpr Duration keys_retry_pause = 25ms;
   static constexpr Duration in_transit_allowance = 60ms;
-  static constexpr std::size_t first_registries_asked = 3;  // registries, when the own one doesn't vouch
-  static constexpr Duration frequent_meet_period = 3s;  // from the start, until all registries had time to be heard of
-  // Frames between processes are given up long before they are this old.
+  static constexpr std::size_t first_registries_asked = 3;  // registries, when the own one can't confirm
+  static constexpr Duration frequent_meet_period =
+      3s;  // after the start, until all registries had time to become known
+  // The transport drops frames long before they are this old.
   static constexpr Duration max_update_delay = 3s;
 
   Env& env_;
@@ -543,13 +545,13 @@
   HeldValues values_;
   Position position_;
   std::map<std::string, Instant> last_heard_;
-  Duration ask_pause_ = shortest_ask_pause;  // doubles while nobody vouches for values
+  Duration ask_pause_ = shortest_ask_pause;  // doubles while no registry confirms values
   std::uint32_t registry_count_ = 0;
   std::uint64_t incarnation_ = 1, pulse_ = 0, pulse_epoch_ = 0;
   Instant confirmed_at_{};
   bool has_confirmed_values_ = false, has_view_ = false, leaving_ = false, leave_acknowledged_ = false,
        join_due_ = true, is_behind_ = false;
-  bool recheck_pending_ = false;  // whether this node is behind one that it heard a beat of
+  bool recheck_pending_ = false;  // a check against a member whose heartbeat was ahead is scheduled
 };
 
 }  // namespace banktide
