--- a/tests/coordination/held_values_test.cpp
+++ b/tests/coordination/held_values_test.cpp
@@ -1,4 +1,5 @@
-// The newest values are kept, by whatever way they come, and what doesn't fit is asked for whole.
+// Values and deltas are accepted in order of revision; after a delta that fails to apply the whole value is
+// requested.
 #include "coordination/held_values.hpp"
 
 #include "state/text_delta.hpp"
@@ -16,28 +17,28 @@
   return text;
 }
 
-TEST(HeldValues, takes_only_what_is_newer_and_whole) {
+TEST(HeldValues, accepts_only_newer_and_undamaged_values) {
   HeldValues values;
   RegisterValue const second = compressed_value(2, "two");
-  EXPECT_EQ(values.take({{Register::routing, second}}), std::vector<Register>{Register::routing});
-  EXPECT_TRUE(values.take({{Register::routing, compressed_value(1, "one")}}).empty());
-  RegisterValue spoilt = compressed_value(3, "three");
-  spoilt.bytes.back() = static_cast<char>(spoilt.bytes.back() ^ 1);
-  EXPECT_TRUE(values.accept({{Register::routing, spoilt}}).empty());
+  EXPECT_EQ(values.accept({{Register::routing, second}}), std::vector<Register>{Register::routing});
+  EXPECT_TRUE(values.accept({{Register::routing, compressed_value(1, "one")}}).empty());
+  RegisterValue damaged = compressed_value(3, "three");
+  damaged.bytes.back() = static_cast<char>(damaged.bytes.back() ^ 1);
+  EXPECT_TRUE(values.accept({{Register::routing, damaged}}).empty());
   EXPECT_EQ(values.of(Register::routing), second);
 }
 
-TEST(HeldValues, lacks_what_is_told_to_be_newer_of_any_register) {
+TEST(HeldValues, is_behind_when_any_register_has_a_newer_revision) {
   HeldValues values;
   values.accept({{Register::routing, compressed_value(5, "five")}});
   EXPECT_FALSE(values.is_behind(values.revisions()));
-  Revisions told = values.revisions();
-  told[static_cast<std::size_t>(Register::maintenance)] = 1;
-  EXPECT_TRUE(values.is_behind(told));
+  Revisions newer_revisions = values.revisions();
+  newer_revisions[static_cast<std::size_t>(Register::maintenance)] = 1;
+  EXPECT_TRUE(values.is_behind(newer_revisions));
   EXPECT_FALSE(values.is_behind(Revisions{}));
 }
 
-TEST(HeldValues, a_configuration_comes_by_deltas_one_after_the_other) {
+TEST(HeldValues, a_configuration_is_updated_by_successive_deltas) {
   HeldValues values;
   std::vector<RegisterValue> versions;
   for (Revision n = 1; n <= 4; ++n) versions.push_back(compressed_value(n, numbered_lines(n * 20)));
@@ -49,7 +50,7 @@
   EXPECT_EQ(values.request().have[0], 4u);
 }
 
-TEST(HeldValues, a_delta_from_another_version_changes_nothing_and_a_spoilt_one_has_the_whole_asked_for) {
+TEST(HeldValues, a_delta_from_another_version_is_ignored_and_a_damaged_one_makes_the_whole_value_requested) {
   RegisterValue const first = compressed_value(1, numbered_lines(10));
   RegisterValue const second = compressed_value(2, numbered_lines(20));
   RegisterValue const third = compressed_value(3, numbered_lines(30));
@@ -57,9 +58,9 @@
   values.accept({{Register::routing, first}});
   EXPECT_TRUE(values.accept_routing_deltas({*make_text_delta(second, third)}).empty());
   EXPECT_EQ(values.request().have[0], 1u);
-  TextDelta spoilt = *make_text_delta(first, second);
-  spoilt.bytes.resize(spoilt.bytes.size() / 2);
-  EXPECT_TRUE(values.accept_routing_deltas({spoilt}).empty());
+  TextDelta damaged = *make_text_delta(first, second);
+  damaged.bytes.resize(damaged.bytes.size() / 2);
+  EXPECT_TRUE(values.accept_routing_deltas({damaged}).empty());
   EXPECT_EQ(values.of(Register::routing), first);
   EXPECT_EQ(values.request().have[0], 0u);
   values.accept({{Register::routing, second}});
--- a/tests/coordination/key_table_feed_test.cpp
+++ b/tests/coordination/key_table_feed_test.cpp
@@ -88,7 +88,7 @@
   }
 
   Task<void> write(std::string const by, std::shared_ptr<bool> const done) {
-    std::shared_ptr<Registry<SimProcess>> const registry = controls.at(by).registry;
+    std::shared_ptr<Registry<SimProcess>> const registry = registries.at(by).registry;
     auto const step = [this](RegisterValue const& now) -> Result<RegisterValue> {
       Result<KeyTable> const table = unpack_key_table(now.bytes, now.revision);
       KeyTable const next = now.revision == 0 ? changes.first(264, 44) : changes.next(*table);
@@ -98,7 +98,7 @@
     };
     std::string const request = "keys-" + std::to_string(++requests);
     Result<RegisterValue> const written =
-        co_await registry->registers().change(Register::keys, request, controls.at(by).process->now() + 2s, step);
+        co_await registry->registers().change(Register::keys, request, registries.at(by).process->now() + 2s, step);
     if (written) {
       newest = *written;
       registry->announce(Register::keys, *written);
@@ -109,7 +109,7 @@
   void write_some(std::string const& by, int const count) {
     for (int i = 0; i < count; ++i) {
       std::shared_ptr<bool> const done = std::make_shared<bool>(false);
-      spawn(*controls.at(by).process, write(by, done));
+      spawn(*registries.at(by).process, write(by, done));
       run_until([done] { return *done; }, 2500ms);
       written += *done;
       run_for(250ms);
@@ -158,7 +158,7 @@
     t.write_some("rb", 40);
     std::string const lost = t.nodes.at("a5").process->machine;
     for (auto const& [id, n] : t.nodes) t.sim.cut(n.process->machine, lost);
-    for (auto const& [id, c] : t.controls) t.sim.cut(c.process->machine, lost);
+    for (auto const& [id, c] : t.registries) t.sim.cut(c.process->machine, lost);
     t.write_some("rb", 20);
     t.sim.heal();
     t.kill("ra:1");
--- a/tests/coordination/registry_directory_test.cpp
+++ b/tests/coordination/registry_directory_test.cpp
@@ -1,5 +1,5 @@
-// The directory of registries by itself: who is alive, who keeps which zone, and
-// what is handed on of the times last heard.
+// The directory of registries by itself: which registries are alive, which one is in charge of a zone, and how ages
+// are passed on.
 #include "coordination/registry_directory.hpp"
 
 #include <gtest/gtest.h>
@@ -29,7 +29,7 @@
   EXPECT_EQ(directory.registry_of("a", start + 61s), "seed:1");
 }
 
-TEST(RegistryDirectory, ages_are_handed_on_and_never_get_younger_on_the_way) {
+TEST(RegistryDirectory, ages_are_passed_on_and_never_decrease) {
   RegistryDirectory first({}), second({});
   first.heard(entry_of("a", "x:1"), start);
   Instant const asked = start + 5s, answered = start + 5400ms;
@@ -45,16 +45,16 @@
   EXPECT_FALSE(second.alive("x:1", start + 8s));
 }
 
-TEST(RegistryDirectory, what_comes_unasked_makes_a_registry_known_but_not_alive) {
+TEST(RegistryDirectory, an_unsolicited_entry_makes_a_registry_known_but_not_alive) {
   RegistryDirectory directory({});
   directory.learn_addresses({entry_of("a", "x:1")}, start);
   EXPECT_EQ(directory.entries().size(), 1u);
   EXPECT_FALSE(directory.alive("x:1", start));
   directory.learn_answer({entry_of("a", "y:1", 70000)}, start, start);
-  EXPECT_EQ(directory.entries().size(), 1u) << "told of one that nobody has heard for over a minute";
+  EXPECT_EQ(directory.entries().size(), 1u) << "an entry that nobody has heard from for over a minute";
 }
 
-TEST(RegistryDirectory, a_zone_is_kept_by_the_first_of_its_own_that_is_alive) {
+TEST(RegistryDirectory, a_zone_is_served_by_its_first_live_registry) {
   RegistryDirectory directory({});
   std::vector<Address> own{"a1:1", "a2:1", "a3:1"};
   for (Address const& a : own) directory.heard(entry_of("a", a), start);
@@ -67,7 +67,7 @@
   EXPECT_EQ(directory.registry_of("a", start + 10s), own[0]);
 }
 
-TEST(RegistryDirectory, all_come_to_the_same_registry_for_a_zone_that_has_none) {
+TEST(RegistryDirectory, all_processes_select_the_same_registry_for_a_zone_without_one) {
   std::vector<RegistryEntry> const all{entry_of("a", "x:1"), entry_of("b", "y:1"), entry_of("c", "z:1")};
   std::map<Address, int> share;
   for (int n = 0; n < 300; ++n) {
@@ -86,7 +86,7 @@
   for (auto const& [address, n] : share) EXPECT_GT(n, 50) << address;
 }
 
-TEST(RegistryDirectory, when_nobody_is_alive_the_zones_own_is_still_named) {
+TEST(RegistryDirectory, without_live_registries_the_zones_own_one_is_returned) {
   RegistryDirectory directory({});
   EXPECT_EQ(directory.registry_of("a", start), "");
   directory.heard(entry_of("a", "x:1"), start);
--- a/tests/coordination/ring_test.cpp
+++ b/tests/coordination/ring_test.cpp
@@ -1,4 +1,4 @@
-// The ring of nodes: the relay tree and the watchers.
+// The ring of members: the relay tree and the watchers.
 #include "coordination/ring.hpp"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace banktide {
 namespace {
 
-TEST(Ring, the_relay_tree_reaches_every_node_once_and_each_has_its_watchers) {
+TEST(Ring, the_relay_tree_reaches_every_node_once_and_each_node_has_its_watchers) {
   for (std::size_t n = 1; n < 60; ++n) {
     std::vector<std::string> ids;
     for (std::size_t i = 0; i < n; ++i) ids.push_back("node-" + std::to_string(i));
--- a/tests/coordination/transit_delay_test.cpp
+++ b/tests/coordination/transit_delay_test.cpp
@@ -1,4 +1,4 @@
-// How late a message came, whatever the clocks of two machines say.
+// The estimated delay of messages doesn't depend on the offset between the machines' clocks.
 #include "coordination/transit_delay.hpp"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace banktide {
 namespace {
 
-TEST(TransitDelay, lateness_is_seen_whatever_the_clocks_say) {
+TEST(TransitDelay, delays_are_measured_whatever_the_clock_offset) {
   for (std::int64_t const offset : {-5000000000ll, 0ll, 7000000000ll}) {
     TransitDelay t;
     std::int64_t now = 20000000000;
@@ -16,11 +16,11 @@
       Instant const came{std::chrono::microseconds(now)};
       std::optional<Duration> late = t.delay_of("a", sent, came);
       ASSERT_EQ(late.has_value(), i > 0);
-      // The first is asked about, and is late as well.
+      // The first message needs the sender's clock, and is late as well.
       if (!late) {
         std::int64_t const clock = now + 300 + (now + 300) / 20000 + offset;
         late = t.learn_clock("a", clock, came, came + 600us, sent - 1500000, came);
-        EXPECT_GE(as_ms(*late), 1499) << "never less than it was";
+        EXPECT_GE(as_ms(*late), 1499) << "the estimate is never too low";
         EXPECT_LE(as_ms(*late), 1502);
         continue;
       }
@@ -28,7 +28,7 @@
     }
   }
 }
-TEST(TransitDelay, a_sender_quiet_for_long_is_asked_again_and_a_slow_answer_is_not_kept) {
+TEST(TransitDelay, a_sender_silent_for_long_is_asked_again_and_a_slow_answer_is_not_kept) {
   TransitDelay t;
   Instant const now{1000s};
   EXPECT_FALSE(t.delay_of("a", 0, now));
--- a/tests/coordination/zone_feed_test.cpp
+++ b/tests/coordination/zone_feed_test.cpp
@@ -1,5 +1,5 @@
-// One zone's feed by itself, and whole zones: nodes that follow, registries that
-// stand in for each other, zones without a registry, values that reach every node.
+// Tests of a single zone feed, and of whole zones: nodes that follow a zone, registries that take over from each
+// other, adopted zones, and register values that reach every node.
 #include "coordination/zone_feed.hpp"
 
 #include "coordination/zone_entries.hpp"
@@ -8,7 +8,7 @@
 namespace banktide {
 namespace {
 
-// ---- one feed
+// ---- a single feed
 
 struct FeedTrial {
   FeedTrial() : sim(1), net(sim) {
@@ -16,7 +16,7 @@
     feed = std::make_shared<ZoneFeed<SimProcess>>(*process, FeedSettings{"a", "r", "r:1", FeedTiming{}},
                                                   FeedSources{[] { return true; }, [] { return Revisions{}; }});
   }
-  // What was spawned last starts first, so that it ends with its process.
+  // Lets tasks that were spawned last start, so that they end with their process.
   ~FeedTrial() {
     sim.settle();
     process->kill();
@@ -32,7 +32,7 @@
     return feed->join(q);
   }
   void run_for(Duration const d) { sim.run_until(sim.now + d); }
-  /// Time passes with the feed's watch, and beats of all members but one.
+  /// Runs the feed's failure detection for a while, with heartbeats from all members but one.
   void watch_for(Duration const d, std::string const& silent) {
     for (Instant const end = sim.now + d; sim.now < end;) {
       run_for(200ms);
@@ -59,7 +59,7 @@
   return b;
 }
 
-TEST(ZoneFeed, tells_nothing_before_nodes_had_time_to_join) {
+TEST(ZoneFeed, publishes_nothing_before_nodes_had_time_to_join) {
   FeedTrial t;
   EXPECT_FALSE(t.feed->follow(Follow{}).known);
   t.run_for(1s);
@@ -72,7 +72,7 @@
   EXPECT_EQ(reply.snapshot->members.size(), 2u);
 }
 
-TEST(ZoneFeed, takes_longer_when_nodes_come_to_a_feed_that_has_been_empty) {
+TEST(ZoneFeed, warms_up_longer_when_nodes_move_to_an_empty_feed) {
   FeedTrial t;
   t.run_for(20s);
   EXPECT_TRUE(t.feed->warm());
@@ -83,10 +83,10 @@
   t.run_for(200ms);
   EXPECT_TRUE(t.feed->warm());
   t.join("n2", {});
-  EXPECT_TRUE(t.feed->warm()) << "the second comes to others";
+  EXPECT_TRUE(t.feed->warm()) << "the feed already has a node when the second joins";
 }
 
-TEST(ZoneFeed, a_follower_gets_the_changes_that_it_lacks_or_a_snapshot) {
+TEST(ZoneFeed, a_follower_gets_its_missing_changes_or_a_snapshot) {
   FeedTrial t;
   t.join("n1", {});
   t.run_for(2s);
@@ -99,8 +99,9 @@
   EXPECT_TRUE(t.feed->follow(Follow{Position{seen.epoch + 1, seen.seq}, "a"}).snapshot);
 }
 
-// Guards against CONFIG: other zones' whole entries filled the links that configurations travel on.
-TEST(ZoneFeed, a_change_of_loads_in_a_large_zone_elsewhere_is_told_in_few_bytes) {
+// Guards against slow configuration updates: whole entries of other zones filled the links that configurations travel
+// on.
+TEST(ZoneFeed, a_load_change_of_a_large_remote_zone_takes_few_bytes) {
   FeedTrial t;
   t.join("n1", {});
   t.run_for(2s);
@@ -125,7 +126,7 @@
   EXPECT_EQ(t.feed->view().zones.at("b"), entry);
 }
 
-TEST(ZoneFeed, joins_of_other_zones_and_of_odd_members_are_not_taken) {
+TEST(ZoneFeed, joins_from_other_zones_and_invalid_members_are_rejected) {
   FeedTrial t;
   Join q;
   q.self = Member{"n", "b", "n:1", Role::node, 1, Liveness::fit};
@@ -139,7 +140,7 @@
   EXPECT_FALSE(t.feed->has_nodes());
 }
 
-TEST(ZoneFeed, the_entry_has_for_each_service_the_gateways_beside_it_with_their_load_rounded) {
+TEST(ZoneFeed, the_entry_lists_gateways_and_rounded_load_per_service) {
   FeedTrial t;
   t.join("n1", {backend("s", "i1", 32, 5, 1), backend("s", "i2", 32, 4)});
   t.join("n2", {backend("s", "i3", 8, 3), backend("other", "i4", 0, 77, 7)});
@@ -150,7 +151,7 @@
       {"other", "n2", "n2:1", 0, 0, 0}, {"s", "n1", "n1:1", 64, 16, 8}, {"s", "n2", "n2:1", 8, 3, 0}};
   EXPECT_EQ(e.services, offers);
   t.join("n1", {backend("s", "i1", 32, 6, 2), backend("s", "i2", 32, 5)});
-  EXPECT_EQ(t.feed->entry(), e) << "a small change makes no other entry";
+  EXPECT_EQ(t.feed->entry(), e) << "a small change of load doesn't change the entry";
   BackendRecord leaving = backend("s", "i3", 8, 3);
   leaving.liveness = Liveness::leaving;
   t.join("n2", {leaving});
@@ -159,7 +160,7 @@
   EXPECT_TRUE(t.feed->entry().services.empty());
 }
 
-TEST(ZoneFeed, a_silent_member_is_suspected_may_refute_it_and_otherwise_is_dead) {
+TEST(ZoneFeed, a_silent_member_is_suspected_and_removed_unless_it_refutes) {
   FeedTrial t;
   t.join("n1", {});
   t.join("n2", {backend("s", "i", 4, 0)});
@@ -175,14 +176,14 @@
   EXPECT_TRUE(t.feed->view().members.contains("n1"));
 }
 
-TEST(ZoneFeed, a_leaving_member_that_joins_no_more_is_gone_whoever_watches_it) {
+TEST(ZoneFeed, a_leaving_member_that_no_longer_joins_is_removed) {
   FeedTrial t;
   for (int i = 0; i < 12; ++i) t.join("n" + std::to_string(i), {}, Liveness::leaving);
   t.watch_for(5400ms, "");
   EXPECT_FALSE(t.feed->has_nodes());
 }
 
-TEST(ZoneFeed, the_roles_of_neighbours_follow_the_ring_as_members_come_and_go) {
+TEST(ZoneFeed, ring_neighbours_follow_membership_changes) {
   ZoneView view;
   RingNeighbours places("n3");
   std::uint64_t x = 5;
@@ -211,7 +212,7 @@
   }
 }
 
-TEST(ZoneFeed, who_leaves_or_is_suspected_stands_last_in_the_relay_tree_and_stays_on_the_ring) {
+TEST(ZoneFeed, leaving_and_suspected_members_come_last_in_the_relay_tree_and_stay_on_the_ring) {
   ZoneView view;
   RingNeighbours places("");
   auto const fold = [&](std::string const& id, Liveness const liveness) {
@@ -244,7 +245,7 @@
   EXPECT_EQ(places.first_relays(), first);
 }
 
-TEST(ZoneFeed, loads_go_with_the_next_pulse_and_what_is_urgent_goes_at_once_with_them) {
+TEST(ZoneFeed, load_changes_wait_for_the_next_pulse_or_urgent_change) {
   FeedTrial t;
   std::vector<ZoneUpdate> sent;
   t.net.tap = [&](SimProcess const&, Address const& to, std::uint8_t const kind, Bytes const& raw) {
@@ -266,11 +267,11 @@
   t.join("n2", {});
   t.run_for(5ms);
   ASSERT_EQ(sent.size(), 2u);
-  EXPECT_EQ(sent[1].changes.size(), 2u) << "in their order, so that nothing is missed";
+  EXPECT_EQ(sent[1].changes.size(), 2u) << "in order, so that nothing is missed";
   EXPECT_EQ(sent[1].at, t.feed->position());
 }
 
-TEST(ZoneFeed, its_heartbeats_tell_no_position_that_was_not_sent) {
+TEST(ZoneFeed, its_heartbeats_carry_no_position_that_was_not_published) {
   FeedTrial t;
   std::vector<Position> told;
   t.net.tap = [&](SimProcess const&, Address const&, std::uint8_t const kind, Bytes const& raw) {
@@ -288,7 +289,7 @@
   EXPECT_NE(told[0], t.feed->position());
 }
 
-// ---- what zones tell each other
+// ---- entries exchanged between zones
 
 ZoneEntry entry_with(std::size_t const gateways) {
   ZoneEntry e;
@@ -300,7 +301,7 @@
   return e;
 }
 
-TEST(ZoneEntries, an_entry_is_told_when_it_has_changed_a_few_times_and_then_now_and_then) {
+TEST(ZoneEntries, a_changed_entry_is_repeated_and_then_sent_periodically) {
   FeedTiming const timing;
   ZoneEntries entries(timing);
   Instant const start{std::chrono::hours(1)};
@@ -319,14 +320,14 @@
   EXPECT_GE(told, 3u);
 }
 
-TEST(ZoneEntries, of_two_that_tell_of_a_zone_the_one_with_more_gateways_counts_until_it_is_silent) {
+TEST(ZoneEntries, of_two_announcers_the_one_with_more_gateways_wins_until_it_is_silent) {
   FeedTiming const timing;
   ZoneEntries entries(timing);
   Instant const start{std::chrono::hours(1)};
   EXPECT_NE(entries.take(ZoneAnnouncement{entry_with(2), "x", {1, 5}}, start), nullptr);
-  EXPECT_EQ(entries.take(ZoneAnnouncement{entry_with(2), "x", {1, 4}}, start), nullptr) << "overtaken on its way";
-  EXPECT_NE(entries.take(ZoneAnnouncement{entry_with(1), "x", {2, 1}}, start), nullptr)
-      << "the registry has started again";
+  EXPECT_EQ(entries.take(ZoneAnnouncement{entry_with(2), "x", {1, 4}}, start), nullptr)
+      << "overtaken by a newer announcement";
+  EXPECT_NE(entries.take(ZoneAnnouncement{entry_with(1), "x", {2, 1}}, start), nullptr) << "the registry was restarted";
   EXPECT_EQ(entries.take(ZoneAnnouncement{entry_with(1), "y", {9, 1}}, start + 1s), nullptr);
   EXPECT_NE(entries.take(ZoneAnnouncement{entry_with(2), "y", {9, 2}}, start + 1s), nullptr);
   EXPECT_EQ(entries.take(ZoneAnnouncement{entry_with(0), "x", {2, 3}}, start + 2s), nullptr);
@@ -339,7 +340,7 @@
 
 // ---- whole zones
 
-TEST(Zones, nodes_of_a_zone_see_each_other_and_what_other_zones_offer) {
+TEST(Zones, nodes_see_their_zone_and_the_services_of_other_zones) {
   ZoneTrial t(1);
   t.seeds = {"ra", "rb"};
   t.add_registry("ra", "a");
@@ -362,7 +363,7 @@
   EXPECT_TRUE(t.run_until([&] { return t.nodes_seen("a4") == 4 && t.services_seen("b0", "a") == 4; }, 2s));
 }
 
-TEST(Zones, a_zone_without_a_registry_is_adopted_and_dropped_when_its_nodes_are_gone) {
+TEST(Zones, a_zone_without_a_registry_is_adopted_until_its_nodes_are_gone) {
   ZoneTrial t(2);
   t.seeds = {"ra", "rb"};
   t.add_registry("ra", "a");
@@ -372,13 +373,13 @@
   EXPECT_TRUE(t.run_until(
       [&] { return t.nodes_seen("c3") == 4 && t.services_seen("a0", "c") == 4 && t.services_seen("c3", "a") == 1; },
       15s));
-  EXPECT_EQ(t.registry("ra").zones().size() + t.registry("rb").zones().size(), 3u) << "one of them has it";
+  EXPECT_EQ(t.registry("ra").zones().size() + t.registry("rb").zones().size(), 3u) << "one of them adopted it";
   for (int i = 0; i < 4; ++i) t.kill("c" + std::to_string(i) + ":1");
   EXPECT_TRUE(t.run_until([&] { return t.services_seen("a0", "c") == 0; }, 15s));
   EXPECT_TRUE(t.run_until([&] { return t.registry("ra").zones().size() + t.registry("rb").zones().size() == 2; }, 60s));
 }
 
-TEST(Zones, the_second_registry_of_a_zone_takes_over_and_gives_back_and_no_view_shrinks) {
+TEST(Zones, failover_to_a_zones_second_registry_and_back_shrinks_no_view) {
   ZoneTrial t(3);
   t.seeds = {"ra1", "ra2", "rb"};
   t.add_registry("ra1", "a");
@@ -391,9 +392,9 @@
   std::string const first_id = first.substr(0, first.find(':'));
   std::string const second_id = first_id == "ra1" ? "ra2" : "ra1";
   std::size_t const second_has = t.registry(second_id).view().members.size();
-  EXPECT_EQ(second_has, 1u) << "only the first has the members";
+  EXPECT_EQ(second_has, 1u) << "only the first registry has the members";
   t.run_for(3s);
-  t.watch_views();
+  t.reset_min_members();
   t.kill(first);
   ASSERT_TRUE(t.run_until([&] { return t.registry(second_id).view().members.size() == 7; }, 15s));
   t.run_for(6s);
@@ -405,11 +406,11 @@
   EXPECT_EQ(t.registry(second_id).view().members.size(), 1u);
   for (auto const& [id, n] : t.nodes)
     if (n.zone == "a") {
-      EXPECT_GE(n.least_members, 7u) << id;
+      EXPECT_GE(n.min_members_seen, 7u) << id;
     }
 }
 
-TEST(Zones, a_zone_whose_registry_is_gone_is_adopted_until_it_returns) {
+TEST(Zones, a_zone_whose_registry_is_down_is_adopted_until_it_returns) {
   ZoneTrial t(4);
   t.seeds = {"ra", "rb", "rc"};
   for (std::string const zone : {"a", "b", "c"}) t.add_registry("r" + zone, zone);
@@ -417,18 +418,18 @@
   t.add_node("b0", "b", "s");
   ASSERT_TRUE(t.run_until([&] { return t.nodes_seen("a4") == 5 && t.services_seen("b0", "a") == 5; }, 10s));
   t.run_for(2s);
-  t.watch_views();
+  t.reset_min_members();
   t.kill("ra:1");
   ASSERT_TRUE(t.run_until([&] { return t.registry("rb").zones().size() + t.registry("rc").zones().size() == 3; }, 15s));
   t.run_for(5s);
   t.kill("a4:1");
   EXPECT_TRUE(t.run_until([&] { return t.nodes_seen("a0") == 4 && t.services_seen("b0", "a") == 4; }, 8s))
-      << "the registry that adopted the zone watches over it";
+      << "the registry that adopted the zone detects its failures";
   t.start_registry("ra");
   ASSERT_TRUE(t.run_until([&] { return t.registry("ra").view().members.size() == 5; }, 15s));
   t.run_for(8s);
   EXPECT_EQ(t.services_seen("b0", "a"), 4u);
-  for (std::string const id : {"a0", "a1", "a2", "a3"}) EXPECT_GE(t.nodes.at(id).least_members, 5u) << id;
+  for (std::string const id : {"a0", "a1", "a2", "a3"}) EXPECT_GE(t.nodes.at(id).min_members_seen, 5u) << id;
 }
 
 TEST(Zones, a_value_that_is_announced_reaches_every_node_of_every_zone) {
@@ -447,10 +448,10 @@
         return RegisterValue{1000, bytes, digest_of(bytes), {}};
       };
       Result<RegisterValue> const done =
-          co_await registry.registers().change(which, "", trial.controls.at("rb").process->now() + 3s, step);
+          co_await registry.registers().change(which, "", trial.registries.at("rb").process->now() + 3s, step);
       if (done) registry.announce(which, *done);
     };
-    spawn(*t.controls.at("rb").process, write(t, reg));
+    spawn(*t.registries.at("rb").process, write(t, reg));
   }
   EXPECT_TRUE(t.run_until(
       [&] {
@@ -463,9 +464,9 @@
   EXPECT_EQ(t.registry("ra").held(Register::keys).revision, 1000u);
 }
 
-// What nodes ask registries for, seen on the network.
+// Counts the requests of nodes to registries, seen on the network.
 struct ValueQuestions {
-  std::map<Address, std::size_t> for_values;  // by asker: questions that are answered with whole values
+  std::map<Address, std::size_t> for_values;  // by sender: requests that are answered with whole values
   std::size_t for_revisions = 0;
 
   void watch(ZoneTrial& t) {
@@ -483,14 +484,14 @@
   auto const step = [bytes, revision](RegisterValue const&) -> Result<RegisterValue> {
     return RegisterValue{revision, bytes, digest_of(bytes), {}};
   };
-  Instant const deadline = trial.controls.at(registry_id).process->now() + 3s;
+  Instant const deadline = trial.registries.at(registry_id).process->now() + 3s;
   Result<RegisterValue> const done = co_await registry.registers().change(Register::routing, "", deadline, step);
   if (done) registry.announce(Register::routing, *done);
 }
 
-// Guards against CONFIG: nodes without their registry asked all others for whole values, again and again, which filled
-// their links for seconds.
-TEST(Zones, nodes_that_lost_their_registry_ask_one_other_for_a_value_whatever_the_number_of_registries) {
+// Guards against slow configuration updates: nodes without a registry repeatedly asked all other registries for whole
+// values, which filled their links for seconds.
+TEST(Zones, nodes_without_a_registry_fetch_a_value_from_one_other_registry_only) {
   ZoneTrial t(8);
   for (int i = 0; i < 12; ++i) t.seeds.push_back("r" + std::to_string(i));
   for (std::string const& id : t.seeds) t.add_registry(id, "zone-of-" + id);
@@ -501,7 +502,7 @@
   t.run_for(2s);
   ValueQuestions questions;
   questions.watch(t);
-  spawn(*t.controls.at("r3").process, write_routing(t, "r3", 1000));
+  spawn(*t.registries.at("r3").process, write_routing(t, "r3", 1000));
   EXPECT_TRUE(t.run_until(
       [&] {
         return std::all_of(t.nodes.begin(), t.nodes.end(), [](auto const& n) {
@@ -513,9 +514,9 @@
   EXPECT_GT(questions.for_revisions, 0u);
 }
 
-// Guards against CONFIG: a node below a relay that was gone knew nothing of a newer version until it had missed pulses
-// for long.
-TEST(Zones, who_hears_a_neighbours_heartbeat_asks_for_the_newer_version_that_it_tells) {
+// Guards against slow configuration updates: a node below a dead relay learnt of a newer version only after several
+// missed pulses.
+TEST(Zones, a_heartbeat_with_a_newer_revision_makes_its_receiver_catch_up) {
   ZoneTrial t(9);
   t.seeds = {"ra"};
   t.add_registry("ra", "a");
@@ -527,7 +528,7 @@
   std::vector<std::string> const first = relays_below("", ring_order(ids));
   ASSERT_EQ(first.size(), 3u);
   t.kill(first[0] + ":1");
-  spawn(*t.controls.at("ra").process, write_routing(t, "ra", 1000));
+  spawn(*t.registries.at("ra").process, write_routing(t, "ra", 1000));
   EXPECT_TRUE(t.run_until(
       [&] {
         return std::all_of(t.nodes.begin(), t.nodes.end(), [&](auto const& n) {
@@ -537,7 +538,7 @@
       FeedTiming{}.pulse_missed - 100ms));
 }
 
-TEST(Zones, one_of_the_live_registries_is_the_first_and_another_when_it_is_gone) {
+TEST(Zones, one_live_registry_is_the_first_and_another_one_after_its_failure) {
   ZoneTrial t(6);
   t.seeds = {"ra", "rb", "rc"};
   for (std::string const zone : {"a", "b", "c"}) t.add_registry("r" + zone, zone);
@@ -553,7 +554,7 @@
   EXPECT_FALSE(t.registry("rc").first_of_live_registries());
 }
 
-TEST(Zones, a_node_that_hears_nobody_knows_it) {
+TEST(Zones, a_node_detects_that_it_is_isolated) {
   ZoneTrial t(7);
   t.seeds = {"ra"};
   t.add_registry("ra", "a");
@@ -562,13 +563,13 @@
   ASSERT_TRUE(t.run_until([&] { return t.nodes_seen("a0") == 2; }, 10s));
   EXPECT_LT(t.nodes.at("a0").follower->since_contact(), 500ms);
   std::string const lost = t.nodes.at("a0").process->machine;
-  for (std::string const& other : {t.nodes.at("a1").process->machine, t.controls.at("ra").process->machine}) {
+  for (std::string const& other : {t.nodes.at("a1").process->machine, t.registries.at("ra").process->machine}) {
     t.sim.cut(lost, other);
     t.sim.cut(other, lost);
   }
   t.run_for(4s);
   EXPECT_GT(t.nodes.at("a0").follower->since_contact(), 3s);
-  EXPECT_EQ(t.view("a0").members.size(), 3u) << "it keeps the view that it had";
+  EXPECT_EQ(t.view("a0").members.size(), 3u) << "it keeps its last view";
   t.sim.heal();
   EXPECT_TRUE(t.run_until([&] { return t.nodes.at("a0").follower->since_contact() < 500ms; }, 5s));
 }
--- a/tests/coordination/zone_trial.hpp
+++ b/tests/coordination/zone_trial.hpp
@@ -1,5 +1,4 @@
-// Zones on the simulated network: registries with a register of three voters,
-// and nodes that follow their zones, each with one backend.
+// Zones on the simulated network: three voters, registries, and nodes that follow their zones, each with one backend.
 #pragma once
 
 #include "coordination/acceptor.hpp"
@@ -12,7 +11,7 @@
 namespace banktide {
 
 struct ZoneTrial {
-  struct Control {
+  struct RegistryProcess {
     std::string id, zone;
     Address address;
     std::shared_ptr<SimProcess> process;
@@ -24,20 +23,21 @@
     std::shared_ptr<SimProcess> process;
     std::shared_ptr<ZoneFollower<SimProcess>> follower;
     std::vector<BackendRecord> backends;
-    std::size_t least_members = 0;  // in any view since `watch_views`
+    std::size_t min_members_seen =
+        0;  // smallest number of members smallest number of members in any view since `watch_views`
     std::map<Register, std::string> values;
-    std::vector<std::shared_ptr<ZoneFollower<SimProcess>>> former_lives;
+    std::vector<std::shared_ptr<ZoneFollower<SimProcess>>> former_followers;
   };
 
   explicit ZoneTrial(std::uint64_t const seed) : sim(seed), net(sim), disks(3), acceptors(3) {
     for (std::size_t i = 0; i < 3; ++i) voters.push_back("store-" + std::to_string(i) + ":1");
     for (std::size_t i = 0; i < 3; ++i) start_voter(i);
   }
-  // What was spawned last starts first, so that it ends with its process.
+  // Lets tasks that were spawned last start, so that they end with their process.
   ~ZoneTrial() {
     sim.settle();
     for (auto const& [address, p] : net.at) p->kill();
-    for (std::shared_ptr<SimProcess> const& p : dead) p->kill();
+    for (std::shared_ptr<SimProcess> const& p : dead_processes) p->kill();
     sim.clear();
     sim.settle();
   }
@@ -53,15 +53,15 @@
   }
 
   void add_registry(std::string const& id, std::string const& zone) {
-    Control c;
+    RegistryProcess c;
     c.id = id;
     c.zone = zone;
     c.address = id + ":1";
-    controls[id] = c;
+    registries[id] = c;
     start_registry(id);
   }
   void start_registry(std::string const& id) {
-    Control& c = controls.at(id);
+    RegistryProcess& c = registries.at(id);
     c.process = process("machine-of-" + id, c.address);
     RegistrySettings settings;
     settings.id = c.id;
@@ -70,7 +70,7 @@
     for (std::string const& seed : seeds) settings.seeds.push_back(seed + ":1");
     settings.voters = voters;
     c.registry = std::make_shared<Registry<SimProcess>>(*c.process, settings);
-    kept.push_back(c.registry);
+    started_registries.push_back(c.registry);
     c.registry->start(dispatcher(*c.process));
   }
 
@@ -85,7 +85,7 @@
     b.slots = 8;
     n.backends.assign(1, b);
     n.values.clear();
-    if (n.follower) n.former_lives.push_back(n.follower);
+    if (n.follower) n.former_followers.push_back(n.follower);
     n.process = process("machine-of-" + id, n.address);
     FollowerSettings settings;
     settings.id = id;
@@ -96,12 +96,14 @@
     FollowerEvents events;
     events.backends = [&n] { return n.backends; };
     events.value = [&n](Register const r, RegisterValue const& h) { n.values[r] = h.bytes; };
-    events.view_changed = [&n] { n.least_members = std::min(n.least_members, n.follower->view().members.size()); };
+    events.view_changed = [&n] {
+      n.min_members_seen = std::min(n.min_members_seen, n.follower->view().members.size());
+    };
     n.follower = std::make_shared<ZoneFollower<SimProcess>>(*n.process, settings, events);
     n.follower->start(dispatcher(*n.process));
   }
 
-  /// A new life of the node, which knows nothing.
+  /// Restarts the node with no state.
   void restart_node(std::string const& id) {
     Node const& n = nodes.at(id);
     kill(n.address);
@@ -110,16 +112,16 @@
 
   void kill(Address const& address) { net.at.at(address)->kill(); }
   void run_for(Duration const d) { sim.run_until(sim.now + d); }
-  /// Runs until the condition holds; false if it didn't within `most`.
-  bool run_until(std::function<bool()> const& holds, Duration const most) {
-    Instant const end = sim.now + most;
+  /// Runs until the condition holds; false if it didn't within `limit`.
+  bool run_until(std::function<bool()> const& holds, Duration const limit) {
+    Instant const end = sim.now + limit;
     while (!holds() && sim.now < end) run_for(50ms);
     return holds();
   }
 
-  Registry<SimProcess>& registry(std::string const& id) { return *controls.at(id).registry; }
+  Registry<SimProcess>& registry(std::string const& id) { return *registries.at(id).registry; }
   ZoneView const& view(std::string const& node) { return nodes.at(node).follower->view(); }
-  /// How many nodes the view of this node holds, itself among them.
+  /// The number of fit nodes in this node's view, including itself.
   std::size_t nodes_seen(std::string const& node) {
     std::size_t n = 0;
     for (auto const& [id, m] : view(node).members) n += m.role != Role::registry && m.liveness == Liveness::fit;
@@ -129,13 +131,13 @@
     auto const it = view(node).zones.find(zone);
     return it == view(node).zones.end() ? 0 : it->second.services.size();
   }
-  void watch_views() {
-    for (auto& [id, n] : nodes) n.least_members = n.follower->view().members.size();
+  void reset_min_members() {
+    for (auto& [id, n] : nodes) n.min_members_seen = n.follower->view().members.size();
   }
 
   std::shared_ptr<SimProcess> process(std::string const& machine, Address const& address) {
-    if (net.at.contains(address)) dead.push_back(net.at[address]);
-    std::shared_ptr<SimProcess> const p = std::make_shared<SimProcess>(sim, net, machine, address, ++runs);
+    if (net.at.contains(address)) dead_processes.push_back(net.at[address]);
+    std::shared_ptr<SimProcess> const p = std::make_shared<SimProcess>(sim, net, machine, address, ++next_incarnation);
     net.at[address] = p;
     net.machine_of[address] = machine;
     return p;
@@ -148,16 +150,16 @@
 
   Sim sim;
   SimNet net;
-  std::uint64_t runs = 0;
+  std::uint64_t next_incarnation = 0;
   std::vector<std::string> seeds;  // ids of registries
   std::vector<Address> voters;
   std::vector<SimDisk> disks;
   std::vector<std::shared_ptr<Acceptor<SimProcess, SimDisk>>> acceptors;
-  // The processes outlive what runs on them: its alarms sign off there as they go.
-  std::vector<std::shared_ptr<SimProcess>> dead;
-  std::map<std::string, Control> controls;
+  // Declared before the objects that run on them: their alarms unregister from the process in their destructors.
+  std::vector<std::shared_ptr<SimProcess>> dead_processes;
+  std::map<std::string, RegistryProcess> registries;
   std::map<std::string, Node> nodes;
-  std::vector<std::shared_ptr<Registry<SimProcess>>> kept;
+  std::vector<std::shared_ptr<Registry<SimProcess>>> started_registries;
   std::vector<std::unique_ptr<Dispatcher>> dispatchers;
 };
 
