--- a/source/coordination/zone_feed.hpp
+++ b/source/coordination/zone_feed.hpp
@@ -63,8 +63,8 @@
     reply.epoch = epoch_;
     if (!is_valid(q)) return reply;
     auto const it = view_.members.find(q.self.id);
-    bool const suspected = it != view_.members.end() && it->second.standing == Standing::suspected;
-    if (suspected && q.self.standing == Standing::fit && q.self.incarnation <= it->second.incarnation) {
+    bool const suspected = it != view_.members.end() && it->second.liveness == Liveness::suspected;
+    if (suspected && q.self.liveness == Liveness::fit && q.self.incarnation <= it->second.incarnation) {
       reply.incarnation = it->second.incarnation + 1;  // the member refutes the suspicion with this one
       return reply;
     }
--- a/source/state/key_table.cpp
+++ b/source/state/key_table.cpp
@@ -15,7 +15,7 @@
 constexpr std::uint8_t has_handover = 8;
 
 // Sets the rows' ends, and refuses rows that don't tile the keys or name nobody.
-void finish_rows(std::vector<KeyRow>& rows, std::size_t const holders) {
+void set_row_ends(std::vector<KeyRow>& rows, std::size_t const holders) {
   if (rows.empty()) return;
   if (rows.front().from != 0) throw cereal::Exception("keys without a row");
   for (std::size_t i = 0; i < rows.size(); ++i) {
@@ -70,23 +70,23 @@
 }
 
 void KeyTable::remove_unused_holders() {
-  std::vector<std::uint16_t> renumbered(holders.size(), no_holder);
+  std::vector<std::uint16_t> new_indexes(holders.size(), no_holder);
   for (KeyService const& s : services)
     for (KeyRow const& row : s.rows) {
-      if (row.holder != no_holder) renumbered[row.holder] = 0;
-      if (row.next != no_holder) renumbered[row.next] = 0;
+      if (row.holder != no_holder) new_indexes[row.holder] = 0;
+      if (row.next != no_holder) new_indexes[row.next] = 0;
     }
   std::vector<KeyHolderRecord> kept;
   for (std::size_t i = 0; i < holders.size(); ++i) {
-    if (renumbered[i] == no_holder) continue;
-    renumbered[i] = static_cast<std::uint16_t>(kept.size());
+    if (new_indexes[i] == no_holder) continue;
+    new_indexes[i] = static_cast<std::uint16_t>(kept.size());
     kept.push_back(std::move(holders[i]));
   }
   holders = std::move(kept);
   for (KeyService& s : services)
     for (KeyRow& row : s.rows) {
-      if (row.holder != no_holder) row.holder = renumbered[row.holder];
-      if (row.next != no_holder) row.next = renumbered[row.next];
+      if (row.holder != no_holder) row.holder = new_indexes[row.holder];
+      if (row.next != no_holder) row.next = new_indexes[row.next];
     }
 }
 
@@ -137,7 +137,7 @@
       archive(one.name, rows);
       if (rows > archive.left()) throw cereal::Exception("length beyond the value");
       for (std::uint32_t r = 0; r < rows; ++r) one.rows.push_back(load_key_row(archive));
-      finish_rows(one.rows, table.holders.size());
+      set_row_ends(one.rows, table.holders.size());
       table.services.push_back(std::move(one));
     }
     if (archive.left() != 0) return make_error("key table", "", "bytes left over");
--- a/source/state/key_table_delta.cpp
+++ b/source/state/key_table_delta.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // How a service's rows are told.
-enum class RowsForm : std::uint8_t { ranges = 0, whole = 1 };
+enum class RowsEncoding : std::uint8_t { ranges = 0, whole = 1 };
 
 // Later holders: some that stood next to each other before, then new ones.
 struct HolderRun {
@@ -29,12 +29,12 @@
   std::vector<KeyRow> rows;
 };
 
-[[noreturn]] void refuse(char const* const reason) { throw cereal::Exception(reason); }
+[[noreturn]] void fail(char const* const reason) { throw cereal::Exception(reason); }
 
 // ---- holders
 
-std::vector<HolderRun> runs_of_holders(std::vector<KeyHolderRecord> const& before,
-                                       std::vector<KeyHolderRecord> const& after) {
+std::vector<HolderRun> encode_holders(std::vector<KeyHolderRecord> const& before,
+                                      std::vector<KeyHolderRecord> const& after) {
   std::vector<HolderRun> runs(1);
   for (KeyHolderRecord const& holder : after) {
     std::size_t const at = static_cast<std::size_t>(std::find(before.begin(), before.end(), holder) - before.begin());
@@ -50,29 +50,29 @@
   return runs;
 }
 
-std::vector<KeyHolderRecord> holders_of_runs(std::vector<KeyHolderRecord> const& before,
-                                             std::vector<HolderRun> const& runs) {
+std::vector<KeyHolderRecord> decode_holders(std::vector<KeyHolderRecord> const& before,
+                                            std::vector<HolderRun> const& runs) {
   std::vector<KeyHolderRecord> after;
   for (HolderRun const& run : runs) {
-    if (std::size_t{run.first} + run.count > before.size()) refuse("unknown earlier holder");
+    if (std::size_t{run.first} + run.count > before.size()) fail("unknown earlier holder");
     after.insert(after.end(), before.begin() + run.first, before.begin() + run.first + run.count);
     after.insert(after.end(), run.added.begin(), run.added.end());
-    if (after.size() >= no_holder) refuse("too many holders");
+    if (after.size() >= no_holder) fail("too many holders");
   }
   return after;
 }
 
 // The rows of a service with the later table's numbers of holders: an instance
 // keeps its rows wherever it stands. `no_holder` where it is gone.
-KeyTable renumbered(KeyTable const& before, std::vector<KeyHolderRecord> const& holders) {
+KeyTable reindexed(KeyTable const& before, std::vector<KeyHolderRecord> const& holders) {
   KeyTable table = before;
   table.holders = holders;
-  std::vector<std::uint16_t> numbers;
-  for (KeyHolderRecord const& holder : before.holders) numbers.push_back(table.holder_index(holder.instance));
+  std::vector<std::uint16_t> new_indexes;
+  for (KeyHolderRecord const& holder : before.holders) new_indexes.push_back(table.holder_index(holder.instance));
   for (KeyService& service : table.services)
     for (KeyRow& row : service.rows) {
-      if (row.holder != no_holder) row.holder = numbers[row.holder];
-      if (row.next != no_holder) row.next = numbers[row.next];
+      if (row.holder != no_holder) row.holder = new_indexes[row.holder];
+      if (row.next != no_holder) row.next = new_indexes[row.next];
     }
   return table;
 }
@@ -80,7 +80,7 @@
 // ---- rows
 
 // Both lists tile all keys.
-std::vector<RowRange> ranges_that_differ(std::vector<KeyRow> const& before, std::vector<KeyRow> const& after) {
+std::vector<RowRange> changed_ranges(std::vector<KeyRow> const& before, std::vector<KeyRow> const& after) {
   std::vector<RowRange> ranges;
   std::size_t i = 0, j = 0;
   bool differed = false;
@@ -105,14 +105,14 @@
 }
 
 // The ranges are in order, and each begins and ends where rows do.
-std::vector<KeyRow> rows_with(std::vector<KeyRow> const& before, std::vector<RowRange> const& ranges) {
+std::vector<KeyRow> replace_rows(std::vector<KeyRow> const& before, std::vector<RowRange> const& ranges) {
   std::vector<KeyRow> after;
   std::size_t i = 0;
   for (RowRange const& range : ranges) {
     while (i < before.size() && before[i].from < range.from) after.push_back(before[i++]);
-    if (i == before.size() || before[i].from != range.from) refuse("a range that begins within a row");
+    if (i == before.size() || before[i].from != range.from) fail("a range that begins within a row");
     while (i < before.size() && before[i].to < range.to) ++i;
-    if (i == before.size() || before[i].to != range.to) refuse("a range that ends within a row");
+    if (i == before.size() || before[i].to != range.to) fail("a range that ends within a row");
     ++i;
     after.insert(after.end(), range.rows.begin(), range.rows.end());
   }
@@ -130,14 +130,14 @@
                               std::size_t const holders) {
   std::uint32_t count = 0;
   archive(count);
-  if (count > archive.left()) refuse("length beyond the value");
+  if (count > archive.left()) fail("length beyond the value");
   std::vector<KeyRow> rows;
   for (std::uint32_t r = 0; r < count; ++r) {
     KeyRow row = load_key_row(archive);
-    if (row.from > to || row.from < from) refuse("rows beyond their range");
-    if (row.holder != no_holder && row.holder >= holders) refuse("unknown holder");
-    if (row.next != no_holder && row.next >= holders) refuse("unknown next holder");
-    if (rows.empty() ? row.from != from : row.from <= rows.back().from) refuse("rows out of order");
+    if (row.from > to || row.from < from) fail("rows beyond their range");
+    if (row.holder != no_holder && row.holder >= holders) fail("unknown holder");
+    if (row.next != no_holder && row.next >= holders) fail("unknown next holder");
+    if (rows.empty() ? row.from != from : row.from <= rows.back().from) fail("rows out of order");
     if (!rows.empty()) rows.back().to = static_cast<std::uint16_t>(row.from - 1);
     row.to = to;
     rows.push_back(std::move(row));
@@ -150,12 +150,12 @@
 void save_service(SaveArchive& archive, KeyService const& after, KeyService const* const before) {
   archive(after.name);
   if (before == nullptr || before->rows.empty() || after.rows.empty()) {
-    archive(RowsForm::whole);
+    archive(RowsEncoding::whole);
     save_rows(archive, after.rows);
     return;
   }
-  std::vector<RowRange> const ranges = ranges_that_differ(before->rows, after.rows);
-  archive(RowsForm::ranges, static_cast<std::uint32_t>(ranges.size()));
+  std::vector<RowRange> const ranges = changed_ranges(before->rows, after.rows);
+  archive(RowsEncoding::ranges, static_cast<std::uint32_t>(ranges.size()));
   for (RowRange const& range : ranges) {
     archive(range.from, range.to);
     save_rows(archive, range.rows);
@@ -164,52 +164,52 @@
 
 KeyService load_service(LoadArchive& archive, KeyTable const& before) {
   KeyService after;
-  RowsForm form{};
+  RowsEncoding form{};
   archive(after.name, form);
-  if (form == RowsForm::whole) {
+  if (form == RowsEncoding::whole) {
     after.rows = load_rows(archive, 0, last_key, before.holders.size());
     return after;
   }
-  if (form != RowsForm::ranges) refuse("unknown form of rows");
+  if (form != RowsEncoding::ranges) fail("unknown form of rows");
   KeyService const* const known = before.service(after.name);
-  if (known == nullptr) refuse("unknown earlier service");
+  if (known == nullptr) fail("unknown earlier service");
   std::uint32_t count = 0;
   archive(count);
-  if (count > archive.left()) refuse("length beyond the value");
+  if (count > archive.left()) fail("length beyond the value");
   std::vector<RowRange> ranges;
   for (std::uint32_t r = 0; r < count; ++r) {
     RowRange range;
     archive(range.from, range.to);
-    if (range.to < range.from) refuse("a range that ends before it begins");
+    if (range.to < range.from) fail("a range that ends before it begins");
     range.rows = load_rows(archive, range.from, range.to, before.holders.size());
-    if (range.rows.empty()) refuse("a range without rows");
+    if (range.rows.empty()) fail("a range without rows");
     ranges.push_back(std::move(range));
   }
-  after.rows = rows_with(known->rows, ranges);
+  after.rows = replace_rows(known->rows, ranges);
   return after;
 }
 
 Bytes pack_delta(KeyTable const& before, KeyTable const& after) {
   Bytes bytes;
   SaveArchive archive(bytes);
-  archive(runs_of_holders(before.holders, after.holders), static_cast<std::uint32_t>(after.services.size()));
-  KeyTable const base = renumbered(before, after.holders);
+  archive(encode_holders(before.holders, after.holders), static_cast<std::uint32_t>(after.services.size()));
+  KeyTable const base = reindexed(before, after.holders);
   for (KeyService const& service : after.services) save_service(archive, service, base.service(service.name));
   return bytes;
 }
 
-KeyTable apply_one(KeyTable const& before, KeyDelta const& delta) {
+KeyTable apply_delta(KeyTable const& before, KeyDelta const& delta) {
   LoadArchive archive(delta.bytes);
   std::vector<HolderRun> runs;
   std::uint32_t services = 0;
   archive(runs, services);
-  if (services > archive.left()) refuse("length beyond the value");
-  KeyTable const base = renumbered(before, holders_of_runs(before.holders, runs));
+  if (services > archive.left()) fail("length beyond the value");
+  KeyTable const base = reindexed(before, decode_holders(before.holders, runs));
   KeyTable after;
   after.revision = delta.to;
   after.holders = base.holders;
   for (std::uint32_t s = 0; s < services; ++s) after.services.push_back(load_service(archive, base));
-  if (archive.left() != 0) refuse("bytes left over");
+  if (archive.left() != 0) fail("bytes left over");
   return after;
 }
 
@@ -239,8 +239,8 @@
   RegisterValue target;
   try {
     for (; next != deltas.end(); ++next) {
-      if (next->from != table->revision || next->to <= next->from) refuse("versions out of order");
-      table = apply_one(*table, *next);
+      if (next->from != table->revision || next->to <= next->from) fail("versions out of order");
+      table = apply_delta(*table, *next);
       target.digest = next->digest;
     }
   } catch (std::exception const& e) {
