--- a/tests/programs/access_keys_test.cpp
+++ b/tests/programs/access_keys_test.cpp
@@ -1,5 +1,5 @@
-// From the client's socket to the backend's: a request runs in the name of the tenant whose access key it bears,
-// and not at all without such a key.
+// A request is executed for the tenant whose access key it carries, and refused without a valid key; tested from the
+// client's socket to the backend's.
 #include "platform/platform_adapter.hpp"
 #include "tests/programs/client_leaves_trial.hpp"
 
@@ -44,7 +44,8 @@
   return "HTTP/1.1 200 OK\r\nBanktide-Attempt-Id: " + attempt + "\r\nContent-Length: 4\r\n\r\ndone";
 }
 
-/// What the backend gets of a request with these headers; it answers, and the client must get that answer.
+/// Sends a request with these headers and returns it as the backend received it; expects that the client gets the
+/// backend's answer.
 Task<std::string> seen_by_backend(LeavingTrial& trial, std::string const host, std::string const headers) {
   std::shared_ptr<TestClient> const client = co_await ask(trial, request_with(host, "a-1", headers));
   std::shared_ptr<Peer> const run = co_await trial.backend().accept();
@@ -72,7 +73,7 @@
 INSTANTIATE_TEST_SUITE_P(Ways, AccessKeysOnEachWay,
                          ::testing::Values(Way::same_node, Way::same_zone, Way::through_gateway));
 
-// Guards against UNASKED: work done in the name of nobody, or of whom the client names.
+// Guards against UNASKED: requests executed for no tenant, or for a tenant that the client claims to be.
 TEST_P(AccessKeysOnEachWay, the_backend_is_told_whose_key_it_was_and_never_the_key) {
   play(GetParam(), [](LeavingTrial& trial) -> Task<void> {
     std::string const request = co_await seen_by_backend(
@@ -81,7 +82,7 @@
   });
 }
 
-// Guards against UNASKED: on a route without keys a client names a tenant itself.
+// Guards against UNASKED: on a route without keys, a client claims to be a tenant.
 TEST_P(AccessKeysOnEachWay, a_route_without_keys_tells_no_tenant) {
   play(GetParam(), [](LeavingTrial& trial) -> Task<void> {
     std::string const request = co_await seen_by_backend(trial, "open.test", "Banktide-Subscriber: mill\r\n");
@@ -89,7 +90,7 @@
   });
 }
 
-// Guards against ROUTE: work done for a key that nobody has.
+// Guards against ROUTE: requests executed for an unknown key.
 TEST_P(AccessKeysOnEachWay, without_a_known_key_nothing_runs) {
   play(GetParam(), [](LeavingTrial& trial) -> Task<void> {
     for (std::string const headers :
@@ -102,7 +103,7 @@
       if (reply.status != 401) co_return;
       EXPECT_TRUE(has_header(reply.headers, "WWW-Authenticate")) << headers;
     }
-    // Had one of them gone out, the backend's first connection would be its.
+    // If one of them had been forwarded, it would be the first request at the backend.
     std::string const request = co_await seen_by_backend(trial, "read.test", "authorization: bearer  key-m1 \r\n");
     EXPECT_EQ(count_of(request, "a-0"), 0u) << request;
     expect_only_tenant(request, "mill");
--- a/tests/programs/access_revocation_test.cpp
+++ b/tests/programs/access_revocation_test.cpp
@@ -1,5 +1,5 @@
-// Access keys that are taken away, on whole meshes on virtual time: no process lets a request with such a key in once
-// the bound is over, whatever it is cut off from, and no other key is refused for good meanwhile.
+// Revocation of access keys, on whole meshes on virtual time: no process admits a request with a revoked key after the
+// revocation limit, whatever it is partitioned from, and no valid key is rejected as unknown.
 #include "platform/platform_adapter.hpp"
 #include "tests/programs/mesh_trial.hpp"
 
@@ -9,7 +9,7 @@
 constexpr Duration revocation_limit = 5s;
 constexpr Duration between_requests = 100ms;
 
-/// Version 1 has two keys, each later version only the second.
+/// Version 1 has two keys; later versions have only the second.
 ServiceConfiguration one_key_fewer(std::uint64_t const version) {
   std::string const keys = version == 1 ? R"("dropped","kept")" : R"("kept")";
   std::string routes, services;
@@ -36,7 +36,7 @@
   return options;
 }
 
-/// A request that a client sent, and what it was told.
+/// A request that a client sent, and the status it got.
 struct Asked {
   std::string machine;
   std::string key;
@@ -44,7 +44,7 @@
   std::uint16_t status = 0;
 };
 
-/// A mesh whose clients all ask with both keys, again and again.
+/// A mesh whose clients repeatedly send requests with both keys.
 class RevocationTrial {
  public:
   explicit RevocationTrial(std::uint64_t const seed) : mesh(seed, {"a", "b", "c"}, with_revocation()) {}
@@ -61,7 +61,7 @@
     }
   }
 
-  /// Sends version 2 until it is acknowledged; when that was.
+  /// Sends version 2 until it is acknowledged; returns the time of the acknowledgement.
   Instant revoke() {
     bool const taken =
         mesh.run_until([&] { return mesh.operate("b", "PUT", "/configuration", "2").status == 200; }, 20s);
@@ -109,7 +109,7 @@
 class AccessRevocation : public ::testing::TestWithParam<std::uint64_t> {};
 INSTANTIATE_TEST_SUITE_P(Seeds, AccessRevocation, ::testing::Values(1, 2, 3));
 
-// Guards against CONFIG: a key that was taken away still works on a machine that hears nothing of it.
+// Guards against CONFIG: a revoked key still works on a machine that is cut off from the control plane.
 TEST_P(AccessRevocation, ends_in_time_on_a_machine_that_is_cut_off) {
   RevocationTrial trial(GetParam());
   ASSERT_TRUE(trial.mesh.form());
@@ -127,14 +127,15 @@
   Instant const end = trial.mesh.sim.now;
   EXPECT_GT(trial.count(cut_machine, "dropped", 200, begun, cut), 10u);
   EXPECT_EQ(trial.count("", "dropped", 200, revoked + revocation_limit, end), 0u);
-  // Cut off it can't tell good keys from dropped ones: it promises that nothing ran, and says no more.
+  // While cut off it can't tell valid keys from revoked ones: it answers 503 (not executed), not 401.
   EXPECT_GT(trial.count(cut_machine, "kept", 503, revoked + revocation_limit, healed), 10u);
   EXPECT_EQ(trial.count("", "kept", 401, begun, end), 0u);
   EXPECT_GT(trial.count(cut_machine, "kept", 200, healed + 4s, end), 10u);
   EXPECT_GT(trial.count(cut_machine, "dropped", 401, healed + 4s, end), 10u);
 }
 
-// Guards against CONFIG and against refusing everybody: in touch a key ends within the bound for any change.
+// Guards against CONFIG, and against refusing everybody: on connected machines a revoked key ends as fast as any
+// configuration change takes effect.
 TEST_P(AccessRevocation, ends_with_the_news_on_machines_in_touch) {
   RevocationTrial trial(GetParam());
   ASSERT_TRUE(trial.mesh.form());
@@ -150,7 +151,7 @@
   EXPECT_EQ(trial.count("", "kept", 401, begun, end) + trial.count("", "kept", 503, begun, end), 0u);
 }
 
-// Guards against CONFIG: the control plane is gone as a whole, and comes back.
+// Guards against CONFIG while the whole control plane is down, and after it is back.
 TEST_P(AccessRevocation, nobody_is_let_in_for_longer_than_the_bound_without_the_control_plane) {
   RevocationTrial trial(GetParam());
   ASSERT_TRUE(trial.mesh.form());
--- a/tests/programs/client_leaves_test.cpp
+++ b/tests/programs/client_leaves_test.cpp
@@ -1,5 +1,5 @@
-// From the client's socket to the backend's: what a client has left ends at its
-// backend, whichever way it went.
+// A request whose client disconnects is cancelled at its backend, on each path it may have
+// taken; tested from the client's socket to the backend's.
 #include "tests/programs/client_leaves_trial.hpp"
 
 namespace banktide {
@@ -17,7 +17,7 @@
   co_return client;
 }
 
-/** A connection to the backend whose next request is that attempt. */
+/** Accepts a connection to the backend and expects that its next request is that attempt. */
 Task<std::shared_ptr<Peer>> run_of(LeavingTrial& trial, std::string const attempt) {
   std::shared_ptr<Peer> const run = co_await trial.backend().accept();
   std::string const request = co_await run->next();
@@ -76,7 +76,7 @@
     RequestPath<SocketWorld, LocalBackend<SocketWorld>>& path = trial.taker().node().path();
     std::shared_ptr<TestClient> const first = co_await ask(trial, "orders", "a-1");
     std::shared_ptr<Peer> const run = co_await run_of(trial, "a-1");
-    // Neither kind may reach the backend late.
+    // Neither idempotent nor other requests may reach the backend after their client left.
     for (std::string const route : {"orders", "payments"}) {
       std::shared_ptr<TestClient> const leaver = co_await ask(trial, route, "a-left");
       EXPECT_TRUE(co_await until([&] { return path.in_flight() == 2; }));
@@ -104,7 +104,7 @@
     EXPECT_TRUE(co_await until([&] { return trial.taker().server().connections() == 0; }));
     co_await run->send(answer("a-1", "done"));
     EXPECT_TRUE(co_await until([&] { return trial.taker().node().idle() && trial.holder().node().idle(); }));
-    // Its connection has lived on: the next request comes over it.
+    // The connection to the backend stays open: the next request uses it.
     std::shared_ptr<TestClient> const next = co_await ask(trial, "payments", "a-2");
     std::string const request = co_await run->next();
     EXPECT_NE(request.find("a-2"), std::string::npos) << request;
@@ -185,7 +185,7 @@
   });
 }
 
-// The same way ends a request whose time is over while its client still waits.
+// A request that times out while its client still waits is cancelled in the same way.
 TEST_P(ClientLeavesOnEachWay, what_lasts_longer_than_its_time_is_answered_and_ended) {
   play(GetParam(), 4, [](LeavingTrial& trial) -> Task<void> {
     TestClient client(pool_io());
--- a/tests/programs/client_leaves_trial.hpp
+++ b/tests/programs/client_leaves_trial.hpp
@@ -1,6 +1,6 @@
 // Whole nodes on real sockets, from the client's connection to the backend's: up to
-// three nodes in two zones, one of them beside a backend that a test drives by hand.
-// Nodes run tasks that never end, so they are kept until the process ends.
+// three nodes in two zones, one of them with a backend that the test drives by hand.
+// Nodes run tasks that never end, so they are kept until the process exits.
 #pragma once
 
 #include "programs/mesh_node.hpp"
@@ -12,7 +12,7 @@
 
 namespace banktide {
 
-/// How long a test waits for what must come; it bounds no speed, only how long a failure takes.
+/// How long a test waits for an event before it fails; it checks no timing.
 inline constexpr Duration patience = 20s;
 /// Longer than `patience`, so that no deadline ends a request instead.
 inline constexpr Duration route_timeout = 120s;
@@ -40,14 +40,14 @@
 
 inline asio::io_context& pool_io() { return crossplat::threadpool::shared_instance().service(); }
 
-/// Lets everything else on the thread run until it holds, or `patience` is over.
+/// Lets other tasks of the thread run until `holds` returns true or `patience` is over.
 inline Task<bool> until(std::function<bool()> const holds) {
   Instant const end = std::chrono::steady_clock::now() + patience;
   while (!holds() && std::chrono::steady_clock::now() < end) co_await asio::post(pool_io(), asio::use_awaitable);
   co_return holds();
 }
 
-/// Whether the connection ended, by either kind of end, before `patience` ran out.
+/// Whether the connection was closed or reset before `patience` was over.
 inline Task<bool> ends(std::shared_ptr<Peer> const peer) {
   asio::steady_timer limit(peer->socket.get_executor(), patience);
   limit.async_wait([peer](ErrorCode const& cancelled) {
@@ -60,13 +60,13 @@
   co_return error&& error != asio::error::operation_aborted;
 }
 
-/// The backend's port; each connection is handed to the test.
+/// The backend's listener; it hands each connection to the test.
 class TestBackend {
  public:
   explicit TestBackend(asio::io_context& io) : acceptor_(io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)) {}
   Address address() const { return address_of(acceptor_.local_endpoint()); }
 
-  /// The next connection; none if none came before `patience` ran out.
+  /// The next connection; throws if none arrives before `patience` is over.
   Task<std::shared_ptr<Peer>> accept() {
     asio::steady_timer limit(acceptor_.get_executor(), patience);
     limit.async_wait([this](ErrorCode const& cancelled) {
@@ -83,7 +83,7 @@
   tcp::acceptor acceptor_;
 };
 
-// Requests to `orders.test` may be repeated, those to `payments.test` may not; both go to one service.
+// Requests to `orders.test` are idempotent, those to `payments.test` are not; both go to one service.
 inline ServiceConfiguration two_routes_to_orders() {
   ServiceConfiguration all;
   all.services = {{"orders", "/health", 0, false, 0s}};
@@ -102,13 +102,13 @@
   return all;
 }
 
-/// What the nodes of a trial are given.
+/// Options of the nodes of a trial.
 struct TestNodeOptions {
   DataPathHeaders headers = trial_header_names;
   ServiceConfiguration configuration = two_routes_to_orders();
 };
 
-/// One node, its connections to peers and the port for its clients.
+/// One node with its peer connections and its HTTP server for clients.
 class TestNode {
  public:
   TestNode(std::string const& id, std::string const& zone, TestNodeOptions const& options = {})
@@ -139,7 +139,7 @@
   MeshNode<SocketWorld>& node() { return *node_; }
   HttpServer& server() { return *server_; }
 
-  /// A backend beats here.
+  /// Sends the node the first heartbeat of a backend.
   Task<void> take_backend(Address const address, std::uint32_t const slots) {
     beat_.id = "i-1";
     beat_.service = "orders";
@@ -151,7 +151,7 @@
     EXPECT_EQ(reply.status, 200);
   }
 
-  /// Requests go to that node from now on, and to no other.
+  /// From now on all requests are sent to that node.
   void send_to(TestNode const& other, bool const same_zone) {
     Endpoint endpoint;
     endpoint.node = "other";
@@ -181,10 +181,10 @@
   std::unique_ptr<HttpServer> server_;
 };
 
-/// Where the request's backend stands, seen from the node that takes it.
+/// The path of a request: where its backend is, as seen from the node that accepts it.
 enum class Way : std::uint8_t { same_node, same_zone, through_gateway };
 
-/// The nodes of one way, the last of them beside the backend.
+/// The nodes on one path, the last of them beside the backend.
 class LeavingTrial {
  public:
   explicit LeavingTrial(Way const way, TestNodeOptions const& options = {})
@@ -217,7 +217,7 @@
   std::shared_ptr<TestBackend> backend_;
 };
 
-/// Plays a script on a trial of one way, formed, whose backend has so many slots.
+/// Runs a script on the nodes of one path; `slots` is the concurrency of the backend.
 inline void play_on(Way const way, std::uint32_t const slots, TestNodeOptions const& options,
                     std::function<Task<void>(LeavingTrial&)> const& script) {
   run_on_pool_thread([&]() -> Task<void> {
--- a/tests/programs/configuration_reading_test.cpp
+++ b/tests/programs/configuration_reading_test.cpp
@@ -1,10 +1,11 @@
-// How a node takes up configurations, on a whole mesh on virtual time.
+// How nodes apply configurations, on a whole mesh on virtual time.
 #include "tests/programs/mesh_trial.hpp"
 
 namespace banktide {
 namespace {
 
-// Guards against CONFIG: in a storm each node read every version, with no time left to pass the newest on.
+// Guards against CONFIG: in a burst of changes each node parsed every version and had no time left to relay the
+// newest.
 TEST(ConfigurationReading, of_versions_that_come_at_once_only_the_newest_is_read) {
   std::map<std::uint64_t, std::size_t> read;
   MeshTrialOptions options;
@@ -25,7 +26,7 @@
   };
   MeshTrial mesh(3, {"a", "b", "c"}, options);
   ASSERT_TRUE(mesh.form());
-  // Frozen machines get all of it at once when they go on.
+  // Frozen machines receive all versions at once when they are thawed.
   for (auto const& [name, machine] : mesh.machines) machine.process->freeze();
   for (std::string const version : {"2", "3", "4", "5"})
     ASSERT_EQ(mesh.operate("a", "PUT", "/configuration", version).status, 200u);
--- a/tests/programs/control_trial.hpp
+++ b/tests/programs/control_trial.hpp
@@ -1,7 +1,7 @@
-// The control plane by itself on virtual time: stores and registries on core machines,
-// and operators who send configurations to any registry and read them back, with
-// answers that get lost on the way. A ledger keeps what the operators were told and
-// checks each answer against everything that was confirmed before.
+// The control plane alone on virtual time: stores and registries on core machines,
+// and operators who write configurations to any registry and read them back, with
+// some answers lost. A ledger records the answers that the operators got and checks
+// each against everything that was confirmed before.
 #pragma once
 
 #include "programs/configuration_interface.hpp"
@@ -12,13 +12,13 @@
 
 namespace banktide {
 
-/// An operator's change.
+/// A configuration change by an operator.
 struct Order {
   Revision version = 0;
   std::string content;
 };
 
-/// What operators were told, and where one answer contradicts another.
+/// The answers that operators got, and the contradictions between them.
 class OperatorLedger {
  public:
   void acknowledged(Order const& order) {
@@ -32,7 +32,7 @@
     if (was_confirmed) contradict(order.version, "was confirmed and is refused");
     ++refusals;
   }
-  /// `floor`: the newest version acknowledged when the reading was asked for.
+  /// `floor`: the newest version that was acknowledged when the read was sent.
   void read(Order const& seen, Revision const floor) {
     if (seen.version < floor) contradict(seen.version, "is shown after a newer one was confirmed");
     note_content(seen.version, seen.content);
@@ -70,7 +70,7 @@
   }
   ControlTrial(ControlTrial const&) = delete;
 
-  /// Power comes to a core machine: its store and its registry start.
+  /// Powers on a core machine: its store and its registry start.
   void start(std::size_t const i, bool const initial) {
     stores.net.dark.erase(machine(i));
     stores.start(i, initial);
@@ -97,7 +97,7 @@
     all_.push_back(core);
     registries_[i] = core;
   }
-  /// All that runs on a core machine ends, and it answers nobody.
+  /// Powers off a core machine: its processes end, and it answers no requests.
   void power_off(std::size_t const i) {
     stores.power_off(i);
     kill_registry(i);
@@ -118,7 +118,7 @@
   bool frozen(std::size_t const i) const { return up(i) && registries_[i].process->frozen; }
   static std::string machine(std::size_t const i) { return "core-" + std::to_string(i); }
 
-  /// One call to one registry; no answer within an operator's patience: status 0.
+  /// One request to one registry; status 0 if there is no answer within the operator's timeout.
   Task<HttpReply> send(std::size_t const registry, Order const order) {
     auto const write = [order](Core const& core) {
       return core.interface->write(WriteConfigurationOperation{order.version, order.content});
@@ -130,7 +130,7 @@
     co_return co_await call(registry, read_newest);
   }
 
-  /// What that registry tells operators of the control plane.
+  /// The control plane's status, as that registry reports it.
   Task<HttpReply> status(std::size_t const registry) {
     auto const ask_status = [](Core const& core) {
       HttpRequest question;
@@ -141,7 +141,7 @@
     co_return co_await call(registry, ask_status);
   }
 
-  /// Sends an order until it is taken or refused, to any registry; answers get lost.
+  /// Sends a change to random registries until it is accepted or refused; answers may get lost.
   Task<void> place(Order const order, bool const answers_get_lost) {
     for (int attempt = 0; attempt < 40 && !over; ++attempt) {
       HttpReply const reply = co_await send(any_registry(), order);
@@ -166,7 +166,7 @@
   }
 
   SimProcess& client() { return *stores.clients[0]; }
-  /// Of those that ever started, also one that is gone: operators' lists lag.
+  /// Any registry that ever started, also one that is gone: operators' lists are out of date at times.
   std::size_t any_registry() {
     std::size_t started = 0;
     while (started < registries_.size() && registries_[started].process) ++started;
@@ -207,7 +207,7 @@
   template <class F>
   static Task<void> answer_one(Core const core, F operation, std::shared_ptr<OneShot<SimProcess, HttpReply>> answer) {
     HttpReply reply = co_await operation(core);
-    // Who stands still sends nothing, and what a dead process meant to say is lost.
+    // A frozen or dead process sends no answer.
     if (core.process->alive && !core.process->frozen) answer->give(std::move(reply));
   }
 
--- a/tests/programs/control_trial_test.cpp
+++ b/tests/programs/control_trial_test.cpp
@@ -1,5 +1,4 @@
-// What operators are told by a control plane under its worst days: each of these
-// happened to somebody, or is made of what may meet.
+// The control plane's answers to operators under faults, alone and combined.
 #include "tests/programs/control_trial.hpp"
 
 #include "protocol/archive.hpp"
@@ -23,7 +22,7 @@
   result = co_await std::move(task);
 }
 
-// Runs one call of an operator to its end.
+// Runs one operator's request to its end.
 template <class T>
 T finished(ControlTrial& t, Task<T> task) {
   std::optional<T> result;
@@ -88,7 +87,7 @@
   EXPECT_EQ(finished(t, t.read(1)).body, "30:first");
 }
 
-// Guards against an order that is never answered for good: nothing is held, and version 0 isn't above nothing.
+// Guards against a change that never gets a final answer: while no value is held, version 0 isn't newer than it.
 TEST(ControlTrial, version_zero_is_refused_while_nothing_is_held_and_then_acknowledged_as_any_older_one) {
   ControlTrial t(3, cores, losses, 0);
   ASSERT_TRUE(formed(t));
@@ -114,7 +113,7 @@
       EXPECT_EQ(sent(t, alone, order(version + 1000)), 503u);
       EXPECT_LT(t.stores.sim.now - asked, 2s);
     }
-    // Just healed, a reading begun before the cut ended may still be under way.
+    // Right after the partition heals, a read that began before may still be in flight.
     t.stores.sim.heal();
     Revision const newest = 5000;
     ASSERT_EQ(sent(t, other, order(newest)), 200u);
@@ -161,8 +160,8 @@
   EXPECT_EQ(silent, 1u);
 }
 
-// Two operators who write and read all the while, at any registry, and everything
-// that may befall the core: what they are told never contradicts itself.
+// Two operators write and three clients read all the time, at any registry, while
+// faults are injected into the core: the answers must never contradict each other.
 class WorstDay {
  public:
   explicit WorstDay(std::uint64_t const seed) : t(seed, cores, losses, spares), next_spare_(cores) {
@@ -179,7 +178,7 @@
     for (std::size_t const i : members_) mend(i);
   }
 
-  /// All members vote again, and each registry shows the newest that was confirmed.
+  /// All members vote again, and each registry returns the newest confirmed version.
   void expect_recovery(std::uint64_t const seed) {
     ASSERT_TRUE(t.stores.run_until([&] { return all_vote(); }, 15s)) << "seed " << seed << "\n" << t.stores.described();
     t.stores.run_for(2s);
@@ -197,7 +196,7 @@
 
   Task<void> keep_ordering() {
     while (!over_) {
-      Revision const version = ++version_ / 2 + 1;  // each number twice
+      Revision const version = ++version_ / 2 + 1;  // each version twice
       Order const mine = order(version, std::to_string(t.stores.sim.chance() % 1000));
       co_await t.place(mine, true);
       placed_.push_back(mine);
@@ -274,7 +273,7 @@
         if (std::find(members_.begin(), members_.end(), i) != members_.end()) mend(i);
     });
   }
-  // No second disk is lost before the first loss has been made good.
+  // A second disk is lost only after the first loss was repaired.
   void lose_disk(std::size_t const i, Duration const for_how_long) {
     if (disk_lost_ || !all_vote()) return;
     disk_lost_ = true;
@@ -295,7 +294,7 @@
       await_repair();
     });
   }
-  /// What a process that starts now is told of others: three machines that serve control.
+  /// The seeds of a process that starts now: three machines of the control plane.
   std::vector<Address> listed_members() const {
     std::vector<Address> listed;
     for (std::size_t k = 0; k < std::min<std::size_t>(3, members_.size()); ++k)
@@ -342,7 +341,7 @@
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, WorstDays, testing::Range<std::uint64_t>(1, 41));
 
-// The ledger finds what it is there to find, in builds broken on purpose.
+// The ledger detects faults that are built in on purpose.
 class BrokenControl : public testing::TestWithParam<char const*> {};
 
 TEST_P(BrokenControl, is_found_out) {
@@ -380,7 +379,7 @@
         4s))
         << "member " << member;
     slowest = std::max<Duration>(slowest, t.stores.sim.now - started);
-    // It is whole again when it votes on the newest value.
+    // A member has recovered fully when it votes on the newest value.
     ASSERT_EQ(sent(t, member, order(++version)), 200u);
     t.stores.run_for(1s);
     most_bytes = std::max(most_bytes, pack(t.stores.disks[member].durable).size());
--- a/tests/programs/graceful_shutdown_test.cpp
+++ b/tests/programs/graceful_shutdown_test.cpp
@@ -1,5 +1,5 @@
-// What a leaving process takes and owes: the decisions as a state machine, and from the
-// client's socket to the backend's.
+// Graceful shutdown: the state machine alone, and whole nodes from the client's socket to
+// the backend's.
 #include "programs/graceful_shutdown.hpp"
 
 #include "tests/programs/client_leaves_trial.hpp"
@@ -18,7 +18,7 @@
   EXPECT_FALSE(departure.may_exit(start, PendingWork{}));
 }
 
-// Guards against LOST: requests taken 3.0 to 3.2 s after SIGTERM were cut off at the process's end.
+// Guards against LOST: requests accepted 3.0 to 3.2 s after SIGTERM were cut off when the process exited.
 TEST(GracefulShutdown, takes_no_request_that_may_outlast_its_grace) {
   for (Duration told = 0ms; told <= grace; told += 50ms)
     for (Duration lasts = 50ms; lasts <= grace; lasts += 50ms) {
@@ -71,7 +71,7 @@
 INSTANTIATE_TEST_SUITE_P(Ways, GracefulShutdownOnEachPath,
                          ::testing::Values(Way::same_node, Way::same_zone, Way::through_gateway));
 
-// Guards against LOST: a leaving node took what it could not end.
+// Guards against LOST: a node that was shutting down accepted requests that it couldn't finish.
 TEST_P(GracefulShutdownOnEachPath, what_may_outlast_the_node_that_takes_it_is_refused_and_what_fits_runs) {
   play(GetParam(), [](LeavingTrial& trial) -> Task<void> {
     trial.taker().node().leave();
@@ -91,7 +91,7 @@
   });
 }
 
-// Guards against LOST: a gateway that left did not count what it had passed on.
+// Guards against LOST: a gateway that was shutting down didn't count the requests it had forwarded.
 TEST(GracefulShutdown, a_gateway_owes_what_it_has_passed_on) {
   play(Way::through_gateway, [](LeavingTrial& trial) -> Task<void> {
     TestClient client(pool_io());
@@ -108,7 +108,7 @@
   });
 }
 
-// Guards against LOST: a node ended with whole answers of its backend unwritten.
+// Guards against LOST: a node exited before it had written complete responses of its backend.
 TEST_P(GracefulShutdownOnEachPath, an_answer_is_owed_until_its_last_byte_is_written) {
   play(GetParam(), [](LeavingTrial& trial) -> Task<void> {
     constexpr std::size_t more_than_sockets_buffer = 24u << 20;
--- a/tests/programs/mesh_trial.hpp
+++ b/tests/programs/mesh_trial.hpp
@@ -1,9 +1,9 @@
-// A whole mesh on virtual time: in each zone a core machine with a store and a
-// registry, and machines with a node, a stand-in backend and clients. The
-// programs are the product's own; only the network, the disks, the connections
-// to backends and the operators' translation of bytes are made up. Each run of
-// a request on a backend goes into a ledger, and each client keeps what it was
-// told, so that the two can be compared.
+// A whole mesh on virtual time: each zone has a core machine with a store and a
+// registry, and machines with a node, a fake backend and clients. The program
+// code is the real one; the network, the disks, the connections to backends and
+// the adapter of the operator interface are fakes. A ledger records each execution
+// of a request on a backend, and each client records the outcome it was told, so
+// that tests can compare the two.
 #pragma once
 
 #include "coordination/membership.hpp"
@@ -15,17 +15,17 @@
 
 namespace banktide {
 
-/** Which services there are: requests that may be repeated, others, and others with keys. */
+/** The services: with idempotent requests, with requests that may not be repeated, and the latter with keys. */
 inline constexpr std::array<std::string_view, 3> trial_services{"browse", "payments", "accounts"};
 
-/** One run of a request on a backend. */
+/** One execution of a request on a backend. */
 struct LedgerEntry {
   std::string request;
   std::string zone;
   Instant at{};
 };
 
-/** What a client was told in the end of something that it wanted once. */
+/** The final outcome of a request, as its client was told. */
 enum class ClientOutcome : std::uint8_t { none, done, refused, unknown };
 struct ClientRecord {
   std::string request;
@@ -52,10 +52,10 @@
   std::size_t outside_its_keys = 0;
 };
 
-/** What a trial is given besides its zones. */
+/** Options of a trial. */
 struct MeshTrialOptions {
   TimingBounds bounds;
-  /** The content of a version; empty: three services, open to everybody. */
+  /** Returns the configuration of a version; if empty: three services that need no access key. */
   std::function<ServiceConfiguration(std::uint64_t version)> configuration;
 };
 
@@ -99,7 +99,7 @@
     }
     for (auto& [name, machine] : machines) start_machine(machine);
   }
-  // What was spawned last starts first, so that it ends with its process.
+  // Tasks spawned last must start before the processes are killed, so that they end with their process.
   ~MeshTrial() {
     sim.settle();
     for (std::shared_ptr<SimProcess> const& p : processes) p->kill();
@@ -211,7 +211,7 @@
       if (!net.dark.contains(name)) start_registry(core);
   }
 
-  // ---- what happens
+  // ---- running the trial
 
   void run_for(Duration const d) { sim.run_until(sim.now + d); }
   bool run_until(std::function<bool()> const& holds, Duration const most) {
@@ -220,7 +220,7 @@
     return holds();
   }
 
-  /** A call of an operator at the registry of a zone; status 0 if it doesn't answer. */
+  /** Sends an operator's request to the registry of a zone; status 0 if it doesn't answer. */
   HttpReply operate(std::string const& zone, std::string const& method, std::string const& target,
                     std::string const& body = "") {
     Core const& core = cores.at("core-" + zone);
@@ -235,7 +235,7 @@
     return *reply;
   }
 
-  /** Everything is up: a configuration is in force, all nodes are ready, all keys are held. */
+  /** Brings everything up: waits until a configuration is active, all nodes are ready and all keys are held. */
   bool form() {
     bool const written = run_until([&] { return operate(zones[0], "PUT", "/configuration", "1").status == 200; }, 20s);
     return written && run_until(
@@ -247,7 +247,7 @@
                           30s);
   }
 
-  /** Keys held by backends that are up; in one zone, if it is named. */
+  /** The number of keys held by backends that are up, in one zone if `zone` is given. */
   std::size_t keys_held(std::string const& zone = "") const {
     std::size_t keys = 0;
     for (auto const& [name, machine] : machines) {
@@ -273,7 +273,7 @@
   std::vector<LedgerEntry> ledger;
   std::vector<std::shared_ptr<ClientRecord>> records;
   std::vector<std::shared_ptr<StandInBackend>> all_backends;
-  bool serving = false;  // clients ask
+  bool serving = false;  // clients send requests
 
  private:
   static constexpr DataPathHeaders header_names{"attempt", "remaining", "target",     "answering", "key",
@@ -281,7 +281,7 @@
   static constexpr Duration beat_every = 1500ms;
   static constexpr Duration release_takes = 40ms;
 
-  /** The node's connections to its stand-in backend. */
+  /** The node's connections to its fake backend. */
   class Caller : public BackendCaller {
    public:
     Caller(MeshTrial& trial, SimProcess& process, std::shared_ptr<StandInBackend> backend)
@@ -337,7 +337,7 @@
     return *dispatchers.back();
   }
 
-  // Bytes that cross the made-up interface are numbers of what they stand for.
+  // In the fake interface, bodies are indices into the vectors of heartbeats and answers.
   void make_adapter() {
     adapter.headers = header_names;
     adapter.read_configuration = [this](std::string_view const version) -> Result<ServiceConfiguration> {
@@ -405,7 +405,7 @@
     }
   }
 
-  // Rows come and go whole here: what isn't granted any more is let go with a token.
+  // Rows are granted and released whole: a row that is no longer granted is released with a token.
   static bool take_rows(StandInBackend& backend, Instant const sent, HeartbeatGrant const& grant) {
     std::vector<StandInBackend::Row> rows;
     for (HeartbeatGrantedRow const& g : grant.rows)
@@ -422,8 +422,8 @@
     return lets_go;
   }
 
-  // One client of each service a machine: it wants one thing after the other. What
-  // was refused as not run it asks for again under a new name; nothing else.
+  // One client per machine and service, with one request at a time. It retries, with a new attempt id, only
+  // requests that were refused as not executed.
   Task<void> keep_asking(std::shared_ptr<SimProcess> const p, std::shared_ptr<MeshNode<SimProcess>> const node,
                          Machine const& machine, std::string const service) {
     while (true) {
@@ -464,7 +464,7 @@
   std::vector<BackendHeartbeat> beats;
   std::vector<HeartbeatAnswer> answers;
   std::uint64_t runs = 0;
-  // Objects on processes: they go before the processes that their alarms belong to.
+  // Objects that run on processes: destroyed before the processes, to which their alarms belong.
   std::vector<std::shared_ptr<void>> kept;
 };
 
--- a/tests/programs/settings_test.cpp
+++ b/tests/programs/settings_test.cpp
@@ -1,4 +1,4 @@
-// Settings: flags over the file, every error at once, and what has changed.
+// Settings: flags take precedence over the file, all errors are reported, changes are detected.
 #include "programs/settings.hpp"
 
 #include <filesystem>
