--- a/source/state/key_planner.cpp
+++ b/source/state/key_planner.cpp
@@ -1,7 +1,7 @@
-// The steps of a plan, in order: revoke the silent and restore the returned;
-// free what nobody can hold any more, or give it to the new life on the same
-// node; finish moves; give free rows out; begin moves away from drains, towards
-// newcomers, and from overloaded to idle.
+// The steps of a plan, in order: revoke rows of silent holders and restore those of returned
+// ones; free rows that nobody can hold any more, or assign them to the next incarnation on the
+// same node; finish moves; assign free rows; begin moves away from draining backends, to new
+// backends, and from overloaded to idle ones.
 #include "state/key_planner.hpp"
 
 #include "state/key_rebalancer.hpp"
@@ -13,14 +13,14 @@
 
 namespace {
 
-constexpr Duration stall_threshold = 500ms;    // a longer one means that this process was held up
-constexpr Duration growth_quiet_time = 500ms;  // no new backend for this long: all have been heard
+constexpr Duration stall_threshold = 500ms;    // a longer gap between ticks means that this process was stalled
+constexpr Duration growth_quiet_time = 500ms;  // no new backend for this long: all have reported
 constexpr Duration ended_retention = 120s;
-constexpr double neighbour_cost = 0.1;   // what it counts against a taker to hold a neighbouring row
-constexpr double width_weight = 0.25;    // how a row counts that shows no load
-constexpr double newcomer_share = 0.75;  // of the mean share, up to which a newcomer is fed
+constexpr double neighbour_cost = 0.1;   // cost of holding a neighbouring row, when a recipient is picked
+constexpr double width_weight = 0.25;    // weight of the share of keys held, next to that of the load
+constexpr double newcomer_share = 0.75;  // of the mean share, up to which a new backend is given rows
 constexpr double least_capacity_weight = 0.15;
-constexpr double min_measurable_busy = 0.05;  // below this, run times say little of the capacity
+constexpr double min_measurable_busy = 0.05;  // below this, run times say little about the capacity
 
 KeyHolderRecord record_of(KeyReport const& report) {
   return KeyHolderRecord{report.instance, report.node, report.address, report.zone};
@@ -54,17 +54,17 @@
   update_capacity(backend);
 }
 
-// By the run times that its node measures; without those, by how busy the
-// requests on its rows make it.
+// Uses the capacity that its node derives from run times; without one, the request rate of its
+// rows divided by its busy share.
 void KeyPlanner::update_capacity(Backend& backend) {
   if (backend.report.busy < min_measurable_busy) return;
   double demand = 0;
   for (KeyRowLoad const& load : backend.report.held) demand += std::max(0.0F, load.rate);
   if (demand <= 0) return;
-  double const told = backend.report.capacity > 0 ? backend.report.capacity : demand / backend.report.busy;
+  double const measured_capacity = backend.report.capacity > 0 ? backend.report.capacity : demand / backend.report.busy;
   ++backend.measured;
   double const weight = std::max(least_capacity_weight, 1.0 / static_cast<double>(backend.measured));
-  backend.capacity += (told - backend.capacity) * weight;
+  backend.capacity += (measured_capacity - backend.capacity) * weight;
 }
 
 void KeyPlanner::on_table(Instant const now, KeyTable table) {
@@ -91,7 +91,7 @@
 }
 
 bool KeyPlanner::is_serving(Backend const& backend, Instant const now) const {
-  return backend.report.standing == KeyHolderState::serving && backend.report.leased &&
+  return backend.report.standing == KeyStanding::serving && backend.report.leased &&
          now - backend.last_report <= settings_.report_valid_for && !ended(backend.report.instance);
 }
 
@@ -99,7 +99,7 @@
   return is_serving(backend, now) && !is_vacated(backend.report.zone);
 }
 
-// None, if there is nobody elsewhere to take the service's keys.
+// Vacates no zone if no backend elsewhere can hold the service's keys.
 void KeyPlanner::find_zones_to_vacate(std::string const& service, Instant const now) {
   bool const others = std::any_of(backends_.begin(), backends_.end(), [&](auto const& known) {
     KeyReport const& report = known.second.report;
@@ -115,8 +115,8 @@
   return now - last_report;
 }
 
-// Whoever confirmed the table without the revocation asked before it was
-// chosen, so its lease ended a term after this process saw it chosen.
+// A node that confirmed its lease by a table without the revocation asked before the revocation
+// was chosen, so its lease ends at most one term after this process saw it chosen.
 bool KeyPlanner::revocation_elapsed(Revision const revoked, Instant const now) const {
   std::map<Revision, Instant>::const_iterator const seen = revocations_.find(revoked);
   if (seen == revocations_.end()) return false;
@@ -160,7 +160,8 @@
   return next;
 }
 
-// The first rows of a service: dealt out in turn, by the backends' slots.
+// Creates the first rows of a service, assigned in turn in proportion to the backends' slots, so
+// that no two neighbouring rows have the same holder.
 void KeyPlanner::create(KeyTable& table, std::string const& name, Instant const now) {
   if (table.service(name) != nullptr) return;
   ServiceState const& state = services_[name];
@@ -200,7 +201,7 @@
     holders.insert(row.holder);
     if (silent_for(table.holders[row.holder].instance, now) > settings_.revoke_after) silent.insert(row.holder);
   }
-  // If most are silent, it's rather this process that hears nothing.
+  // If most are silent, it is more likely that this process receives nothing.
   bool const most_are_silent = silent.size() * 2 > holders.size();
   Duration const patience = most_are_silent ? 2 * settings_.revoke_after : settings_.revoke_after;
   for (KeyRow& row : service.rows) {
@@ -215,8 +216,8 @@
   }
 }
 
-// The new life on the node of an ended one: it may inherit rows at once, also
-// in its first moments, while its node has no lease yet.
+// Finds the next incarnation on the node of an ended backend. It may inherit rows at once, also
+// for a while after its start, when its node has no lease yet.
 KeyPlanner::Backend const* KeyPlanner::successor_of(KeyHolderRecord const& ended_holder, std::string const& service,
                                                     Instant const now) const {
   for (std::pair<std::string const, Backend> const& known : backends_) {
@@ -224,16 +225,16 @@
     KeyReport const& report = backend.report;
     if (report.node != ended_holder.node || report.service != service || ended(report.instance)) continue;
     if (is_vacated(report.zone)) continue;
-    bool const is_serving = report.leased || now - backend.first_heard <= settings_.successor_grace;
+    bool const may_hold = report.leased || now - backend.first_heard <= settings_.successor_grace;
     bool const here = now - backend.last_report <= settings_.report_valid_for;
-    if (is_serving && here && report.standing == KeyHolderState::serving) return &backend;
+    if (may_hold && here && report.standing == KeyStanding::serving) return &backend;
   }
   return nullptr;
 }
 
-// A row without a holder is one that nobody can hold: its holder has ended, or
-// the whole term has passed since its revocation. The rows of an ended life go
-// to the next one on its node, if there is one, and keep their shares.
+// Frees rows that nobody can hold any more: the holder has ended, or the whole lease term has
+// passed since the revocation. The rows of an ended incarnation go to the next one on its node,
+// if there is one, with their boundaries unchanged.
 void KeyPlanner::free_rows(KeyTable& table, KeyService& service, Instant const now) {
   std::uint32_t const fence = service.highest_fence() + 1;
   for (KeyRow& row : service.rows) {
@@ -296,7 +297,7 @@
   return best;
 }
 
-// The busy share that a row makes at its holder, by the holder's last report.
+// Returns the part of its holder's busy share that a row causes, by the holder's last report.
 double KeyPlanner::row_cost(KeyTable const& table, KeyRow const& row) const {
   if (row.holder == no_holder) return 0;
   std::map<std::string, Backend>::const_iterator const found = backends_.find(table.holders[row.holder].instance);
@@ -315,9 +316,9 @@
     KeyRow& row = service.rows[i];
     KeyRelease const* const release = release_of(table, row);
     bool const wanted = std::any_of(recipients.begin(), recipients.end(),
-                                    [&](Recipient const& t) { return t.holder_index == row.next; });
+                                    [&](Recipient const& r) { return r.holder_index == row.next; });
     if (row.moving != 0 && !wanted) {
-      // Its taker is gone: another one, or the move is off.
+      // The recipient is gone: choose another one, or cancel the move.
       Recipient* const other = pick(recipients, service, i, settings_.held_rows_limit);
       row.next = other == nullptr ? no_holder : other->holder_index;
       if (other != nullptr) {
@@ -331,12 +332,12 @@
   }
 }
 
-// Joins neighbouring free rows in pairs until the takers have room for all.
+// Merges neighbouring free rows in pairs until the recipients have room for all of them.
 void KeyPlanner::merge_free(KeyService& service, std::size_t const room) {
   auto const is_free = [](KeyRow const& row) { return row.holder == no_holder; };
   std::size_t free = static_cast<std::size_t>(std::count_if(service.rows.begin(), service.rows.end(), is_free));
-  for (bool joined = true; joined && free > room;) {
-    joined = false;
+  for (bool merged = true; merged && free > room;) {
+    merged = false;
     for (std::size_t i = 0; i + 1 < service.rows.size() && free > room; ++i) {
       KeyRow& left = service.rows[i];
       KeyRow const& right = service.rows[i + 1];
@@ -345,7 +346,7 @@
       left.fence = std::max(left.fence, right.fence);
       service.rows.erase(service.rows.begin() + static_cast<std::ptrdiff_t>(i) + 1);
       --free;
-      joined = true;
+      merged = true;
     }
   }
 }
@@ -353,7 +354,7 @@
 void KeyPlanner::assign_free(KeyService& service, Recipients& recipients) {
   if (recipients.empty()) return;
   std::uint32_t const fence = service.highest_fence() + 1;
-  std::size_t const wanted = settings_.held_rows_limit * 3 / 4;  // leaves room for moves
+  std::size_t const wanted = settings_.held_rows_limit * 3 / 4;  // the rest is room for moves
   std::size_t room = 0;
   for (Recipient const& recipient : recipients) room += wanted - std::min(wanted, recipient.rows);
   merge_free(service, std::max(room, recipients.size()));
@@ -378,8 +379,8 @@
   recipient.width += width_of(service.rows[row]);
 }
 
-// A holder that ends soon lets everything go at once; one whose zone is withheld
-// has more time, and lets go a few rows at a time.
+// A draining backend ends soon and gives up all rows at once; a backend in a withheld zone has
+// more time and gives up a few rows at a time.
 void KeyPlanner::drain(KeyTable& table, KeyService& service, Recipients& recipients) {
   std::map<std::uint16_t, std::size_t> leaving;
   for (KeyRow const& row : service.rows) leaving[row.holder] += row.moving != 0;
@@ -388,7 +389,7 @@
     if (row.holder == no_holder || row.moving != 0) continue;
     Backend const* const holder = backend_of(table.holders[row.holder].instance);
     if (holder == nullptr) continue;
-    bool const ends = holder->report.standing == KeyHolderState::draining;
+    bool const ends = holder->report.standing == KeyStanding::draining;
     bool const leaves = is_vacated(table.holders[row.holder].zone) && leaving[row.holder] < settings_.moving_rows_limit;
     if (!ends && !leaves) continue;
     Recipient* const recipient = pick(recipients, service, i, settings_.held_rows_limit);
@@ -398,8 +399,8 @@
   }
 }
 
-// A backend with far less than its share, by slots, gets rows of those with the
-// widest share, a few at a time. Load decides from then on.
+// A new backend with far less than its share by slots gets rows from the backends with the
+// widest share, a few at a time. From then on its load decides.
 void KeyPlanner::fill_newcomers(KeyTable& table, KeyService& service, Recipients& recipients) {
   double slots = 0;
   for (Recipient const& recipient : recipients) slots += recipient.backend->report.slots;
@@ -438,8 +439,8 @@
   }
 }
 
-// Requests a second that a slot finishes, by those backends that have told; one
-// that has hardly had a request yet is taken for as able as these.
+// Returns the requests per second that a slot finishes, averaged over the backends with a known
+// capacity. It stands in for the capacity of backends that have had hardly any requests yet.
 double KeyPlanner::capacity_of_slot(Recipients const& recipients) {
   double capacity = 0, slots = 0;
   for (Recipient const& recipient : recipients) {
@@ -450,17 +451,17 @@
   return slots > 0 ? capacity / slots : 0;
 }
 
-// The backends that take part are those whose rows' rates are known.
+// Only backends whose rows' rates are known take part.
 void KeyPlanner::rebalance(KeyTable const& table, KeyService& service, Recipients const& recipients,
                            Instant const now) {
   ServiceState& state = services_[service.name];
   state.rates.remove_expired(service, now);
   if (now < state.next_rebalance) return;
-  double const of_slot = capacity_of_slot(recipients);
+  double const slot_capacity = capacity_of_slot(recipients);
   KeyRebalancer step(settings_, service, state.rates, table.revision, now);
   for (Recipient const& recipient : recipients) {
     Backend const& backend = *recipient.backend;
-    double const capacity = backend.capacity > 0 ? backend.capacity : of_slot * backend.report.slots;
+    double const capacity = backend.capacity > 0 ? backend.capacity : slot_capacity * backend.report.slots;
     if (backend.filling || capacity <= 0) continue;
     LoadedBackend loaded;
     loaded.instance = backend.report.instance;
@@ -470,13 +471,13 @@
     loaded.settling = now < backend.settling_until;
     step.add(loaded);
   }
-  bool const evened = step.level_load(now < state.leveling_until);
+  bool const leveled = step.level_load(now < state.leveling_until);
   if (step.uneven()) state.leveling_until = now + settings_.leveling_time;
-  bool const gathered = step.merge_cool_rows();
-  if (evened || gathered) state.next_rebalance = now + settings_.rebalance_every;
+  bool const merged = step.merge_cool_rows();
+  if (leveled || merged) state.next_rebalance = now + settings_.rebalance_every;
   for (Recipient const& recipient : recipients)
     if (std::count(step.settling().begin(), step.settling().end(), recipient.holder_index) > 0)
-      recipient.backend->settling_until = now + settings_.settle;
+      recipient.backend->settling_until = now + settings_.settle_time;
 }
 
 void KeyPlanner::remove_expired(Instant const now) {
--- a/source/state/key_planner.hpp
+++ b/source/state/key_planner.hpp
@@ -1,8 +1,7 @@
-// Plans who is to hold which keys: from the newest table and the nodes' reports
-// it makes the next table, or none if nothing is to change. A row changes hands
-// only once its holder has let it go, is proved to have ended, or has had no
-// lease for the whole term after its revocation. Nothing here speaks or waits:
-// the coordinator brings reports, tables and the time.
+// Plans the assignment of keys to backends: computes the next key table from the newest table
+// and the nodes' reports, or none if nothing changes. A row gets a new holder only after its
+// holder has released it, is proved to have ended, or has had no lease for a whole lease term
+// after the revocation. Pure state: the coordinator passes in reports, tables and the time.
 #pragma once
 
 #include "protocol/key_messages.hpp"
@@ -20,14 +19,14 @@
   explicit KeyPlanner(KeySettings settings) : settings_(settings) {}
 
   void on_report(Instant now, KeyReport report);
-  /// A chosen table; older ones change nothing.
+  /// Takes a table that the register has chosen; tables older than the known one are ignored.
   void on_table(Instant now, KeyTable table);
-  /// To be called several times a second, also while another coordinator acts:
-  /// after a gap, silence is counted anew, as this process may have been frozen.
+  /// Must be called several times a second, also while another coordinator is active. After a gap
+  /// between calls the silence of backends is counted anew, as this process may have been frozen.
   void tick(Instant now);
-  /// Backends in these zones are to hold no keys, as far as there are others for their service.
+  /// Moves keys away from backends in these zones, if their service has backends elsewhere.
   void withhold_zones(std::set<std::string> zones) { withheld_zones_ = std::move(zones); }
-  /// The table to write next, one revision above the newest known.
+  /// Returns the table to write next, one revision above the newest known.
   std::optional<KeyTable> plan(Instant now);
 
   KeyTable const& table() const { return table_; }
@@ -37,10 +36,10 @@
     KeyReport report;
     Instant first_heard{};
     Instant last_report{};
-    Instant settling_until{};  // its load is judged from then on
-    double capacity = 0;       // requests a second, smoothed over its reports; 0: not known
-    std::size_t measured = 0;  // reports that told its capacity
-    bool filling = false;      // it's new and gets its first share
+    Instant settling_until{};  // it takes no part in fine rebalancing until then
+    double capacity = 0;       // requests per second, smoothed over its reports; 0: unknown
+    std::size_t measured = 0;  // reports that gave its capacity
+    bool filling = false;      // new: it is being given its first share
   };
   struct ServiceState {
     Instant first_report{};
@@ -48,16 +47,16 @@
     std::size_t known = 0;
     Instant last_new_backend{};
     KeyRates rates;
-    Instant leveling_until{};  // somebody was overloaded, and loads haven't been even for a while yet
+    Instant leveling_until{};  // leveling goes on until then, once a backend was overloaded
   };
-  // A backend that may take rows, and what it has by now.
+  // A backend that may receive rows, and what it holds so far in this plan.
   struct Recipient {
     Backend* backend = nullptr;
     std::uint16_t holder_index = no_holder;
-    std::size_t rows = 0;     // held, and on the move to it
-    double cost = 0;          // busy share, and what was given to it since
-    double width = 0;         // its share of the keys
-    std::size_t leaving = 0;  // rows on the move away
+    std::size_t rows = 0;     // held, and moving to it
+    double cost = 0;          // its busy share, plus that of the rows assigned to it in this plan
+    double width = 0;         // its share of all keys
+    std::size_t leaving = 0;  // rows moving away from it
     std::size_t arriving = 0;
   };
   using Recipients = std::vector<Recipient>;
@@ -95,10 +94,10 @@
   KeyTable table_;
   std::map<std::string, Backend> backends_;  // by instance
   std::map<std::string, ServiceState> services_;
-  std::map<std::string, Instant> ended_;     // and when it was last told
-  std::map<Revision, Instant> revocations_;  // when this process first saw each as chosen
+  std::map<std::string, Instant> ended_;     // and when each was last reported
+  std::map<Revision, Instant> revocations_;  // when this process first saw each in a chosen table
   std::set<std::string> withheld_zones_;
-  std::set<std::string> zones_to_vacate_;  // of these, those that the service being planned can do without
+  std::set<std::string> zones_to_vacate_;  // those of them that the service being planned can do without
   Instant observing_since_{};
   Instant last_tick_{};
 };
--- a/source/state/key_rates.hpp
+++ b/source/state/key_rates.hpp
@@ -1,6 +1,6 @@
-// What is known of the load of one service's rows: the newest rate of each and
-// where it may be cut. A row that is cut, joined or on the move keeps what was
-// known of its keys until its holder has measured it itself.
+// The known load of one service's rows: the newest rate of each and where it may be split. A row
+// that was split, merged or moved keeps the rate derived from what was known of its keys until
+// its holder has measured it.
 #pragma once
 
 #include "protocol/key_messages.hpp"
@@ -15,24 +15,24 @@
 namespace banktide {
 
 struct KeyRate {
-  double rate = 0;            // requests a second
-  double seconds = 0;         // over which it was taken; 0: not told
-  std::string source;         // the instance that told it; empty: derived from other rows
-  std::string last_reporter;  // the instance that showed the row last
-  Instant told{};
-  Instant moved_at{};  // when a move for load began last
+  double rate = 0;            // requests per second
+  double seconds = 0;         // over which it was measured; 0: unknown
+  std::string source;         // the instance that measured it; empty: derived from other rows
+  std::string last_reporter;  // the instance that reported the row last
+  Instant reported_at{};
+  Instant moved_at{};  // when the last move for load began
   std::vector<KeyCut> cuts;
 };
 
 class KeyRates {
  public:
   void update(Instant now, KeyReport const& report);
-  /// None if nothing is known of this very row.
+  /// Returns the rate of a row with exactly these bounds; nullptr if there is none.
   KeyRate const* find(KeyRow const& row) const;
-  /// What is known of a row that was made from others.
+  /// Sets the rate of a row that was derived from other rows.
   void set(KeyRow const& row, KeyRate rate);
   void note_move(KeyRow const& row, Instant now);
-  /// Forgets rows that the service hasn't had for a while.
+  /// Removes rows that the service hasn't had for a while.
   void remove_expired(KeyService const& service, Instant now);
 
  private:
--- a/source/state/key_rebalancer.cpp
+++ b/source/state/key_rebalancer.cpp
@@ -1,7 +1,6 @@
-// Rows go one after the other from the backend that is then the most utilised to
-// the least. A backend begins to give only when it is far above the mean, by more
-// than chance explains, and then gives until it is near it, so that a load that
-// merely fluctuates moves nothing.
+// Moves rows one by one from the most to the least utilised backend of the moment. A backend starts
+// to give up rows only when its load is far above the mean, by more than random variation explains,
+// and then goes on until it is near the mean. So a load that merely fluctuates moves nothing.
 #include "state/key_rebalancer.hpp"
 
 #include <algorithm>
@@ -16,13 +15,13 @@
 
 constexpr double all_keys = 65536;
 constexpr double all_shares = 65535;
-constexpr double rate_tolerance = 0.3;      // how far above the wanted shift a row's rate may lie
-constexpr double min_useful_share = 0.1;    // of the wanted shift, that a row in a fine step carries
-constexpr double neighbour_gap = 0.15;      // a taker may be this much more utilised, to hold no neighbour
-constexpr double donor_target_share = 0.5;  // of the gap that calls for moves: a giver gives down to this
-constexpr double cool_share = 0.5;          // of the rate from which rows are cut, that a joined row may carry
-constexpr double narrow_share = 0.25;       // of a first row's width: such rows are brought together
-constexpr double room_share = 0.75;         // of the rows that a backend may hold, to which they are brought
+constexpr double rate_tolerance = 0.3;      // by which a row's rate may exceed the wanted shift of load
+constexpr double min_useful_share = 0.1;    // of the wanted shift: the least that a moved row carries
+constexpr double neighbour_gap = 0.15;      // a recipient without a neighbouring row may be this much more utilised
+constexpr double donor_target_share = 0.5;  // of the gap that triggers moves: a donor gives up rows until it is below
+constexpr double cool_share = 0.5;          // of the split threshold: the most that a merged row may carry
+constexpr double narrow_share = 0.25;       // of a first row's width: narrower rows are merged
+constexpr double room_share = 0.75;         // of the rows that a backend may hold: no row is moved for merging above it
 constexpr std::size_t max_splits_at_once = 3;
 
 }  // namespace
@@ -42,7 +41,7 @@
 
 void KeyRebalancer::add(LoadedBackend backend) { backends_.push_back(std::move(backend)); }
 
-// Rows on the move count for their takers already.
+// Moving rows count for their recipients already.
 void KeyRebalancer::sum_loads() {
   if (std::exchange(loads_summed_, true)) return;
   std::set<std::uint16_t> unknown;
@@ -58,12 +57,12 @@
     carrier->demand += known->rate;
     if (known->seconds > 0) carrier->variance += known->rate / known->seconds;
   }
-  std::erase_if(backends_, [&](LoadedBackend const& one) { return unknown.contains(one.holder_index); });
+  std::erase_if(backends_, [&](LoadedBackend const& backend) { return unknown.contains(backend.holder_index); });
 }
 
 LoadedBackend* KeyRebalancer::backend(std::uint16_t const holder_index) {
-  for (LoadedBackend& one : backends_)
-    if (one.holder_index == holder_index) return &one;
+  for (LoadedBackend& backend : backends_)
+    if (backend.holder_index == holder_index) return &backend;
   return nullptr;
 }
 
@@ -75,20 +74,20 @@
 bool KeyRebalancer::movable(KeyRow const& row) const {
   if (row.moving != 0 || row.revoked != 0) return false;
   KeyRate const* const known = rates_.find(row);
-  return known != nullptr && (known->moved_at == Instant{} || now_ - known->moved_at >= settings_.settle);
+  return known != nullptr && (known->moved_at == Instant{} || now_ - known->moved_at >= settings_.settle_time);
 }
 
 std::size_t KeyRebalancer::rows_limit() const {
   return std::min(settings_.rows_limit, settings_.held_rows_limit * backends_.size());
 }
 
-// A backend that a single key fills beyond the mean can give the others nothing:
-// they are evened out among themselves.
+// A backend that a single key loads beyond the mean can give up nothing useful: it is left out of
+// the mean, and the others are leveled among themselves.
 void KeyRebalancer::find_means() {
   double demand = 0, capacity = 0;
-  for (LoadedBackend const& one : backends_) {
-    demand += one.demand;
-    capacity += one.capacity;
+  for (LoadedBackend const& backend : backends_) {
+    demand += backend.demand;
+    capacity += backend.capacity;
   }
   split_threshold_ = settings_.part_share * demand / static_cast<double>(backends_.size());
   mean_ = capacity > 0 ? demand / capacity : 0;
@@ -108,28 +107,28 @@
 }
 
 bool KeyRebalancer::overloaded() const {
-  return std::any_of(backends_.begin(), backends_.end(), [&](LoadedBackend const& one) {
-    return one.busy > settings_.overloaded || one.utilisation() > settings_.overloaded;
+  return std::any_of(backends_.begin(), backends_.end(), [&](LoadedBackend const& backend) {
+    return backend.busy > settings_.overload_threshold || backend.utilisation() > settings_.overload_threshold;
   });
 }
 
-double KeyRebalancer::gap(LoadedBackend const& one) const { return one.utilisation() / mean_ - 1; }
+double KeyRebalancer::gap(LoadedBackend const& backend) const { return backend.utilisation() / mean_ - 1; }
 
-double KeyRebalancer::gap_with_noise(LoadedBackend const& one, double const gap) const {
-  return gap + (one.demand > 0 ? std::sqrt(one.variance) / one.demand : 0);
+double KeyRebalancer::gap_with_noise(LoadedBackend const& backend, double const gap) const {
+  return gap + (backend.demand > 0 ? std::sqrt(backend.variance) / backend.demand : 0);
 }
 
 bool KeyRebalancer::exceeds_gap(double const limit) const {
   return std::any_of(backends_.begin(), backends_.end(),
-                     [&](LoadedBackend const& one) { return gap(one) > gap_with_noise(one, limit); });
+                     [&](LoadedBackend const& backend) { return gap(backend) > gap_with_noise(backend, limit); });
 }
 
 LoadedBackend* KeyRebalancer::most_utilised(bool const coarse) {
   LoadedBackend* most = nullptr;
-  for (LoadedBackend& one : backends_) {
-    if (one.done || (!coarse && one.settling)) continue;
-    if (gap(one) <= gap_with_noise(one, settings_.load_gap)) continue;
-    if (most == nullptr || one.utilisation() > most->utilisation()) most = &one;
+  for (LoadedBackend& backend : backends_) {
+    if (backend.done || (!coarse && backend.settling)) continue;
+    if (gap(backend) <= gap_with_noise(backend, settings_.load_gap)) continue;
+    if (most == nullptr || backend.utilisation() > most->utilisation()) most = &backend;
   }
   return most;
 }
@@ -138,42 +137,42 @@
   LoadedBackend* least = nullptr;
   std::size_t const row =
       apart_from == nullptr ? service_.rows.size() : static_cast<std::size_t>(apart_from - service_.rows.data());
-  for (LoadedBackend& one : backends_) {
-    if (one.rows >= settings_.held_rows_limit || one.utilisation() >= mean_) continue;
-    if (!coarse && (one.settling || one.done)) continue;
-    if (apart_from != nullptr && holds_neighbour(one, row)) continue;
-    if (least == nullptr || one.utilisation() < least->utilisation()) least = &one;
+  for (LoadedBackend& backend : backends_) {
+    if (backend.rows >= settings_.held_rows_limit || backend.utilisation() >= mean_) continue;
+    if (!coarse && (backend.settling || backend.done)) continue;
+    if (apart_from != nullptr && holds_neighbour(backend, row)) continue;
+    if (least == nullptr || backend.utilisation() < least->utilisation()) least = &backend;
   }
   return least;
 }
 
-bool KeyRebalancer::holds_neighbour(LoadedBackend const& one, std::size_t const row) const {
-  auto const holds = [&](KeyRow const& r) { return (r.next != no_holder ? r.next : r.holder) == one.holder_index; };
+bool KeyRebalancer::holds_neighbour(LoadedBackend const& backend, std::size_t const row) const {
+  auto const holds = [&](KeyRow const& r) { return (r.next != no_holder ? r.next : r.holder) == backend.holder_index; };
   return (row > 0 && holds(service_.rows[row - 1])) ||
          (row + 1 < service_.rows.size() && holds(service_.rows[row + 1]));
 }
 
-// Told parts joined to at most so many, none above the rate if possible.
+// Groups the reported parts of a row into at most `parts` parts, none above the rate `most` if possible.
 std::vector<KeyCut> KeyRebalancer::group_cuts(KeyRate const& known, double const most, std::size_t const parts) const {
   double rest = all_shares;
-  for (KeyCut const& split : known.cuts) rest -= split.share;
+  for (KeyCut const& part : known.cuts) rest -= part.share;
   for (double limit = most;; limit *= 1.25) {
     std::vector<KeyCut> cuts;
-    double gathered = std::max(rest, 0.0);
-    for (KeyCut const& split : known.cuts) {
-      if ((gathered + split.share) / all_shares * known.rate > limit) {
-        cuts.push_back(split);
-        gathered = 0;
+    double collected = std::max(rest, 0.0);
+    for (KeyCut const& part : known.cuts) {
+      if ((collected + part.share) / all_shares * known.rate > limit) {
+        cuts.push_back(part);
+        collected = 0;
       } else if (!cuts.empty()) {
-        cuts.back().share = static_cast<std::uint16_t>(std::min<double>(cuts.back().share + split.share, all_shares));
+        cuts.back().share = static_cast<std::uint16_t>(std::min<double>(cuts.back().share + part.share, all_shares));
       }
-      gathered += split.share;
+      collected += part.share;
     }
     if (cuts.size() < parts || limit > known.rate) return cuts.size() < parts ? cuts : std::vector<KeyCut>{};
   }
 }
 
-// The parts' rates are known at once, so they can be moved in the same step.
+// The parts' rates are derived from the reported shares, so they can be moved in the same step.
 void KeyRebalancer::split(std::size_t const row, std::vector<KeyCut> const& cuts) {
   KeyRow const whole = service_.rows[row];
   KeyRate const known = *rates_.find(whole);
@@ -188,7 +187,7 @@
     KeyRate part;
     part.rate = known.rate * std::max(0.0, i == 0 ? left : cuts[i - 1].share) / all_shares;
     part.seconds = known.seconds;
-    part.told = now_;
+    part.reported_at = now_;
     rates_.set(parts[i], std::move(part));
   }
   std::vector<KeyRow>::iterator const at = service_.rows.begin() + static_cast<std::ptrdiff_t>(row);
@@ -196,7 +195,7 @@
   service_.rows.insert(at + 1, parts.begin() + 1, parts.end());
 }
 
-// The hottest first, as far as there is room.
+// Splits the hottest rows first, as far as the limits of rows allow.
 bool KeyRebalancer::split_hot_rows(LoadedBackend& holder) {
   bool any = false;
   for (std::size_t n = 0; n < max_splits_at_once; ++n) {
@@ -222,7 +221,7 @@
   return any;
 }
 
-// The row whose rate is nearest to what is wanted, rather narrow than wide.
+// Returns the row whose rate is nearest to the wanted shift; narrow rows are preferred.
 std::optional<KeyRebalancer::Move> KeyRebalancer::best_move(LoadedBackend const& donor, bool const coarse) {
   LoadedBackend* const idle = least_utilised(coarse, nullptr);
   if (idle == nullptr) return coarse ? move_of_hot_key(donor) : std::nullopt;
@@ -250,34 +249,33 @@
   return best;
 }
 
-// The requests a second on hot rows that can't be cut.
-double KeyRebalancer::hot_keys_of(LoadedBackend const& one) const {
+// Returns the requests per second on the backend's hot rows of a single key, which can't be split.
+double KeyRebalancer::hot_keys_of(LoadedBackend const& backend) const {
   double rate = 0;
   for (KeyRow const& row : service_.rows) {
-    bool const there = row.next == one.holder_index || (row.holder == one.holder_index && row.moving == 0);
+    bool const there = row.next == backend.holder_index || (row.holder == backend.holder_index && row.moving == 0);
     if (there && row.from == row.to && rate_of(row) > split_threshold_) rate += rate_of(row);
   }
   return rate;
 }
 
-// A backend that has too much though it has given its cool rows: one of its hot
-// keys goes to the backend that is then the least loaded by hot keys, and this one
-// gives cool rows to others in later steps. So hot keys come apart, and the
-// hottest goes to a backend that bears it better.
+// For a backend that is overloaded although it has given up its other rows: one of its hot keys
+// moves to the backend with the least load by hot keys, which gives up other rows in later steps.
+// So hot keys are spread, and the hottest goes to a backend with more capacity for it.
 std::optional<KeyRebalancer::Move> KeyRebalancer::move_of_hot_key(LoadedBackend const& donor) {
   std::optional<Move> best;
   double least = hot_keys_of(donor) / donor.capacity - settings_.load_gap_coarse * mean_;
-  for (LoadedBackend& one : backends_) {
-    if (&one == &donor || one.done || one.rows >= settings_.held_rows_limit) continue;
-    double const hot = hot_keys_of(one);
+  for (LoadedBackend& backend : backends_) {
+    if (&backend == &donor || backend.done || backend.rows >= settings_.held_rows_limit) continue;
+    double const hot = hot_keys_of(backend);
     for (std::size_t i = 0; i < service_.rows.size(); ++i) {
       KeyRow const& row = service_.rows[i];
       if (row.holder != donor.holder_index || row.from != row.to || !movable(row)) continue;
       double const rate = rate_of(row);
-      double const then = (hot + rate) / one.capacity;
-      if (then >= least || rate <= split_threshold_) continue;
-      least = then;
-      best = Move{i, &one, rate};
+      double const utilisation_after = (hot + rate) / backend.capacity;
+      if (utilisation_after >= least || rate <= split_threshold_) continue;
+      least = utilisation_after;
+      best = Move{i, &backend, rate};
     }
   }
   return best;
@@ -307,7 +305,7 @@
   bool changed = false;
   while (LoadedBackend* const donor = most_utilised(coarse)) {
     changed = split_hot_rows(*donor) || changed;
-    // Once it gives, it gives until it's near the mean.
+    // Once a backend gives up rows, it goes on until it is near the mean.
     while (!donor->done && gap(*donor) > settings_.load_gap * donor_target_share && donor->leaving < most_leaving) {
       std::optional<Move> const move = best_move(*donor, coarse);
       if (!move) break;
@@ -323,8 +321,8 @@
   return changed;
 }
 
-// Neighbours of one holder under one fence, the higher of both: no fence of theirs
-// is above it, so the backend takes the joined row for what it holds already.
+// Whether two neighbouring rows are cool and narrow enough to be one. The merged row gets the higher
+// of both fences: no fence of the two is above it, so the holder accepts the row as one it holds.
 bool KeyRebalancer::mergeable(KeyRow const& left, KeyRow const& right) const {
   double const widest =
       1.0 / static_cast<double>(std::max<std::size_t>(1, settings_.rows_per_backend * backends_.size()));
@@ -341,32 +339,31 @@
     KeyRow& left = service_.rows[i];
     KeyRow const& right = service_.rows[i + 1];
     LoadedBackend* const holder = left.holder == right.holder ? backend(left.holder) : nullptr;
-    // The holder has shown both, so their handovers have reached it.
+    // The holder has reported both rows, so their handovers have reached it.
     auto const shown = [&](KeyRow const& row) { return rates_.find(row)->last_reporter == holder->instance; };
     if (holder == nullptr || !mergeable(left, right) || !shown(left) || !shown(right)) {
       ++i;
       continue;
     }
-    KeyRate joined = *rates_.find(left);
+    KeyRate merged = *rates_.find(left);
     KeyRate const& other = *rates_.find(right);
-    joined.rate += other.rate;
-    joined.seconds = std::min(joined.seconds, other.seconds);
-    joined.moved_at = std::max(joined.moved_at, other.moved_at);
-    joined.cuts.clear();
-    joined.last_reporter.clear();
+    merged.rate += other.rate;
+    merged.seconds = std::min(merged.seconds, other.seconds);
+    merged.moved_at = std::max(merged.moved_at, other.moved_at);
+    merged.cuts.clear();
+    merged.last_reporter.clear();
     left.to = right.to;
     left.fence = std::max(left.fence, right.fence);
     if (left.handover != right.handover) left.handover.clear();
     service_.rows.erase(service_.rows.begin() + static_cast<std::ptrdiff_t>(i) + 1);
-    rates_.set(left, std::move(joined));
+    rates_.set(left, std::move(merged));
     --holder->rows;
     any = true;
   }
   return any;
 }
 
-// The cooler of two neighbours goes to the other's holder; they are joined once it
-// is there.
+// Moves the cooler of two neighbouring rows to the other's holder; they are merged once it is there.
 bool KeyRebalancer::move_neighbours_together() {
   double const narrow =
       narrow_share / static_cast<double>(std::max<std::size_t>(1, settings_.rows_per_backend * backends_.size()));
@@ -384,7 +381,7 @@
     if (donor == nullptr || recipient == nullptr || recipient->rows >= room) continue;
     begin(Move{row, recipient, rate_of(goes)}, *donor);
     ++begun;
-    ++i;  // the one that stays is to stay
+    ++i;  // the row that stays must not be moved by the next pair
   }
   return begun > 0;
 }
@@ -396,8 +393,8 @@
   if (service_.rows.size() <= many) return false;
   find_means();
   if (mean_ <= 0) return false;
-  bool const joined = merge_neighbours();
-  return move_neighbours_together() || joined;
+  bool const merged = merge_neighbours();
+  return move_neighbours_together() || merged;
 }
 
 }  // namespace banktide
--- a/source/state/key_rebalancer.hpp
+++ b/source/state/key_rebalancer.hpp
@@ -1,7 +1,6 @@
-// One step of evening out the load of a keyed service: cuts hot rows where their
-// load is, begins moves from the most utilised backends to the least, and gathers
-// cool narrow rows again when there are many. It changes rows of the table in the
-// making; whether and when a step is due is for the planner to say.
+// One step of rebalancing the load of a keyed service: splits hot rows, begins moves from the
+// most to the least utilised backends, and merges narrow rows with little load when there are many
+// rows. It changes rows of the table being planned; the planner decides when a step is due.
 #pragma once
 
 #include "state/key_rates.hpp"
@@ -12,22 +11,22 @@
 
 namespace banktide {
 
-/// The part of all keys that lies in a row.
+/// Returns the share of all keys that a row covers.
 double width_of(KeyRow const& row);
 
-// A backend whose rows' rates are known, and what it can do.
+// A backend whose rows' rates are known, with its capacity and load.
 struct LoadedBackend {
   std::string instance;
   std::uint16_t holder_index = no_holder;
-  double capacity = 0;  // requests a second
+  double capacity = 0;  // requests per second
   double busy = 0;
-  bool settling = false;  // it took part in a fine step lately
+  bool settling = false;  // it took part in a fine step recently
   // Filled in from the rows:
-  double demand = 0;    // requests a second on its rows, and on those on the move to it
-  double variance = 0;  // of the demand, by how long the rates were taken
+  double demand = 0;    // requests per second on its rows and on those moving to it
+  double variance = 0;  // of the demand, given how long the rates were measured
   std::size_t rows = 0;
   std::size_t leaving = 0;
-  bool done = false;  // no more of this step
+  bool done = false;  // takes no further part in this step
   double utilisation() const { return demand / capacity; }
 };
 
@@ -35,12 +34,12 @@
  public:
   KeyRebalancer(KeySettings const& settings, KeyService& service, KeyRates& rates, Revision revision, Instant now);
 
-  /// A backend with a row of unknown rate is left out.
+  /// Adds a backend. One with a row of unknown rate takes no part in the step.
   void add(LoadedBackend backend);
-  /// To be called once all are added; whether anything was changed. Nothing is while
-  /// nobody is overloaded, but what was begun goes on until loads are even.
+  /// Call once all backends are added. Begins to level the load only when a backend is overloaded;
+  /// `begun`: leveling is under way and goes on until loads are even. Returns whether rows changed.
   bool level_load(bool begun);
-  /// Whether a backend's load was so far above the mean that it should give.
+  /// Whether a backend's load was so far above the mean that it should give up rows.
   bool uneven() const { return uneven_; }
   bool merge_cool_rows();
   /// The backends that took part in a fine step.
@@ -86,8 +85,8 @@
   std::vector<std::uint16_t> settling_;
   bool loads_summed_ = false;
   bool uneven_ = false;
-  double mean_ = 0;             // utilisation, without backends that one key fills
-  double split_threshold_ = 0;  // requests a second that a row may carry without being cut
+  double mean_ = 0;             // utilisation, without backends that a single key overloads
+  double split_threshold_ = 0;  // requests per second above which a row is split
   double width_left_ = 0;
 };
 
--- a/source/state/key_table.cpp
+++ b/source/state/key_table.cpp
@@ -1,6 +1,5 @@
-// Looking up keys, and the compact form of the table: what most rows lack (a
-// move, a revocation, a token) takes one bit, and a row's end is the next one's
-// beginning.
+// Lookup of keys, and the compact encoding of the table: each optional field (a move, a revocation,
+// a handover token) takes one bit if absent, and a row's end follows from the next row's beginning.
 #include "state/key_table.hpp"
 
 #include <algorithm>
@@ -14,7 +13,7 @@
 constexpr std::uint8_t is_revoked = 4;
 constexpr std::uint8_t has_handover = 8;
 
-// Sets the rows' ends, and refuses rows that don't tile the keys or name nobody.
+// Sets the rows' ends. Throws if the rows don't cover all keys in order or refer to unknown holders.
 void set_row_ends(std::vector<KeyRow>& rows, std::size_t const holders) {
   if (rows.empty()) return;
   if (rows.front().from != 0) throw cereal::Exception("keys without a row");
--- a/source/state/key_table_delta.cpp
+++ b/source/state/key_table_delta.cpp
@@ -1,6 +1,6 @@
-// Bytes of a delta: the later holders as runs of earlier ones and new records, and
-// for each service the ranges of keys whose rows differ, with the rows that take
-// their place. The maker applies what it has made before it gives it away.
+// The encoding of a delta: the later holders as runs of earlier ones and new records, and for each
+// service the ranges of keys whose rows differ, with their new rows. A new delta is applied once
+// as a check before it is returned.
 #include "state/key_table_delta.hpp"
 
 #include "protocol/digest.hpp"
@@ -11,10 +11,10 @@
 
 namespace {
 
-// How a service's rows are told.
+// How a service's rows are encoded.
 enum class RowsEncoding : std::uint8_t { ranges = 0, whole = 1 };
 
-// Later holders: some that stood next to each other before, then new ones.
+// A part of the later holders: consecutive earlier holders, followed by new ones.
 struct HolderRun {
   std::uint16_t first = 0;
   std::uint16_t count = 0;
@@ -22,7 +22,7 @@
   BANKTIDE_FIELDS(first, count, added)
 };
 
-// The rows that cover these keys take the place of those that did before.
+// The new rows of a range of keys.
 struct RowRange {
   std::uint16_t from = 0;
   std::uint16_t to = 0;
@@ -62,8 +62,8 @@
   return after;
 }
 
-// The rows of a service with the later table's numbers of holders: an instance
-// keeps its rows wherever it stands. `no_holder` where it is gone.
+// Converts the earlier table to the later table's holder indexes: instances keep their rows whatever
+// their index. Removed holders become `no_holder`.
 KeyTable reindexed(KeyTable const& before, std::vector<KeyHolderRecord> const& holders) {
   KeyTable table = before;
   table.holders = holders;
@@ -79,7 +79,7 @@
 
 // ---- rows
 
-// Both lists tile all keys.
+// Both lists cover all keys.
 std::vector<RowRange> changed_ranges(std::vector<KeyRow> const& before, std::vector<KeyRow> const& after) {
   std::vector<RowRange> ranges;
   std::size_t i = 0, j = 0;
@@ -94,7 +94,7 @@
     differed = true;
     RowRange& range = ranges.back();
     std::size_t const first = j;
-    // Until both end at one key.
+    // Advance until both rows end at the same key.
     while (before[i].to != after[j].to) ++(before[i].to < after[j].to ? i : j);
     range.to = after[j].to;
     ++i, ++j;
@@ -104,7 +104,7 @@
   return ranges;
 }
 
-// The ranges are in order, and each begins and ends where rows do.
+// Replaces the rows of the given ranges, which must be in order and aligned to rows.
 std::vector<KeyRow> replace_rows(std::vector<KeyRow> const& before, std::vector<RowRange> const& ranges) {
   std::vector<KeyRow> after;
   std::size_t i = 0;
@@ -125,7 +125,7 @@
   for (KeyRow const& row : rows) save_key_row(archive, row);
 }
 
-// Rows that cover the keys from one to another, as their bytes don't tell ends.
+// Reads rows that cover the keys `from` to `to`; the encoding doesn't contain the rows' ends.
 std::vector<KeyRow> load_rows(LoadArchive& archive, std::uint16_t const from, std::uint16_t const to,
                               std::size_t const holders) {
   std::uint32_t count = 0;
@@ -232,14 +232,14 @@
 Result<RegisterValue> apply_key_deltas(RegisterValue const& base, std::vector<KeyDelta> const& deltas) {
   std::vector<KeyDelta>::const_iterator next =
       std::find_if(deltas.begin(), deltas.end(), [&](KeyDelta const& delta) { return delta.to > base.revision; });
-  if (next == deltas.end()) return make_error("key table delta", "", "nothing newer");
-  if (next->from != base.revision) return make_error("key table delta", "", "made from another version");
+  if (next == deltas.end()) return make_error("key table delta", "", "no newer delta");
+  if (next->from != base.revision) return make_error("key table delta", "", "made from another base revision");
   Result<KeyTable> table = unpack_key_table(base.bytes, base.revision);
   if (!table) return tl::unexpected<Error>(table.error());
   RegisterValue target;
   try {
     for (; next != deltas.end(); ++next) {
-      if (next->from != table->revision || next->to <= next->from) fail("versions out of order");
+      if (next->from != table->revision || next->to <= next->from) fail("revisions out of order");
       table = apply_delta(*table, *next);
       target.digest = next->digest;
     }
@@ -249,7 +249,7 @@
   target.revision = table->revision;
   target.bytes = pack_key_table(*table);
   if (digest_of(target.bytes) != target.digest)
-    return make_error("key table delta", "", "another table than was meant");
+    return make_error("key table delta", "", "the result is not the target table");
   return target;
 }
 
--- a/tests/state/key_planner_test.cpp
+++ b/tests/state/key_planner_test.cpp
@@ -1,4 +1,4 @@
-// Single plans against what they must satisfy, checked by walking all rows.
+// Checks properties of plans by walking all rows of each planned table.
 #include "state/key_planner.hpp"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
     reports.push_back(report);
     return reports.back();
   }
-  // Reports and plans ten times a second; every plan is written.
+  // Reports and plans ten times a second; every plan becomes the newest table.
   void run(Duration const d) {
     for (Instant const end = now + d; now < end; now += 100ms) {
       for (KeyReport const& report : reports)
@@ -62,7 +62,7 @@
   std::size_t plans = 0;
 };
 
-TEST(KeyPlanner, deals_the_first_rows_out_by_slots_so_that_neighbours_differ) {
+TEST(KeyPlanner, assigns_the_first_rows_by_slots_and_neighbours_to_different_holders) {
   Fleet fleet(4);
   fleet.add(8);
   fleet.run(3s);
@@ -73,7 +73,7 @@
   for (auto const& [instance, count] : fleet.rows_by_holder()) EXPECT_EQ(count, instance == "i-4" ? 20u : 10u);
 }
 
-TEST(KeyPlanner, changes_nothing_in_calm) {
+TEST(KeyPlanner, changes_nothing_while_nothing_happens) {
   Fleet fleet(6);
   fleet.run(3s);
   std::size_t const plans = fleet.plans;
@@ -81,7 +81,7 @@
   EXPECT_EQ(fleet.plans, plans);
 }
 
-TEST(KeyPlanner, gives_the_rows_of_an_ended_backend_to_the_others_at_once_under_higher_fences) {
+TEST(KeyPlanner, reassigns_the_rows_of_an_ended_backend_at_once_under_higher_fences) {
   Fleet fleet(5);
   fleet.run(3s);
   std::uint32_t const fence = fleet.planner.table().services[0].highest_fence();
@@ -95,7 +95,7 @@
   EXPECT_GT(fleet.planner.table().services[0].highest_fence(), fence);
 }
 
-TEST(KeyPlanner, waits_the_whole_term_for_a_silent_holder_and_restores_one_that_returns) {
+TEST(KeyPlanner, waits_a_whole_lease_term_for_a_silent_holder_and_restores_one_that_returns) {
   Fleet fleet(5);
   fleet.run(3s);
   KeySettings const settings;
@@ -112,8 +112,8 @@
   EXPECT_FALSE(fleet.rows_by_holder().contains("i-2"));
 }
 
-// A release proves something only of the move that it belongs to.
-TEST(KeyPlanner, heeds_a_release_of_its_own_move_only) {
+// A release counts only for the move that it belongs to.
+TEST(KeyPlanner, accepts_a_release_of_its_own_move_only) {
   Fleet fleet(3);
   fleet.run(3s);
   fleet.reports[0].standing = KeyHolderState::draining;
@@ -134,7 +134,7 @@
   }
 }
 
-TEST(KeyPlanner, keeps_the_rows_of_each_backend_within_bounds_when_few_are_left) {
+TEST(KeyPlanner, keeps_the_rows_of_each_backend_within_the_limit_when_few_backends_are_left) {
   Fleet fleet(40);
   fleet.run(4s);
   for (std::size_t i = 0; i < 37; ++i) {
@@ -149,8 +149,8 @@
   for (auto const& [instance, count] : rows) EXPECT_LE(count, KeySettings{}.held_rows_limit) << instance;
 }
 
-// After a restart of a whole machine what was learnt about shares is kept.
-TEST(KeyPlanner, gives_the_rows_of_an_ended_life_to_the_next_one_on_its_node) {
+// After a restart of a whole machine the boundaries of its rows are kept.
+TEST(KeyPlanner, assigns_the_rows_of_an_ended_incarnation_to_the_next_one_on_its_node) {
   Fleet fleet(5);
   fleet.run(3s);
   std::vector<KeyRow> const before = fleet.planner.table().services[0].rows;
@@ -175,7 +175,7 @@
   }
 }
 
-TEST(KeyPlanner, a_next_life_whose_node_gets_no_lease_inherits_nothing_any_more) {
+TEST(KeyPlanner, a_next_incarnation_without_a_lease_inherits_nothing_after_the_grace_time) {
   Fleet fleet(5);
   fleet.run(3s);
   KeyReport& report = fleet.reports[2];
@@ -192,8 +192,8 @@
   EXPECT_FALSE(rows.contains(""));
 }
 
-// Reports as backends of given capacities would make them, under requests that
-// come to all keys, and more to some. A row is let go in a moment.
+// Simulates reports of backends with given capacities under requests to all keys, with a higher rate
+// on some. Rows that are to move are released at once.
 struct LoadedFleet : Fleet {
   explicit LoadedFleet(std::vector<double> const& all_capacities)
       : Fleet(all_capacities.size()), capacities(all_capacities) {}
@@ -202,7 +202,7 @@
     double const hottest = from <= hot_key && hot_key <= to ? hot_key_rate : 0;
     return 200.0 * (to - from + 1) / 65536 + 150.0 * busy_keys / 10000 + hottest;
   }
-  // Cuts before and after the hot key.
+  // Proposes splits before and after the hot key.
   KeyRowCuts cuts_of(KeyRow const& row) const {
     KeyRowCuts cuts{row.from, {}};
     double const all = rate_of(row.from, row.to);
@@ -275,7 +275,7 @@
   double most_moving = 0;
 };
 
-TEST(KeyPlanner, moves_several_rows_at_once_while_loads_are_far_apart_and_rests_when_they_are_even) {
+TEST(KeyPlanner, moves_several_rows_at_once_while_loads_differ_much_and_none_when_they_are_even) {
   LoadedFleet fleet({70, 70, 160, 70, 70});
   fleet.run(3s);
   fleet.loaded = true;
@@ -304,7 +304,7 @@
   EXPECT_EQ(fleet.plans, plans);
 }
 
-TEST(KeyPlanner, cuts_a_hot_row_where_it_is_told_and_moves_parts_in_the_same_table) {
+TEST(KeyPlanner, splits_a_hot_row_where_reported_and_moves_parts_in_the_same_table) {
   LoadedFleet fleet({100, 100, 100, 100, 100});
   fleet.run(3s);
   fleet.hot_key_rate = 90;
@@ -320,9 +320,9 @@
   EXPECT_GT(fleet.look_at_moves(), 0u);
 }
 
-// A key that is too hot for any backend can't be cut: what can be done is done
-// once, and then nothing more is written.
-TEST(KeyPlanner, rests_though_one_key_is_too_hot_for_any_backend) {
+// A single key that is too hot for any backend can't be split: rows are moved once, and then no more
+// tables are written.
+TEST(KeyPlanner, stops_planning_though_one_key_is_too_hot_for_any_backend) {
   for (std::size_t const count : {2u, 5u, 40u}) {
     LoadedFleet fleet(std::vector<double>(count, 600.0 / static_cast<double>(count)));
     fleet.run(3s);
@@ -343,7 +343,7 @@
   }
 }
 
-TEST(KeyPlanner, a_row_that_moved_for_load_rests_for_a_while) {
+TEST(KeyPlanner, a_row_that_moved_for_load_is_not_moved_again_within_the_settle_time) {
   LoadedFleet fleet({70, 70, 160, 70, 70});
   fleet.run(3s);
   fleet.loaded = true;
@@ -358,7 +358,7 @@
     for (KeyRow const& row : table.services[0].rows) {
       if (row.moving != table.revision) continue;
       if (moved.contains(row.from)) {
-        EXPECT_GE(fleet.now - moved[row.from], KeySettings{}.settle);
+        EXPECT_GE(fleet.now - moved[row.from], KeySettings{}.settle_time);
       }
       moved[row.from] = fleet.now;
     }
@@ -366,7 +366,7 @@
   EXPECT_GT(moved.size(), 3u);
 }
 
-// Two zones, three backends each; whoever is to let rows go does so within a second.
+// Two zones with three backends each; rows that are to move are released within a second.
 struct ZonedFleet : Fleet {
   ZonedFleet() : Fleet(6) {
     for (std::size_t i = 0; i < reports.size(); ++i) reports[i].zone = i < 3 ? "east" : "west";
@@ -407,7 +407,7 @@
   std::size_t most_moving = 0;
 };
 
-TEST(KeyPlanner, a_withheld_zone_hands_its_rows_over_a_few_at_a_time_and_gets_none) {
+TEST(KeyPlanner, a_withheld_zone_gives_up_its_rows_a_few_at_a_time_and_gets_none) {
   ZonedFleet fleet;
   fleet.run(3s);
   ASSERT_EQ(fleet.rows_in("east"), 36u);
@@ -417,10 +417,10 @@
   EXPECT_EQ(fleet.without_token(), 0u);
   EXPECT_GT(fleet.most_moving, 0u);
   EXPECT_LE(fleet.most_moving, KeySettings{}.moving_rows_limit);
-  // Neither a new backend there, nor the next life of an old one, nor free rows change that.
-  KeyReport& next_life = fleet.add(4);
-  next_life.zone = "east";
-  next_life.node = "n-0";
+  // The zone gets no rows for a new backend, the next incarnation of an old one, or free rows either.
+  KeyReport& next_incarnation = fleet.add(4);
+  next_incarnation.zone = "east";
+  next_incarnation.node = "n-0";
   fleet.reports[0].ended.push_back(KeyEnd{"i-0", "ended"});
   fleet.reports[5].ended.push_back(KeyEnd{"i-5", "ended"});
   fleet.silent = {"i-5"};
@@ -432,7 +432,7 @@
   EXPECT_GT(fleet.rows_in("east"), 10u);
 }
 
-TEST(KeyPlanner, a_withheld_zone_keeps_its_rows_if_there_is_nobody_else) {
+TEST(KeyPlanner, a_withheld_zone_keeps_its_rows_if_no_other_zone_has_backends) {
   ZonedFleet fleet;
   for (KeyReport& report : fleet.reports) report.zone = "east";
   fleet.run(3s);
@@ -443,7 +443,7 @@
   EXPECT_EQ(fleet.rows_in("east"), 72u);
 }
 
-TEST(KeyPlanner, a_move_into_a_zone_that_is_withheld_goes_elsewhere) {
+TEST(KeyPlanner, a_move_into_a_zone_that_becomes_withheld_is_redirected) {
   ZonedFleet fleet;
   fleet.run(3s);
   fleet.reports[5].standing = KeyHolderState::draining;
--- a/tests/state/key_table_changes.hpp
+++ b/tests/state/key_table_changes.hpp
@@ -1,5 +1,4 @@
-// Random tables of keys, and changes such as a planner makes, for the tests of how
-// tables travel.
+// Random key tables, and changes such as the planner makes, for tests of deltas and their delivery.
 #pragma once
 
 #include "protocol/digest.hpp"
@@ -31,7 +30,7 @@
     return table;
   }
 
-  /// The table after one to three changes.
+  /// Returns the table after one to three random changes.
   KeyTable next(KeyTable table) {
     ++table.revision;
     for (std::size_t n = 1 + pick(3); n > 0; --n) change(table);
@@ -90,7 +89,7 @@
         row.revoked = 0;
         row.handover.clear();
         break;
-      case 5:  // split
+      case 5:  // split the row
         if (row.from == row.to) break;
         {
           KeyRow right = row;
@@ -99,7 +98,7 @@
           rows.insert(rows.begin() + static_cast<std::ptrdiff_t>(at) + 1, right);
         }
         break;
-      case 6:  // joined with the next
+      case 6:  // merge with the next row
         if (at + 1 == rows.size()) break;
         row.to = rows[at + 1].to;
         rows.erase(rows.begin() + static_cast<std::ptrdiff_t>(at) + 1);
@@ -108,7 +107,7 @@
         add_holder(table);
         rows[at].holder = static_cast<std::uint16_t>(table.holders.size() - 1);
         break;
-      case 8: {  // a holder is gone, and the others' numbers shift
+      case 8: {  // a holder is removed, and the others' indexes shift
         if (table.holders.empty()) break;
         std::uint16_t const gone = static_cast<std::uint16_t>(pick(table.holders.size()));
         for (KeyService& s : table.services)
@@ -119,7 +118,7 @@
         table.remove_unused_holders();
         break;
       }
-      case 9:  // a holder is known by another address
+      case 9:  // a holder has another address
         if (!table.holders.empty())
           table.holders[pick(table.holders.size())].address = "10.9.9." + std::to_string(pick(99));
         break;
--- a/tests/state/key_table_delta_test.cpp
+++ b/tests/state/key_table_delta_test.cpp
@@ -1,5 +1,5 @@
-// Deltas of key tables against a plain model: random tables through changes such
-// as a planner makes; whoever applies the deltas has the very same bytes.
+// Applies deltas between random versions of key tables: the result must have the same bytes as the
+// later version, and corrupt deltas must be refused.
 #include "state/key_table_delta.hpp"
 
 #include "protocol/digest.hpp"
@@ -34,8 +34,8 @@
   EXPECT_LT(whole, 100u);
 }
 
-// As many rows and holders as a fleet of a hundred nodes has.
-TEST(KeyTableDelta, is_small_and_a_row_whose_holder_is_renumbered_is_no_part_of_it) {
+// Uses as many rows and holders as a fleet of a hundred nodes has.
+TEST(KeyTableDelta, is_small_and_omits_rows_whose_holder_only_got_another_index) {
   KeyTableChanges changes(3);
   KeyTable const table = changes.first(264, 44);
   RegisterValue const base = held_of(table);
@@ -44,17 +44,17 @@
   moved.services[0].rows[7].moving = moved.revision;
   moved.services[0].rows[7].next = 3;
   EXPECT_LT(make_key_delta(base, held_of(moved))->bytes.size(), 90u);
-  KeyTable renumbered = table;
-  ++renumbered.revision;
-  for (KeyService& service : renumbered.services)
+  KeyTable reindexed = table;
+  ++reindexed.revision;
+  for (KeyService& service : reindexed.services)
     for (KeyRow& row : service.rows)
       if (row.holder == 0) row.holder = 1;
-  renumbered.remove_unused_holders();
-  ASSERT_EQ(renumbered.holders.size(), 43u);
-  EXPECT_LT(make_key_delta(base, held_of(renumbered))->bytes.size(), base.bytes.size() / 10);
+  reindexed.remove_unused_holders();
+  ASSERT_EQ(reindexed.holders.size(), 43u);
+  EXPECT_LT(make_key_delta(base, held_of(reindexed))->bytes.size(), base.bytes.size() / 10);
 }
 
-TEST(KeyTableDelta, a_chain_brings_every_earlier_version_up_to_date_and_no_other) {
+TEST(KeyTableDelta, a_chain_updates_every_earlier_version_and_no_other) {
   KeyTableChanges changes(4);
   KeyTable table = changes.first(100, 10);
   std::vector<RegisterValue> versions{held_of(table)};
@@ -66,18 +66,18 @@
   }
   for (std::size_t i = 0; i + 1 < versions.size(); ++i)
     EXPECT_EQ(*apply_key_deltas(versions[i], chain), versions.back());
-  EXPECT_EQ(apply_key_deltas(versions.back(), chain).error().reason, "nothing newer");
-  EXPECT_EQ(apply_key_deltas(RegisterValue{}, chain).error().reason, "made from another version");
+  EXPECT_EQ(apply_key_deltas(versions.back(), chain).error().reason, "no newer delta");
+  EXPECT_EQ(apply_key_deltas(RegisterValue{}, chain).error().reason, "made from another base revision");
   std::vector<KeyDelta> const gap{chain[0], chain[2]};
-  EXPECT_EQ(apply_key_deltas(versions[0], gap).error().reason, "versions out of order");
+  EXPECT_EQ(apply_key_deltas(versions[0], gap).error().reason, "revisions out of order");
   RegisterValue other = held_of(KeyTableChanges(99).first(100, 10));
   EXPECT_FALSE(apply_key_deltas(other, chain)) << "the same number, another table";
 }
 
-// Bytes that differ in what means nothing, such as unused flags, still lead to the
-// very same table; whatever else they lead to is refused.
-TEST(KeyTableDelta, spoilt_bytes_are_refused_by_name_or_give_the_same_table) {
-  std::size_t refused_by_reading = 0, refused_by_digest = 0, same = 0;
+// Corrupt bytes that differ only where nothing is encoded, such as unused flags, still give the same
+// table; any other result must be refused.
+TEST(KeyTableDelta, corrupt_bytes_are_refused_with_a_reason_or_give_the_same_table) {
+  std::size_t refused_by_decoding = 0, refused_by_digest = 0, same = 0;
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     KeyTableChanges changes(seed);
     KeyTable table = changes.first(60, 12);
@@ -86,9 +86,9 @@
     RegisterValue const target = held_of(table);
     KeyDelta const delta = *make_key_delta(base, target);
     auto const try_bytes = [&](Bytes const& bytes) {
-      KeyDelta spoilt = delta;
-      spoilt.bytes = bytes;
-      Result<RegisterValue> const applied = apply_key_deltas(base, {spoilt});
+      KeyDelta corrupt = delta;
+      corrupt.bytes = bytes;
+      Result<RegisterValue> const applied = apply_key_deltas(base, {corrupt});
       if (applied) {
         ASSERT_EQ(*applied, target);
         ++same;
@@ -96,12 +96,12 @@
       }
       ASSERT_EQ(applied.error().step, "key table delta");
       ASSERT_FALSE(applied.error().reason.empty());
-      ++(applied.error().reason == "another table than was meant" ? refused_by_digest : refused_by_reading);
+      ++(applied.error().reason == "the result is not the target table" ? refused_by_digest : refused_by_decoding);
     };
     std::size_t const before = same;
     for (std::size_t n = 0; n < delta.bytes.size(); ++n) try_bytes(delta.bytes.substr(0, n));
     try_bytes(delta.bytes + "x");
-    EXPECT_EQ(same, before) << "cut or longer";
+    EXPECT_EQ(same, before) << "truncated or extended";
     for (int i = 0; i < 4000; ++i) {
       Bytes bytes = delta.bytes;
       char& byte = bytes[changes.pick(bytes.size())];
@@ -110,14 +110,14 @@
     }
     KeyDelta other = delta;
     ++other.digest;
-    EXPECT_EQ(apply_key_deltas(base, {other}).error().reason, "another table than was meant");
+    EXPECT_EQ(apply_key_deltas(base, {other}).error().reason, "the result is not the target table");
   }
-  EXPECT_GT(refused_by_reading, 2000u);
+  EXPECT_GT(refused_by_decoding, 2000u);
   EXPECT_GT(refused_by_digest, 2000u);
   EXPECT_LT(same, 2000u);
 }
 
-TEST(KeyTableDelta, none_is_made_of_values_that_are_no_tables_or_if_the_whole_is_as_small) {
+TEST(KeyTableDelta, none_is_made_from_invalid_tables_or_if_the_whole_is_as_small) {
   KeyTable const table = KeyTableChanges(6).first(10, 2);
   RegisterValue const held = held_of(table);
   RegisterValue const garbage{9, "no table", digest_of("no table"), {}};
--- a/tests/state/key_table_test.cpp
+++ b/tests/state/key_table_test.cpp
@@ -1,4 +1,4 @@
-// The table of keys: lookups against a plain walk, and its bytes whole or spoilt.
+// The key table: lookups compared with a walk over all rows, and its encoding with intact and corrupt bytes.
 #include "state/key_table.hpp"
 
 #include <gtest/gtest.h>
@@ -45,7 +45,7 @@
   EXPECT_EQ(table.find("other", 3), nullptr);
 }
 
-TEST(KeyTable, travels_whole_and_spoilt_bytes_are_a_mishap_or_a_table) {
+TEST(KeyTable, survives_packing_and_corrupt_bytes_are_an_error_or_a_valid_table) {
   std::mt19937_64 chance(2);
   KeyTable const table = any_table(chance);
   Bytes const bytes = pack_key_table(table);
@@ -54,16 +54,16 @@
   EXPECT_EQ(*back, table);
   for (std::size_t n = 1; n < bytes.size(); ++n) EXPECT_FALSE(unpack_key_table(bytes.substr(0, n), 9));
   for (int i = 0; i < 5000; ++i) {
-    Bytes spoilt = bytes;
-    spoilt[chance() % spoilt.size()] = static_cast<char>(chance());
-    Result<KeyTable> const read = unpack_key_table(spoilt, 9);
+    Bytes corrupt = bytes;
+    corrupt[chance() % corrupt.size()] = static_cast<char>(chance());
+    Result<KeyTable> const read = unpack_key_table(corrupt, 9);
     if (!read) continue;
     for (std::uint32_t key = 0; key < 65536; key += 997) read->find("payments", static_cast<std::uint16_t>(key));
   }
   EXPECT_TRUE(unpack_key_table("", 0));
 }
 
-TEST(KeyTable, forgets_holders_that_no_row_names) {
+TEST(KeyTable, removes_holders_that_no_row_refers_to) {
   std::mt19937_64 chance(3);
   KeyTable table = any_table(chance);
   for (KeyRow& row : table.services[0].rows) {
