--- a/source/transport/http_server.cpp
+++ b/source/transport/http_server.cpp
@@ -32,7 +32,7 @@
 constexpr std::size_t reads_per_event = 8;        // then other connections get their turn
 constexpr std::size_t refused_connections = 256;  // beyond the limit, kept long enough to be told 503
 constexpr std::size_t pending_slack = 64u << 10;  // unparsed bytes beyond a header's limit
-constexpr std::size_t gather_time_limit = 16;          // buffers in one write
+constexpr std::size_t gather_time_limit = 16;     // buffers in one write
 constexpr std::string_view retry_after_seconds = "0.2";
 
 bool would_block(ErrorCode const& error) {
