--- a/source/programs/hollow_fleet_control.cpp
+++ b/source/programs/hollow_fleet_control.cpp
@@ -47,7 +47,7 @@
   static RegistrySettings registry_settings(HollowControlSettings const& s) {
     RegistrySettings r;
     r.id = s.id;
-    r.cell = s.place.zone;
+    r.zone = s.place.zone;
     r.address = s.registry;
     r.seeds = s.seeds;
     r.store_port = s.store_port;
--- a/source/programs/mesh_registry.cpp
+++ b/source/programs/mesh_registry.cpp
@@ -24,7 +24,7 @@
 RegistrySettings registry_settings(Settings const& s) {
   RegistrySettings r;
   r.id = s.text("id");
-  r.cell = s.text("zone");
+  r.zone = s.text("zone");
   r.address = s.text("address");
   r.seeds = seed_peers(s);
   r.timing = mesh_timing();
--- a/source/programs/operator_interface.hpp
+++ b/source/programs/operator_interface.hpp
@@ -144,7 +144,7 @@
     co_return v;
   }
 
-  // Every cell's state, from its own registry; a cell that doesn't answer is
+  // Every zone's state, from its own registry; a zone that doesn't answer is
   // named as silent.
   Task<Json> whole_fleet() {
     std::vector<Address> others;
@@ -152,7 +152,7 @@
     for (RegistryEntry const& e : registry_.directory())
       if (e.address != registry_.address()) {
         others.push_back(e.address);
-        silent.insert(e.cell);
+        silent.insert(e.zone);
       }
     StateRequest const question{true};
     auto const replies =
@@ -160,10 +160,10 @@
     StateReply const own = co_await registry_.state(question);
     Json j = {{"cells", Json::array({Json::parse(own.json)})}};
     for (auto const& [i, r] : replies) {
-      Json const cell = r ? Json::parse(r->json, nullptr, false) : Json();
-      if (!cell.is_object() || !cell.contains("cell")) continue;
-      silent.erase(cell["cell"].get<std::string>());
-      j["cells"].push_back(cell);
+      Json const zone = r ? Json::parse(r->json, nullptr, false) : Json();
+      if (!zone.is_object() || !zone.contains("cell")) continue;
+      silent.erase(zone["cell"].get<std::string>());
+      j["cells"].push_back(zone);
     }
     j["silent"] = silent;
     co_return j;
@@ -259,7 +259,7 @@
 
   Json fleet() const {
     Json j = view_json(registry_.view());
-    j["cell"] = registry_.settings().cell;
+    j["cell"] = registry_.settings().zone;
     j["registry"] = registry_.settings().id;
     j["epoch"] = registry_.position().epoch;
     j["position"] = registry_.position().seq;
@@ -268,7 +268,7 @@
     j["vouched"] = registry_.has_quorum_reading();
     Json registries = Json::array();
     for (RegistryEntry const& e : registry_.directory())
-      registries.push_back({{"cell", e.cell}, {"address", e.address}});
+      registries.push_back({{"cell", e.zone}, {"address", e.address}});
     j["registries"] = registries;
     return j;
   }
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -23,7 +23,7 @@
 
 struct RegistrySettings {
   std::string id;
-  std::string cell;
+  std::string zone;
   Address address;
   std::vector<Address> seeds;
   std::vector<Address> voters;   // empty: discovered from the stores
@@ -45,9 +45,9 @@
         entries_(timing_),
         reading_(env, SharedReadingSettings{timing_.read_every}, [this] { return read_all(); }),
         operators_(*this) {
-    directory_.set_own(RegistryEntry{settings_.cell, settings_.address});
-    own_feed_ = make_feed(settings_.cell);
-    feeds_[settings_.cell] = own_feed_;
+    directory_.set_own(RegistryEntry{settings_.zone, settings_.address});
+    own_feed_ = make_feed(settings_.zone);
+    feeds_[settings_.zone] = own_feed_;
   }
 
   void start(Dispatcher& dispatcher) {
@@ -57,7 +57,7 @@
     dispatcher.on<RegistryExchange>([this](RegistryExchange q) { return meet(std::move(q)); });
     dispatcher.on<Heartbeat>([this](Heartbeat q) { return beat(std::move(q)); });
     dispatcher.on<Suspect>([this](Suspect q) { return suspect(std::move(q)); });
-    dispatcher.on<ZoneAnnouncement>([this](ZoneAnnouncement q) { return cell_told(std::move(q)); });
+    dispatcher.on<ZoneAnnouncement>([this](ZoneAnnouncement q) { return receive_announcement(std::move(q)); });
     dispatcher.on<ChosenValue>([this](ChosenValue q) { return chosen(std::move(q)); });
     dispatcher.on<LeaseRequest>([this](LeaseRequest q) { return lease(std::move(q)); });
     dispatcher.on<DecisionsRequest>([this](DecisionsRequest q) { return decisions(std::move(q)); });
@@ -99,8 +99,8 @@
   }
   /// All zones with a known registry or a known zone entry.
   std::set<std::string> zone_names() const {
-    std::set<std::string> names{settings_.cell};
-    for (RegistryEntry const& e : directory_.entries()) names.insert(e.cell);
+    std::set<std::string> names{settings_.zone};
+    for (RegistryEntry const& e : directory_.entries()) names.insert(e.zone);
     for (auto const& [zone, entry] : view().zones) names.insert(zone);
     return names;
   }
@@ -169,7 +169,7 @@
   // The state of this zone as its registry sees it, with each node's own state.
   Task<StateReply> state(StateRequest q) {
     Json j = {{"registry", settings_.id},
-              {"cell", settings_.cell},
+              {"cell", settings_.zone},
               {"epoch", position().epoch},
               {"position", position().seq},
               {"routing", held(Register::routing).revision},
@@ -390,10 +390,10 @@
 
   bool serves(std::string const& zone) const { return directory_.registry_of(zone, env_.now()) == settings_.address; }
 
-  Task<NoReply> cell_told(ZoneAnnouncement q) {
+  Task<NoReply> receive_announcement(ZoneAnnouncement q) {
     directory_.heard(q.sender, env_.now() - max_message_delay);
-    auto const feed = feeds_.find(q.entry.cell);
-    bool const kept_here = feed != feeds_.end() && feed->second->has_nodes() && serves(q.entry.cell);
+    auto const feed = feeds_.find(q.entry.zone);
+    bool const kept_here = feed != feeds_.end() && feed->second->has_nodes() && serves(q.entry.zone);
     ZoneEntry const* const newer = kept_here ? nullptr : entries_.take(std::move(q), env_.now());
     if (newer != nullptr) distribute_entry(*newer);
     co_return NoReply{};
@@ -427,7 +427,7 @@
   }
 
   std::shared_ptr<ZoneFeed<Env>> feed_of(std::string const& zone) const {
-    auto const it = feeds_.find(zone.empty() ? settings_.cell : zone);
+    auto const it = feeds_.find(zone.empty() ? settings_.zone : zone);
     return it == feeds_.end() ? nullptr : it->second;
   }
 
@@ -440,7 +440,7 @@
   }
 
   Task<JoinReply> join(Join q) {
-    std::string const zone = q.self.cell;
+    std::string const zone = q.self.zone;
     JoinReply reply;
     if (zone.empty()) co_return reply;
     if (!serves(zone)) {
--- a/tests/coordination/zone_trial.hpp
+++ b/tests/coordination/zone_trial.hpp
@@ -65,7 +65,7 @@
     c.process = process("machine-of-" + id, c.address);
     RegistrySettings settings;
     settings.id = c.id;
-    settings.cell = c.zone;
+    settings.zone = c.zone;
     settings.address = c.address;
     for (std::string const& seed : seeds) settings.seeds.push_back(seed + ":1");
     settings.voters = voters;
--- a/tests/programs/control_trial.hpp
+++ b/tests/programs/control_trial.hpp
@@ -84,7 +84,7 @@
     stores.net.machine_of[core.process->address] = machine(i);
     RegistrySettings settings;
     settings.id = "registry-" + std::to_string(i);
-    settings.cell = "zone-" + std::to_string(i);
+    settings.zone = "zone-" + std::to_string(i);
     settings.address = core.process->address;
     for (Address const& seed : stores.seeds) settings.seeds.push_back(seed.substr(0, seed.rfind(':')) + ":9");
     settings.store_port = 1;
--- a/tests/programs/mesh_trial.hpp
+++ b/tests/programs/mesh_trial.hpp
@@ -134,7 +134,7 @@
     core.registry_process = process(core.name, address_of(core.name, 1));
     RegistrySettings settings;
     settings.id = "registry-" + core.zone;
-    settings.cell = core.zone;
+    settings.zone = core.zone;
     settings.address = core.registry_process->address;
     settings.seeds = seeds(1);
     settings.store_port = store_port;
