--- a/source/coordination/backend_side.hpp
+++ b/source/coordination/backend_side.hpp
@@ -18,9 +18,9 @@
 };
 
 template <Environment Env, BackendEdge B>
-class BackendSide {
+class BackendHandler {
  public:
-  BackendSide(NodeState<Env>& n, B& edge)
+  BackendHandler(NodeState<Env>& n, B& edge)
       : n_(n), env_(n.env), settings_(n.settings), edge_(edge), leases_(n.env), tick_(n.env.now()) {}
 
   void start(Dispatcher& dispatcher) {
@@ -32,7 +32,7 @@
 
   SliceLeases<Env> const& leases() const { return leases_; }
 
-  static constexpr char const* beat_schema = R"({
+  static constexpr char const* heartbeat_schema = R"({
     "type": "object", "additionalProperties": false, "required": ["service", "instance", "port"],
     "properties": {
       "service": {"type": "string", "pattern": "^[a-z0-9][a-z0-9._-]{0,62}$"},
@@ -44,7 +44,7 @@
   HttpReply beat(std::string const& body) {
     notice_freeze();
     Result<Json> j = parse_json(body, 4096);
-    Result<bool> const fits = j ? check_schema(*j, beat_schema) : Result<bool>(tl::unexpected<Error>(j.error()));
+    Result<bool> const fits = j ? check_schema(*j, heartbeat_schema) : Result<bool>(tl::unexpected<Error>(j.error()));
     if (!fits) {
       n_.note("bad_beat", fits.error());
       return json_reply(fits.error().step == "parse_json" || fits.error().step == "check_size" ? 400 : 422,
--- a/source/coordination/caller_side.hpp
+++ b/source/coordination/caller_side.hpp
@@ -19,9 +19,9 @@
 };
 
 template <Environment Env, BackendEdge B>
-class CallerSide {
+class CallHandler {
  public:
-  CallerSide(NodeState<Env>& n, BackendSide<Env, B>& beside)
+  CallHandler(NodeState<Env>& n, BackendHandler<Env, B>& beside)
       : n_(n),
         env_(n.env),
         settings_(n.settings),
@@ -147,7 +147,7 @@
     return std::nullopt;
   }
 
-  Task<ForwardCallReply> carry_to(Target const& t, ForwardCall const& c, Instant const deadline) {
+  Task<ForwardCallReply> forward_to(Target const& t, ForwardCall const& c, Instant const deadline) {
     ++marks_.at(t.mark, env_.now()).in_flight;
     ForwardCallReply r;
     if (t.node == settings_.address && !t.instance.empty()) {
@@ -252,7 +252,7 @@
                                     : "local first",
                    Proof::unknown},
              rules, &carry, t->cell);
-      ForwardCallReply r = co_await carry_to(*t, carry, deadline);
+      ForwardCallReply r = co_await forward_to(*t, carry, deadline);
       chart.step(CallState::waiting);
       if (r.outcome == Outcome::answered && !(broken_on_purpose("no_budget") && repeatable && n == 0)) {
         chart.step(CallState::answered);
@@ -288,7 +288,7 @@
   NodeState<Env>& n_;
   Env& env_;
   ProxySettings& settings_;
-  BackendSide<Env, B>& beside_;
+  BackendHandler<Env, B>& beside_;
   TargetHistories marks_;
   RetryBudget budget_;
   DecisionLog journal_;
--- a/source/coordination/carried_side.hpp
+++ b/source/coordination/carried_side.hpp
@@ -9,9 +9,9 @@
 namespace banktide {
 
 template <Environment Env, BackendEdge B>
-class CarriedSide {
+class ForwardedCallHandler {
  public:
-  CarriedSide(NodeState<Env>& n, BackendSide<Env, B>& beside, CallerSide<Env, B>& out)
+  ForwardedCallHandler(NodeState<Env>& n, BackendHandler<Env, B>& beside, CallHandler<Env, B>& out)
       : n_(n), env_(n.env), settings_(n.settings), beside_(beside), out_(out) {}
 
   void start(Dispatcher& dispatcher) {
@@ -82,14 +82,14 @@
     if (!t) co_return not_run("pick", settings_.zone, "no usable backend");
     c.instance = t->instance;
     Instant const deadline = env_.now() + std::chrono::milliseconds(c.budget_ms);
-    co_return co_await out_.carry_to(*t, c, deadline);
+    co_return co_await out_.forward_to(*t, c, deadline);
   }
 
   NodeState<Env>& n_;
   Env& env_;
   ProxySettings& settings_;
-  BackendSide<Env, B>& beside_;
-  CallerSide<Env, B>& out_;
+  BackendHandler<Env, B>& beside_;
+  CallHandler<Env, B>& out_;
   TransitDelay transit_delay_;
   std::size_t carried_in_flight_ = 0;
 };
--- a/source/coordination/key_holder.cpp
+++ b/source/coordination/key_holder.cpp
@@ -34,8 +34,8 @@
 
 }  // namespace
 
-KeyHolder::KeyHolder(std::string service, std::string node, std::string address, std::string zone, KeySettings settings,
-                     Instant const started)
+KeyGranter::KeyGranter(std::string service, std::string node, std::string address, std::string zone,
+                       KeySettings settings, Instant const started)
     : service_(std::move(service)),
       node_(std::move(node)),
       address_(std::move(address)),
@@ -44,7 +44,7 @@
       granted_before_until_(started +
                             scaled(std::min(settings_.term, settings_.hold_limit), 1 + settings_.clock_drift)) {}
 
-void KeyHolder::begin_life(std::string const& instance) {
+void KeyGranter::begin_life(std::string const& instance) {
   if (!instance_.empty())
     end_later(PendingEnd{instance_, granted_until_, arrived_ + settings_.revoke_after,
                          "another instance beats beside the same node"});
@@ -60,7 +60,7 @@
   refresh_leaving();
 }
 
-void KeyHolder::forget_life() {
+void KeyGranter::forget_life() {
   instance_.clear();
   sequence_ = 0;
   beats_ = 0;
@@ -73,7 +73,7 @@
   leaving_.clear();
 }
 
-void KeyHolder::end_life(std::string const& instance, std::string const& reason) {
+void KeyGranter::end_life(std::string const& instance, std::string const& reason) {
   if (!ended_ids_.insert(instance).second) return;
   std::erase_if(pending_ends_, [&](PendingEnd const& pending) { return pending.instance == instance; });
   ended_.push_back(KeyEnd{instance, reason});
@@ -82,23 +82,23 @@
   if (instance == instance_) forget_life();
 }
 
-bool KeyHolder::is_pending(std::string const& instance) const {
+bool KeyGranter::is_pending(std::string const& instance) const {
   return std::any_of(pending_ends_.begin(), pending_ends_.end(),
                      [&](PendingEnd const& pending) { return pending.instance == instance; });
 }
 
-void KeyHolder::end_later(PendingEnd end) {
+void KeyGranter::end_later(PendingEnd end) {
   if (is_pending(end.instance) || ended_ids_.contains(end.instance)) return;
   pending_ends_.push_back(std::move(end));
   news_ = true;
 }
 
-bool KeyHolder::is_over(PendingEnd const& end, Instant const now) const {
+bool KeyGranter::is_over(PendingEnd const& end, Instant const now) const {
   bool const replaced = beats_ > 1 && now >= end.silent_until;
   return replaced || now >= end.held_until;
 }
 
-void KeyHolder::take_beat(Instant const now, KeyBeat const& beat) {
+void KeyGranter::take_heartbeat(Instant const now, KeyHeartbeat const& beat) {
   if (ended_ids_.contains(beat.instance)) return;
   if (signed_off_ && beat.instance == instance_) return;
   if (beat.instance != instance_) {
@@ -119,11 +119,11 @@
 
 // Whether this process has been running for a while: right after a freeze, beats
 // of a former life may still be read after those of a later one.
-bool KeyHolder::awake(Instant const now) const {
+bool KeyGranter::awake(Instant const now) const {
   return now - last_report_ < wake_gap && now - awake_since_ > wake_gap / 2;
 }
 
-void KeyHolder::take_releases(KeyBeat const& beat) {
+void KeyGranter::take_releases(KeyHeartbeat const& beat) {
   for (ReleasedRange const& range : beat.released) {
     std::erase_if(released_, [&](KnownRelease const& known) { return overlap(known, range); });
     released_.push_back(KnownRelease{range.from, range.to, 0, range.handover});
@@ -137,7 +137,7 @@
 }
 
 // A token is worth something only for the fence under which it was given.
-void KeyHolder::match_releases() {
+void KeyGranter::match_releases() {
   if (table_revision_ == 0) return;
   std::erase_if(released_, [&](KnownRelease& known) {
     for (Mine const& mine : mine_) {
@@ -149,7 +149,7 @@
   });
 }
 
-std::string KeyHolder::own_token(KeyRow const& row) const {
+std::string KeyGranter::own_token(KeyRow const& row) const {
   for (KnownRelease const& known : released_)
     if (known.fence == row.fence && covers(known, row)) return known.handover;
   return "";
@@ -157,7 +157,7 @@
 
 // A backend calls one beat after the other, so a beat shows the effect of every
 // answer before it: none of them can give the row back later.
-void KeyHolder::judge_leaving(KeyBeat const& beat) {
+void KeyGranter::judge_leaving(KeyHeartbeat const& beat) {
   for (Leaving& leaving : leaving_) {
     if (leaving.released) continue;
     auto const on_row = [&](auto const& range) { return overlap(range, leaving.row); };
@@ -172,11 +172,11 @@
   }
 }
 
-bool KeyHolder::leased(Instant const now) const { return lease_until_ && now < *lease_until_; }
+bool KeyGranter::leased(Instant const now) const { return lease_until_ && now < *lease_until_; }
 
 // The rows of this instance, without those on the move. Beyond the bound,
 // neighbours under one fence go as one row.
-std::vector<KeyGrant> KeyHolder::rows_to_grant() const {
+std::vector<KeyGrant> KeyGranter::rows_to_grant() const {
   std::vector<KeyGrant> rows;
   for (Mine const& mine : mine_) {
     if (mine.instance != instance_ || mine.row.revoked != 0 || mine.row.moving != 0) continue;
@@ -199,8 +199,8 @@
   return rows;
 }
 
-KeyBeatAnswer KeyHolder::answer(Instant const now, std::string const& instance, std::uint64_t const sequence) {
-  KeyBeatAnswer answer;
+KeyHeartbeatReply KeyGranter::answer(Instant const now, std::string const& instance, std::uint64_t const sequence) {
+  KeyHeartbeatReply answer;
   if (instance.empty() || instance != instance_ || sequence != sequence_ || signed_off_) return answer;
   for (Leaving& leaving : leaving_)
     if (leaving.left_out_at == 0) leaving.left_out_at = sequence;
@@ -219,12 +219,12 @@
   return answer;
 }
 
-KeyBeatAnswer KeyHolder::on_beat(Instant const now, KeyBeat const& beat) {
-  take_beat(now, beat);
+KeyHeartbeatReply KeyGranter::handle_heartbeat(Instant const now, KeyHeartbeat const& beat) {
+  take_heartbeat(now, beat);
   return answer(now, beat.instance, beat.sequence);
 }
 
-bool KeyHolder::answer_may_wait(Instant const now) const {
+bool KeyGranter::reply_may_wait(Instant const now) const {
   if (!leased(now)) return true;
   std::vector<KeyGrant> const rows = rows_to_grant();
   if (rows.size() != held_.size()) return false;
@@ -236,7 +236,7 @@
 }
 
 // The counts of rows that stay are kept, also if they are cut or joined.
-void KeyHolder::serve(std::vector<KeyGrant> const& rows, Instant const now) {
+void KeyGranter::serve(std::vector<KeyGrant> const& rows, Instant const now) {
   std::vector<Serving> serving;
   serving.reserve(rows.size());
   std::size_t first = 0;
@@ -256,7 +256,7 @@
   serving_ = std::move(serving);
 }
 
-void KeyHolder::on_table(KeyTable const& table) {
+void KeyGranter::on_table(KeyTable const& table) {
   if (table.revision <= table_revision_) return;
   table_revision_ = table.revision;
   mine_.clear();
@@ -274,14 +274,14 @@
 
 // One backend runs beside a node: an instance that the table still names here, while another one
 // beats, belongs to a life before it. One that this process knew has its hold awaited.
-void KeyHolder::find_ended_in_table() {
+void KeyGranter::find_ended_in_table() {
   if (instance_.empty()) return;
   for (Mine const& mine : mine_)
     if (mine.instance != instance_ && !is_pending(mine.instance))
       end_life(mine.instance, "another instance runs beside its node");
 }
 
-void KeyHolder::refresh_leaving() {
+void KeyGranter::refresh_leaving() {
   std::vector<Leaving> leaving;
   for (Mine const& mine : mine_) {
     if (mine.instance != instance_ || mine.row.moving == 0) continue;
@@ -295,18 +295,18 @@
   leaving_ = std::move(leaving);
 }
 
-void KeyHolder::on_confirmed(Revision const revision, Instant const sent) {
+void KeyGranter::on_confirmed(Revision const revision, Instant const sent) {
   Instant const until = sent + settings_.term;
   if (revision <= table_revision_) return extend_lease(until);
   if (pending_leases_.size() >= pending_leases_limit) pending_leases_.erase(pending_leases_.begin());
   pending_leases_.push_back(PendingLease{revision, until});
 }
 
-void KeyHolder::extend_lease(Instant const until) {
+void KeyGranter::extend_lease(Instant const until) {
   if (!lease_until_ || *lease_until_ < until) lease_until_ = until;
 }
 
-void KeyHolder::start_pending_leases() {
+void KeyGranter::start_pending_leases() {
   std::erase_if(pending_leases_, [this](PendingLease const& pending) {
     if (pending.revision > table_revision_) return false;
     extend_lease(pending.until);
@@ -314,11 +314,11 @@
   });
 }
 
-void KeyHolder::on_instance_ended(std::string const& instance, std::string const& reason) {
+void KeyGranter::on_instance_ended(std::string const& instance, std::string const& reason) {
   end_life(instance, reason);
 }
 
-void KeyHolder::on_instance_signed_off(std::string const& instance, Instant const now) {
+void KeyGranter::on_instance_signed_off(std::string const& instance, Instant const now) {
   bool const may_hold_on = instance == instance_ && holder_state_ == KeyHolderState::serving && now < granted_until_;
   if (!may_hold_on) return end_life(instance, "it signed off");
   signed_off_ = true;
@@ -327,7 +327,7 @@
   news_ = true;
 }
 
-void KeyHolder::end_who_holds_no_more(Instant const now) {
+void KeyGranter::end_who_holds_no_more(Instant const now) {
   if (signed_off_ && now >= granted_until_) {
     std::string const instance = instance_;
     end_life(instance, "its hold has run out since it signed off");
@@ -337,7 +337,7 @@
     if (is_over(end, now)) end_life(end.instance, end.reason);
 }
 
-KeyHolder::Serving const* KeyHolder::serving_row(std::uint16_t const key) const {
+KeyGranter::Serving const* KeyGranter::serving_row(std::uint16_t const key) const {
   std::vector<Serving>::const_iterator const after = std::upper_bound(
       serving_.begin(), serving_.end(), key, [](std::uint16_t k, Serving const& s) { return k < s.grant.from; });
   if (after == serving_.begin()) return nullptr;
@@ -345,31 +345,31 @@
   return key > row.grant.to ? nullptr : &row;
 }
 
-std::optional<std::uint32_t> KeyHolder::may_run(std::uint16_t const key, Instant const now,
-                                                Duration const expected) const {
+std::optional<std::uint32_t> KeyGranter::may_run(std::uint16_t const key, Instant const now,
+                                                 Duration const expected) const {
   if (now + expected >= hold_end_) return std::nullopt;
   Serving const* const row = serving_row(key);
   return row == nullptr ? std::nullopt : std::optional<std::uint32_t>(row->grant.fence);
 }
 
-bool KeyHolder::is_to_hold(std::uint16_t const key) const {
+bool KeyGranter::is_assigned(std::uint16_t const key) const {
   return !instance_.empty() && std::any_of(mine_.begin(), mine_.end(), [&](Mine const& mine) {
     bool const stays = mine.instance == instance_ && mine.row.moving == 0 && mine.row.revoked == 0;
     return stays && mine.row.from <= key && key <= mine.row.to;
   });
 }
 
-void KeyHolder::count(std::uint16_t const key) {
+void KeyGranter::count(std::uint16_t const key) {
   Serving const* const row = serving_row(key);
   if (row != nullptr) serving_[static_cast<std::size_t>(row - serving_.data())].load.count(key);
 }
 
-void KeyHolder::measure(Instant const now) {
+void KeyGranter::measure(Instant const now) {
   for (Serving& row : serving_) row.load.measure(now);
 }
 
 // The hottest rows' cuts, as far as a report has room for them.
-std::vector<KeyRowCuts> KeyHolder::cuts_of_hot_rows(float const capacity) const {
+std::vector<KeyRowCuts> KeyGranter::cuts_of_hot_rows(float const capacity) const {
   std::vector<Serving const*> rows;
   float demand = 0;
   for (Serving const& row : serving_) demand += std::max(0.0F, row.load.rate());
@@ -393,7 +393,7 @@
   return told;
 }
 
-KeyReport KeyHolder::report(Instant const now, float const busy, float const capacity) {
+KeyReport KeyGranter::report(Instant const now, float const busy, float const capacity) {
   measure(now);
   end_who_holds_no_more(now);
   if (now - last_report_ > wake_gap) awake_since_ = now;
--- a/source/coordination/key_holder.hpp
+++ b/source/coordination/key_holder.hpp
@@ -26,7 +26,7 @@
 };
 
 // A backend's heartbeat, as far as it's about keys.
-struct KeyBeat {
+struct KeyHeartbeat {
   std::string instance;
   std::uint64_t sequence = 0;  // rises with each beat of an instance
   KeyHolderState state = KeyHolderState::serving;
@@ -44,29 +44,29 @@
 };
 
 // The answer to a beat. Without `renews` it says nothing of keys.
-struct KeyBeatAnswer {
+struct KeyHeartbeatReply {
   bool renews = false;
   std::vector<KeyGrant> rows;
   Duration hold{};
 };
 
-class KeyHolder {
+class KeyGranter {
  public:
   /// `started`: of this process. What a process before it granted may be held for a whole term after that.
-  KeyHolder(std::string service, std::string node, std::string address, std::string zone, KeySettings settings,
-            Instant started);
+  KeyGranter(std::string service, std::string node, std::string address, std::string zone, KeySettings settings,
+             Instant started);
 
   /// Takes a beat in when it arrives. The answer may be given later, when
   /// `answer_may_wait` says that nothing new is to be told. The caller decides which instance counts
   /// here; of the one before, which may run on all the same, the end is told once its hold has run out, or
   /// it has been silent for as long as makes a holder revoked while the other went on beating.
-  void take_beat(Instant now, KeyBeat const& beat);
+  void take_heartbeat(Instant now, KeyHeartbeat const& beat);
   /// The answer to the beat with that number, which must be the last taken in.
-  KeyBeatAnswer answer(Instant now, std::string const& instance, std::uint64_t sequence);
+  KeyHeartbeatReply answer(Instant now, std::string const& instance, std::uint64_t sequence);
   /// Both at once.
-  KeyBeatAnswer on_beat(Instant now, KeyBeat const& beat);
+  KeyHeartbeatReply handle_heartbeat(Instant now, KeyHeartbeat const& beat);
   /// Whether the answer to the last beat would change nothing at the backend.
-  bool answer_may_wait(Instant now) const;
+  bool reply_may_wait(Instant now) const;
 
   /// A chosen table, from whomever; older ones change nothing.
   void on_table(KeyTable const& table);
@@ -85,14 +85,14 @@
   /// its row, if work of the expected length ends within the hold.
   std::optional<std::uint32_t> may_run(std::uint16_t key, Instant now, Duration expected) const;
   /// Whether the newest table gives the key to this backend for good: if it may not run yet, it will soon.
-  bool is_to_hold(std::uint16_t key) const;
+  bool is_assigned(std::uint16_t key) const;
   /// A request on a key has come: it counts for the load of its row, run or not.
   void count(std::uint16_t key);
 
   /// What the coordinators are to know; takes the count of requests since the last.
   KeyReport report(Instant now, float busy, float capacity = 0);
   /// Whether there is news that a report should carry at once.
-  bool has_news() const { return news_; }
+  bool has_urgent_report() const { return news_; }
 
   std::string const& instance() const { return instance_; }
   /// Whether the last answer gave the backend no row.
@@ -148,8 +148,8 @@
   bool is_over(PendingEnd const& end, Instant now) const;
   void end_who_holds_no_more(Instant now);
   bool awake(Instant now) const;
-  void take_releases(KeyBeat const& beat);
-  void judge_leaving(KeyBeat const& beat);
+  void take_releases(KeyHeartbeat const& beat);
+  void judge_leaving(KeyHeartbeat const& beat);
   void refresh_leaving();
   void find_ended_in_table();
   void match_releases();
--- a/source/data_path/local_backend.hpp
+++ b/source/data_path/local_backend.hpp
@@ -116,7 +116,7 @@
   }
 
   std::size_t in_flight() const { return requests_.size() + awaiting_keys_.size(); }
-  void set_keys(KeyHolder* const keys) { keys_ = keys; }
+  void set_keys(KeyGranter* const keys) { keys_ = keys; }
   /** An answer to a heartbeat that is about to go out grants keys. */
   void keys_granted() { wake_awaiting_keys(); }
 
@@ -280,7 +280,7 @@
   bool key_is_due(Forward const& forward, Instant const now) const {
     if (!forward.keyed || !instance_ || keys_ == nullptr || instance_->beat.service != forward.service) return false;
     bool const stays = !instance_->draining_since && !instance_->refused;
-    return stays && !key_held(forward, now) && keys_->is_to_hold(forward.key) &&
+    return stays && !key_held(forward, now) && keys_->is_assigned(forward.key) &&
            awaiting_keys_.size() < most_awaiting_keys;
   }
 
@@ -454,7 +454,7 @@
   DataPathHeaders const& headers_;
   ConnectionsFactory factory_;
   Events events_;
-  KeyHolder* keys_ = nullptr;
+  KeyGranter* keys_ = nullptr;
   std::optional<Instance> instance_;
   std::map<std::string, std::uint64_t> newest_sequences_;  // of each instance that ever beat here
   std::set<std::string> ended_;                            // instances that have signed off
--- a/source/programs/mesh_node.hpp
+++ b/source/programs/mesh_node.hpp
@@ -327,11 +327,11 @@
       co_await grant_alarm_.wait(until);
     if (number != heartbeats_received_ || !keyed(heartbeat.service)) co_return answer;
     prepare_keys(heartbeat.service);
-    keys_->take_beat(arrived, key_heartbeat(heartbeat));
+    keys_->take_heartbeat(arrived, key_heartbeat(heartbeat));
     report_alarm_.wake();
-    while (number == heartbeats_received_ && env_.now() < until && keys_->answer_may_wait(env_.now()))
+    while (number == heartbeats_received_ && env_.now() < until && keys_->reply_may_wait(env_.now()))
       co_await grant_alarm_.wait(until);
-    KeyBeatAnswer const grant = keys_->answer(env_.now(), heartbeat.id, heartbeat.sequence);
+    KeyHeartbeatReply const grant = keys_->answer(env_.now(), heartbeat.id, heartbeat.sequence);
     if (!grant.renews) co_return answer;
     local_.keys_granted();
     answer.grant.emplace();
@@ -350,15 +350,15 @@
   void prepare_keys(std::string const& service) {
     if (keys_ && keys_service_ == service) return;
     keys_service_ = service;
-    keys_ = std::make_unique<KeyHolder>(service, settings_.follower.id, settings_.follower.address,
-                                        settings_.follower.zone, settings_.keys, started_);
+    keys_ = std::make_unique<KeyGranter>(service, settings_.follower.id, settings_.follower.address,
+                                         settings_.follower.zone, settings_.keys, started_);
     if (table_) keys_->on_table(*table_);
     local_.set_keys(keys_.get());
     confirm_soon_ = true;
   }
 
-  KeyBeat key_heartbeat(BackendHeartbeat const& heartbeat) const {
-    KeyBeat k;
+  KeyHeartbeat key_heartbeat(BackendHeartbeat const& heartbeat) const {
+    KeyHeartbeat k;
     k.instance = heartbeat.id;
     k.sequence = heartbeat.sequence;
     k.liveness = heartbeat.leaving || graceful_shutdown_.leaving() ? KeyHolderState::draining : KeyHolderState::serving;
@@ -451,7 +451,7 @@
   Task<void> report_loop() {
     Instant last{};
     while (true) {
-      bool const early = keys_ && keys_->has_news();
+      bool const early = keys_ && keys_->has_urgent_report();
       if (!early) co_await report_alarm_.wait(std::max(last + settings_.keys.report_every, env_.now() + 20ms));
       last = env_.now();
       if (!keys_) continue;
@@ -530,7 +530,7 @@
   GracefulShutdown graceful_shutdown_;
   std::size_t forwards_in_flight_ = 0;  // requests of other nodes in flight here
   Instant const started_;
-  std::unique_ptr<KeyHolder> keys_;
+  std::unique_ptr<KeyGranter> keys_;
   std::string keys_service_;
   std::shared_ptr<KeyTable const> table_;
   MaintenanceView maintenance_;
--- a/source/programs/proxy.hpp
+++ b/source/programs/proxy.hpp
@@ -90,9 +90,9 @@
  private:
   NodeState<Env> node_;
   ProxyZoneFollower<Env> follower_;
-  BackendSide<Env, B> backend_side_;
-  CallerSide<Env, B> caller_side_;
-  CarriedSide<Env, B> carried_side_;
+  BackendHandler<Env, B> backend_side_;
+  CallHandler<Env, B> caller_side_;
+  ForwardedCallHandler<Env, B> carried_side_;
 };
 
 }  // namespace banktide
--- a/tests/coordination/key_balance_test.cpp
+++ b/tests/coordination/key_balance_test.cpp
@@ -41,7 +41,7 @@
 
 struct BalanceTrial {
   struct Member {
-    std::unique_ptr<KeyHolder> holder;
+    std::unique_ptr<KeyGranter> holder;
     std::string instance;
     double capacity = 0;
     std::uint64_t beats = 0;
@@ -57,7 +57,7 @@
       member.instance = "i-" + std::to_string(i);
       member.capacity = capacities[i];
       member.report_in = step * static_cast<int>(i % 5);
-      member.holder = std::make_unique<KeyHolder>("payments", node, node + ":1", "zone", KeySettings{}, Instant{});
+      member.holder = std::make_unique<KeyGranter>("payments", node, node + ":1", "zone", KeySettings{}, Instant{});
       members.push_back(std::move(member));
     }
   }
@@ -129,12 +129,12 @@
   }
 
   void beat(Member& member) {
-    KeyBeat beat;
+    KeyHeartbeat beat;
     beat.instance = member.instance;
     beat.sequence = ++member.beats;
     beat.held = member.held;
     beat.slots = 9;
-    KeyBeatAnswer const answer = member.holder->on_beat(now, beat);
+    KeyHeartbeatReply const answer = member.holder->handle_heartbeat(now, beat);
     if (!answer.renews) return;
     EXPECT_LE(answer.rows.size(), KeySettings{}.held_rows_limit);
     member.held.clear();
@@ -143,7 +143,7 @@
 
   void tell(Member& member, double const demand) {
     member.report_in -= step;
-    if (member.report_in > Duration::zero() && !member.holder->has_news()) return;
+    if (member.report_in > Duration::zero() && !member.holder->has_urgent_report()) return;
     member.report_in = KeySettings{}.report_every;
     double const busy = std::min(1.3, demand / member.capacity);
     KeyReport report = member.holder->report(now, static_cast<float>(busy), static_cast<float>(member.capacity));
--- a/tests/coordination/key_holder_test.cpp
+++ b/tests/coordination/key_holder_test.cpp
@@ -38,8 +38,8 @@
     learn();
     holder.on_confirmed(table.revision, now);
   }
-  KeyBeat beat(std::vector<HeldRange> held = {}, std::vector<ReleasedRange> released = {}) {
-    KeyBeat made;
+  KeyHeartbeat beat(std::vector<HeldRange> held = {}, std::vector<ReleasedRange> released = {}) {
+    KeyHeartbeat made;
     made.instance = "i-1";
     made.sequence = ++beats;
     made.held = std::move(held);
@@ -51,17 +51,17 @@
   KeyTable table;
   std::uint64_t beats = 0;
   KeySettings settings;
-  KeyHolder holder;
+  KeyGranter holder;
 };
 
-TEST(KeyHolder, every_hold_ends_before_the_lease_even_by_a_slow_clock) {
+TEST(KeyGranter, every_hold_ends_before_the_lease_even_by_a_slow_clock) {
   for (Duration const age : {0ms, 900ms, 2500ms, 4000ms, 4800ms, 4900ms, 5000ms, 9000ms})
     for (Duration const kept_back : {0ms, 300ms, 700ms}) {
       HolderTrial t;
       t.confirm();
-      KeyBeat const beat = t.beat();
-      t.holder.take_beat(t.now + age, beat);
-      KeyBeatAnswer const answer = t.holder.answer(t.now + age + kept_back, beat.instance, beat.sequence);
+      KeyHeartbeat const beat = t.beat();
+      t.holder.take_heartbeat(t.now + age, beat);
+      KeyHeartbeatReply const answer = t.holder.answer(t.now + age + kept_back, beat.instance, beat.sequence);
       if (!answer.renews) {
         EXPECT_GT(age + kept_back, 4800ms);
         continue;
@@ -72,31 +72,31 @@
     }
 }
 
-TEST(KeyHolder, grants_nothing_without_a_lease_or_by_a_table_older_than_the_confirmed) {
+TEST(KeyGranter, grants_nothing_without_a_lease_or_by_a_table_older_than_the_confirmed) {
   HolderTrial t;
-  EXPECT_FALSE(t.holder.on_beat(t.now, t.beat()).renews);
+  EXPECT_FALSE(t.holder.handle_heartbeat(t.now, t.beat()).renews);
   t.learn();
-  EXPECT_FALSE(t.holder.on_beat(t.now, t.beat()).renews);
+  EXPECT_FALSE(t.holder.handle_heartbeat(t.now, t.beat()).renews);
   t.holder.on_confirmed(t.table.revision + 1, t.now);
-  EXPECT_FALSE(t.holder.on_beat(t.now, t.beat()).renews);
+  EXPECT_FALSE(t.holder.handle_heartbeat(t.now, t.beat()).renews);
   t.learn();
-  EXPECT_TRUE(t.holder.on_beat(t.now, t.beat()).renews);
+  EXPECT_TRUE(t.holder.handle_heartbeat(t.now, t.beat()).renews);
 }
 
-TEST(KeyHolder, a_running_lease_goes_on_while_newer_tables_are_confirmed_that_are_not_here_yet) {
+TEST(KeyGranter, a_running_lease_goes_on_while_newer_tables_are_confirmed_that_are_not_here_yet) {
   HolderTrial t;
   t.confirm();
   Instant const first = t.now;
   for (Revision ahead = 1; ahead <= 40; ++ahead) {
     t.now += 100ms;
     t.holder.on_confirmed(t.table.revision + ahead, t.now);
-    EXPECT_EQ(t.holder.on_beat(t.now, t.beat()).renews, t.now + 300ms < first + t.settings.term) << ahead;
+    EXPECT_EQ(t.holder.handle_heartbeat(t.now, t.beat()).renews, t.now + 300ms < first + t.settings.term) << ahead;
   }
   t.now = first + t.settings.term;
   EXPECT_FALSE(t.holder.leased(t.now)) << "what was confirmed without its table gives no lease";
 }
 
-TEST(KeyHolder, a_confirmed_reading_counts_from_its_question_once_its_table_is_here) {
+TEST(KeyGranter, a_confirmed_reading_counts_from_its_question_once_its_table_is_here) {
   HolderTrial t;
   t.holder.on_confirmed(3, t.now);
   t.holder.on_confirmed(5, t.now + 1s);
@@ -112,32 +112,32 @@
   EXPECT_FALSE(t.holder.leased(t.now + 1s + t.settings.term));
 }
 
-TEST(KeyHolder, leaves_out_what_is_revoked_or_moving) {
+TEST(KeyGranter, leaves_out_what_is_revoked_or_moving) {
   HolderTrial t;
   t.confirm();
   t.first_row().revoked = 2;
   t.learn();
-  EXPECT_TRUE(t.holder.on_beat(t.now, t.beat()).rows.empty());
+  EXPECT_TRUE(t.holder.handle_heartbeat(t.now, t.beat()).rows.empty());
   t.first_row().revoked = 0;
   t.first_row().moving = 3;
   t.first_row().next = 1;
   t.learn();
-  EXPECT_TRUE(t.holder.on_beat(t.now, t.beat()).rows.empty());
+  EXPECT_TRUE(t.holder.handle_heartbeat(t.now, t.beat()).rows.empty());
 }
 
-TEST(KeyHolder, reports_a_release_only_when_the_backend_works_on_the_row_no_more) {
+TEST(KeyGranter, reports_a_release_only_when_the_backend_works_on_the_row_no_more) {
   HolderTrial t;
   t.confirm();
-  t.holder.on_beat(t.now, t.beat());
+  t.holder.handle_heartbeat(t.now, t.beat());
   t.first_row().moving = 3;
   t.first_row().next = 1;
   t.learn();
-  t.holder.on_beat(t.now, t.beat({{0, 99, 5}}));
+  t.holder.handle_heartbeat(t.now, t.beat({{0, 99, 5}}));
   EXPECT_TRUE(t.holder.report(t.now, 0).released.empty());
-  t.holder.on_beat(t.now, t.beat({{50, 99, 5}}, {{0, 49, "part"}}));  // still works on a part
+  t.holder.handle_heartbeat(t.now, t.beat({{50, 99, 5}}, {{0, 49, "part"}}));  // still works on a part
   EXPECT_TRUE(t.holder.report(t.now, 0).released.empty());
-  t.holder.on_beat(t.now, t.beat({}, {{0, 99, "token"}}));
-  EXPECT_TRUE(t.holder.has_news());
+  t.holder.handle_heartbeat(t.now, t.beat({}, {{0, 99, "token"}}));
+  EXPECT_TRUE(t.holder.has_urgent_report());
   KeyReport const report = t.holder.report(t.now, 0);
   ASSERT_EQ(report.released.size(), 1u);
   EXPECT_EQ(report.released[0].handover, "token");
@@ -145,108 +145,108 @@
   EXPECT_EQ(report.released[0].fence, 5u);
 }
 
-TEST(KeyHolder, takes_a_row_that_is_not_shown_as_let_go_only_by_a_beat_after_the_one_that_left_it_out) {
+TEST(KeyGranter, takes_a_row_that_is_not_shown_as_let_go_only_by_a_beat_after_the_one_that_left_it_out) {
   HolderTrial t;
   t.confirm();
-  t.holder.on_beat(t.now, t.beat());
+  t.holder.handle_heartbeat(t.now, t.beat());
   t.first_row().moving = 3;
   t.learn();
-  t.holder.on_beat(t.now, t.beat());
+  t.holder.handle_heartbeat(t.now, t.beat());
   EXPECT_TRUE(t.holder.report(t.now, 0).released.empty());
-  t.holder.on_beat(t.now, t.beat());
+  t.holder.handle_heartbeat(t.now, t.beat());
   ASSERT_EQ(t.holder.report(t.now, 0).released.size(), 1u);
   EXPECT_EQ(t.holder.report(t.now, 0).released[0].handover, "");
 }
 
-TEST(KeyHolder, a_move_called_off_gives_the_row_back_with_its_own_token_but_never_with_an_old_one) {
+TEST(KeyGranter, a_move_called_off_gives_the_row_back_with_its_own_token_but_never_with_an_old_one) {
   HolderTrial t;
   t.confirm();
   t.first_row().moving = 3;
   t.learn();
-  t.holder.on_beat(t.now, t.beat({}, {{0, 99, "own"}}));
+  t.holder.handle_heartbeat(t.now, t.beat({}, {{0, 99, "own"}}));
   t.first_row().moving = 0;
   t.learn();
-  EXPECT_EQ(t.holder.on_beat(t.now, t.beat()).rows, (std::vector<KeyGrant>{{0, 99, 5, "own"}}));
+  EXPECT_EQ(t.holder.handle_heartbeat(t.now, t.beat()).rows, (std::vector<KeyGrant>{{0, 99, 5, "own"}}));
   t.first_row().fence = 9;  // another held it in between
   t.first_row().handover = "theirs";
   t.learn();
-  EXPECT_EQ(t.holder.on_beat(t.now, t.beat()).rows, (std::vector<KeyGrant>{{0, 99, 9, "theirs"}}));
+  EXPECT_EQ(t.holder.handle_heartbeat(t.now, t.beat()).rows, (std::vector<KeyGrant>{{0, 99, 9, "theirs"}}));
 }
 
 // Guards against OWNER: another instance's heartbeat may be a late one of a former life, and the holder runs on.
-TEST(KeyHolder, an_instance_gives_way_to_another_and_ends_only_when_its_hold_has_run_out) {
+TEST(KeyGranter, an_instance_gives_way_to_another_and_ends_only_when_its_hold_has_run_out) {
   HolderTrial t;
   t.confirm();
   for (int i = 0; i < 4; ++i, t.now += 500ms) t.holder.report(t.now, 0);
-  KeyBeatAnswer const granted = t.holder.on_beat(t.now, t.beat());
+  KeyHeartbeatReply const granted = t.holder.handle_heartbeat(t.now, t.beat());
   ASSERT_TRUE(granted.renews);
   Instant const end_of_hold = t.now + std::chrono::duration_cast<Duration>(granted.hold * 1.02);
-  KeyBeat newer = t.beat();
+  KeyHeartbeat newer = t.beat();
   newer.instance = "i-9";
-  EXPECT_TRUE(t.holder.on_beat(t.now, newer).rows.empty());
+  EXPECT_TRUE(t.holder.handle_heartbeat(t.now, newer).rows.empty());
   EXPECT_EQ(t.holder.instance(), "i-9");
   EXPECT_TRUE(t.holder.report(end_of_hold - 10ms, 0).ended.empty());
   KeyReport const report = t.holder.report(end_of_hold + 10ms, 0);
   ASSERT_EQ(report.ended.size(), 1u);
   EXPECT_EQ(report.ended[0].instance, "i-1");
-  EXPECT_FALSE(t.holder.on_beat(end_of_hold + 20ms, t.beat()).renews);
+  EXPECT_FALSE(t.holder.handle_heartbeat(end_of_hold + 20ms, t.beat()).renews);
   EXPECT_EQ(t.holder.instance(), "i-9");
 }
 
-TEST(KeyHolder, an_instance_that_stays_silent_while_another_beats_on_has_ended) {
+TEST(KeyGranter, an_instance_that_stays_silent_while_another_beats_on_has_ended) {
   HolderTrial t;
   t.confirm();
   for (int i = 0; i < 4; ++i, t.now += 500ms) t.holder.report(t.now, 0);
   Instant const last_beat = t.now;
-  ASSERT_TRUE(t.holder.on_beat(t.now, t.beat()).renews);
+  ASSERT_TRUE(t.holder.handle_heartbeat(t.now, t.beat()).renews);
   for (int i = 0; i < 5; ++i, t.now += 500ms) {
-    KeyBeat newer = t.beat();
+    KeyHeartbeat newer = t.beat();
     newer.instance = "i-9";
-    t.holder.on_beat(t.now + 100ms, newer);
+    t.holder.handle_heartbeat(t.now + 100ms, newer);
     EXPECT_TRUE(t.holder.report(t.now + 200ms, 0).ended.empty()) << i;
   }
   EXPECT_EQ(t.holder.report(last_beat + t.settings.revoke_after, 0).ended.size(), 1u);
 }
 
-TEST(KeyHolder, an_instance_without_a_hold_ends_as_another_takes_its_place) {
+TEST(KeyGranter, an_instance_without_a_hold_ends_as_another_takes_its_place) {
   HolderTrial t;
   for (int i = 0; i < 4; ++i, t.now += 500ms) t.holder.report(t.now, 0);
-  EXPECT_FALSE(t.holder.on_beat(t.now, t.beat()).renews);
-  KeyBeat newer = t.beat();
+  EXPECT_FALSE(t.holder.handle_heartbeat(t.now, t.beat()).renews);
+  KeyHeartbeat newer = t.beat();
   newer.instance = "i-9";
-  t.holder.on_beat(t.now, newer);
-  EXPECT_TRUE(t.holder.has_news());
+  t.holder.handle_heartbeat(t.now, newer);
+  EXPECT_TRUE(t.holder.has_urgent_report());
   EXPECT_EQ(t.holder.report(t.now, 0).ended.size(), 1u);
 }
 
-TEST(KeyHolder, who_was_taken_for_gone_by_mistake_is_granted_its_rows_again) {
+TEST(KeyGranter, who_was_taken_for_gone_by_mistake_is_granted_its_rows_again) {
   HolderTrial t;
   t.confirm();
   for (int i = 0; i < 4; ++i, t.now += 500ms) t.holder.report(t.now, 0);
-  ASSERT_TRUE(t.holder.on_beat(t.now, t.beat()).renews);
-  KeyBeat late = t.beat();
+  ASSERT_TRUE(t.holder.handle_heartbeat(t.now, t.beat()).renews);
+  KeyHeartbeat late = t.beat();
   late.instance = "i-0";
-  t.holder.on_beat(t.now + 100ms, late);
-  KeyBeatAnswer const again = t.holder.on_beat(t.now + 200ms, t.beat());
+  t.holder.handle_heartbeat(t.now + 100ms, late);
+  KeyHeartbeatReply const again = t.holder.handle_heartbeat(t.now + 200ms, t.beat());
   EXPECT_EQ(again.rows, (std::vector<KeyGrant>{{0, 99, 5, ""}}));
   KeyReport const report = t.holder.report(t.now + 10s, 0);
   for (KeyEnd const& end : report.ended) EXPECT_EQ(end.instance, "i-0");
 }
 
 // It serves on after it has signed off, and holds its keys until they run out.
-TEST(KeyHolder, who_signs_off_without_draining_first_ends_when_its_hold_has_run_out) {
+TEST(KeyGranter, who_signs_off_without_draining_first_ends_when_its_hold_has_run_out) {
   HolderTrial t;
   t.confirm();
-  KeyBeatAnswer const granted = t.holder.on_beat(t.now, t.beat());
+  KeyHeartbeatReply const granted = t.holder.handle_heartbeat(t.now, t.beat());
   ASSERT_TRUE(granted.renews);
   Instant const end_of_hold = t.now + std::chrono::duration_cast<Duration>(granted.hold * 1.02);
   // The answer to a beat may still be held back when it signs off.
-  KeyBeat const unanswered = t.beat();
-  t.holder.take_beat(t.now + 50ms, unanswered);
+  KeyHeartbeat const unanswered = t.beat();
+  t.holder.take_heartbeat(t.now + 50ms, unanswered);
   t.holder.on_instance_signed_off("i-1", t.now + 100ms);
   EXPECT_FALSE(t.holder.answer(t.now + 110ms, "i-1", unanswered.sequence).renews);
   EXPECT_FALSE(t.holder.may_run(50, t.now + 200ms, 1ms));
-  EXPECT_FALSE(t.holder.on_beat(t.now + 300ms, t.beat()).renews);
+  EXPECT_FALSE(t.holder.handle_heartbeat(t.now + 300ms, t.beat()).renews);
   KeyReport const before = t.holder.report(end_of_hold - 10ms, 0);
   EXPECT_TRUE(before.ended.empty());
   EXPECT_EQ(before.instance, "i-1");
@@ -257,28 +257,28 @@
   EXPECT_EQ(after.instance, "");
 }
 
-TEST(KeyHolder, who_signs_off_after_draining_or_without_a_hold_ends_at_once) {
+TEST(KeyGranter, who_signs_off_after_draining_or_without_a_hold_ends_at_once) {
   HolderTrial drained;
   drained.confirm();
-  KeyBeat leaving = drained.beat();
+  KeyHeartbeat leaving = drained.beat();
   leaving.standing = KeyHolderState::draining;
-  ASSERT_TRUE(drained.holder.on_beat(drained.now, leaving).renews);
+  ASSERT_TRUE(drained.holder.handle_heartbeat(drained.now, leaving).renews);
   drained.holder.on_instance_signed_off("i-1", drained.now + 100ms);
   EXPECT_EQ(drained.holder.report(drained.now + 200ms, 0).ended.size(), 1u);
 
   HolderTrial without_lease;
-  without_lease.holder.on_beat(without_lease.now, without_lease.beat());
+  without_lease.holder.handle_heartbeat(without_lease.now, without_lease.beat());
   without_lease.holder.on_instance_signed_off("i-1", without_lease.now + 100ms);
   EXPECT_EQ(without_lease.holder.report(without_lease.now + 200ms, 0).ended.size(), 1u);
 }
 
 // Keys held twice (OWNER): a node that had just restarted took a backend that signed off for one without a hold.
-TEST(KeyHolder, who_signs_off_after_a_restart_of_its_node_may_hold_by_a_grant_of_the_process_before) {
+TEST(KeyGranter, who_signs_off_after_a_restart_of_its_node_may_hold_by_a_grant_of_the_process_before) {
   Instant const started = long_ago + 1000s;
   HolderTrial t(started);
   Duration const longest_hold = std::chrono::duration_cast<Duration>(t.settings.term * 1.02);
   t.now += 400ms;
-  t.holder.take_beat(t.now, t.beat({{0, 99, 5}}));
+  t.holder.take_heartbeat(t.now, t.beat({{0, 99, 5}}));
   t.holder.on_instance_signed_off("i-1", t.now + 100ms);
   KeyReport const within = t.holder.report(started + longest_hold - 10ms, 0);
   EXPECT_TRUE(within.ended.empty());
@@ -286,60 +286,60 @@
   EXPECT_EQ(t.holder.report(started + longest_hold + 10ms, 0).ended.size(), 1u);
 }
 
-TEST(KeyHolder, who_signs_off_long_after_its_nodes_start_waits_for_the_grants_of_this_process_only) {
+TEST(KeyGranter, who_signs_off_long_after_its_nodes_start_waits_for_the_grants_of_this_process_only) {
   HolderTrial t(long_ago + 1000s - 2 * KeySettings{}.term);
-  t.holder.take_beat(t.now, t.beat());
+  t.holder.take_heartbeat(t.now, t.beat());
   t.holder.on_instance_signed_off("i-1", t.now + 100ms);
   EXPECT_EQ(t.holder.report(t.now + 200ms, 0).ended.size(), 1u);
 }
 
-TEST(KeyHolder, right_after_a_freeze_no_beat_ends_another_life) {
+TEST(KeyGranter, right_after_a_freeze_no_beat_ends_another_life) {
   HolderTrial t;
   t.confirm();
   for (int i = 0; i < 4; ++i, t.now += 500ms) t.holder.report(t.now, 0);
-  t.holder.on_beat(t.now, t.beat());
+  t.holder.handle_heartbeat(t.now, t.beat());
   t.now += 10s;
-  KeyBeat stale = t.beat();
+  KeyHeartbeat stale = t.beat();
   stale.instance = "i-0";
-  t.holder.on_beat(t.now, stale);
+  t.holder.handle_heartbeat(t.now, stale);
   t.holder.report(t.now, 0);
-  t.holder.on_beat(t.now, stale);
+  t.holder.handle_heartbeat(t.now, stale);
   EXPECT_EQ(t.holder.instance(), "i-1");
 }
 
-TEST(KeyHolder, a_node_that_began_anew_finds_the_end_of_a_life_in_the_table) {
+TEST(KeyGranter, a_node_that_began_anew_finds_the_end_of_a_life_in_the_table) {
   HolderTrial t;
-  KeyBeat newer = t.beat();
+  KeyHeartbeat newer = t.beat();
   newer.instance = "i-9";
-  t.holder.on_beat(t.now, newer);
+  t.holder.handle_heartbeat(t.now, newer);
   t.confirm();
   KeyReport const report = t.holder.report(t.now, 0);
   ASSERT_EQ(report.ended.size(), 1u);
   EXPECT_EQ(report.ended[0].instance, "i-1");
 }
 
-TEST(KeyHolder, runs_requests_on_held_keys_that_end_within_the_hold) {
+TEST(KeyGranter, runs_requests_on_held_keys_that_end_within_the_hold) {
   HolderTrial t;
   t.confirm();
   EXPECT_FALSE(t.holder.may_run(7, t.now, 1ms));
-  Duration const hold = t.holder.on_beat(t.now, t.beat()).hold;
+  Duration const hold = t.holder.handle_heartbeat(t.now, t.beat()).hold;
   EXPECT_EQ(t.holder.may_run(7, t.now, 1ms), 5u);
   EXPECT_EQ(t.holder.may_run(99, t.now, 1ms), 5u);
   EXPECT_FALSE(t.holder.may_run(100, t.now, 1ms));
   EXPECT_FALSE(t.holder.may_run(7, t.now, hold));
   EXPECT_FALSE(t.holder.may_run(7, t.now + hold, 0ms));
-  EXPECT_FALSE(t.holder.on_beat(t.now + 20s, t.beat()).renews);
+  EXPECT_FALSE(t.holder.handle_heartbeat(t.now + 20s, t.beat()).renews);
   EXPECT_FALSE(t.holder.may_run(7, t.now + 20s, 1ms));
 }
 
-TEST(KeyHolder, joins_neighbours_under_one_fence_when_an_answer_would_be_too_long) {
+TEST(KeyGranter, joins_neighbours_under_one_fence_when_an_answer_would_be_too_long) {
   HolderTrial t;
   std::vector<KeyRow>& rows = t.table.services[0].rows;
   rows.clear();
   for (std::uint32_t i = 0; i < 128; ++i)
     rows.push_back(row_of(static_cast<std::uint16_t>(i * 512), static_cast<std::uint16_t>(i * 512 + 511), 0, 5));
   t.confirm();
-  std::vector<KeyGrant> const granted = t.holder.on_beat(t.now, t.beat()).rows;
+  std::vector<KeyGrant> const granted = t.holder.handle_heartbeat(t.now, t.beat()).rows;
   EXPECT_LE(granted.size(), t.settings.held_rows_limit);
   std::uint32_t from = 0;
   for (KeyGrant const& grant : granted) {
@@ -350,13 +350,13 @@
 }
 
 // A coordinator must not take a row that has just come for an idle one.
-TEST(KeyHolder, tells_no_rate_of_a_row_before_it_is_measured_and_then_the_whole_rate_at_once) {
+TEST(KeyGranter, tells_no_rate_of_a_row_before_it_is_measured_and_then_the_whole_rate_at_once) {
   HolderTrial t;
   t.confirm();
   t.holder.report(t.now, 0.5F);
   t.now += 1s;
   t.confirm();
-  t.holder.on_beat(t.now, t.beat());
+  t.holder.handle_heartbeat(t.now, t.beat());
   for (int i = 0; i < 20; ++i) t.holder.count(static_cast<std::uint16_t>(i));
   t.now += 100ms;
   KeyReport const early = t.holder.report(t.now, 0.5F, 120);
@@ -379,7 +379,7 @@
   }
   void renew() {
     confirm();
-    holder.on_beat(now, beat());
+    holder.handle_heartbeat(now, beat());
   }
   // So many requests on each key in half a second, and a report.
   KeyReport report_after(std::map<std::uint16_t, int> const& requests, float const capacity) {
@@ -406,7 +406,7 @@
   return shares;
 }
 
-TEST(KeyHolder, tells_where_a_hot_row_may_be_cut_into_parts_of_about_equal_load) {
+TEST(KeyGranter, tells_where_a_hot_row_may_be_cut_into_parts_of_about_equal_load) {
   LoadTrial t;
   std::map<std::uint16_t, int> requests;
   for (std::uint16_t key = 7000; key < 7120; ++key) requests[key] = 1 + key % 3;
@@ -430,7 +430,7 @@
   EXPECT_NEAR(all, 1, 0.001);
 }
 
-TEST(KeyHolder, tells_no_cuts_of_cool_rows_and_makes_a_very_hot_key_a_part_by_itself) {
+TEST(KeyGranter, tells_no_cuts_of_cool_rows_and_makes_a_very_hot_key_a_part_by_itself) {
   LoadTrial t;
   std::map<std::uint16_t, int> requests;
   for (std::uint16_t key = 0; key < 100; ++key) requests[key] = 1;
@@ -447,7 +447,7 @@
   EXPECT_EQ((hottest + 1)->at, 51);
 }
 
-TEST(KeyHolder, a_report_stays_small_however_many_rows_and_busy_keys_there_are) {
+TEST(KeyGranter, a_report_stays_small_however_many_rows_and_busy_keys_there_are) {
   LoadTrial t;
   std::vector<KeyRow>& rows = t.table.services[0].rows;
   rows.clear();
@@ -468,7 +468,7 @@
 }
 
 // Otherwise a coordinator would have to wait for another measurement after each cut.
-TEST(KeyHolder, knows_the_rates_of_the_parts_of_a_cut_row_at_once_and_of_a_joined_one) {
+TEST(KeyGranter, knows_the_rates_of_the_parts_of_a_cut_row_at_once_and_of_a_joined_one) {
   LoadTrial t;
   t.report_after({{100, 30}, {8000, 10}}, 0);
   std::vector<KeyRow>& rows = t.table.services[0].rows;
@@ -485,7 +485,7 @@
   EXPECT_FLOAT_EQ(joined.held[0].rate, 80);
 }
 
-TEST(KeyHolder, a_rate_steadies_over_seconds_and_begins_anew_when_the_load_changes) {
+TEST(KeyGranter, a_rate_steadies_over_seconds_and_begins_anew_when_the_load_changes) {
   LoadTrial t;
   KeyReport report;
   for (int i = 0; i < 20; ++i) report = t.report_after({{1, i % 2 == 0 ? 40 : 60}}, 0);
--- a/tests/coordination/key_trial_test.cpp
+++ b/tests/coordination/key_trial_test.cpp
@@ -71,7 +71,7 @@
 
 struct Node {
   std::string name;
-  std::unique_ptr<KeyHolder> holder;
+  std::unique_ptr<KeyGranter> holder;
   std::uint64_t life = 0;
   bool up = true, core_cut = false, registries_cut = false;
   Instant frozen_until{};
@@ -101,7 +101,8 @@
   void start_node(Node& node) {
     ++node.life;
     node.up = true;
-    node.holder = std::make_unique<KeyHolder>("payments", node.name, node.name + ":1", "zone", KeySettings{}, loop.now);
+    node.holder =
+        std::make_unique<KeyGranter>("payments", node.name, node.name + ":1", "zone", KeySettings{}, loop.now);
     node.pending = nullptr;
     std::uint64_t const life = node.life;
     confirm(node, life);
@@ -171,8 +172,8 @@
 
   // After news: a waiting answer may go, and coordinators are told.
   void push(Node& node) {
-    if (node.holder->has_news()) send_report(node);
-    if (node.pending && !node.holder->answer_may_wait(loop.now)) {
+    if (node.holder->has_urgent_report()) send_report(node);
+    if (node.pending && !node.holder->reply_may_wait(loop.now)) {
       std::function<void()> const answer = std::move(node.pending);
       node.pending = nullptr;
       answer();
@@ -197,7 +198,7 @@
       return;
     }
     drop_expired(*b);
-    KeyBeat message;
+    KeyHeartbeat message;
     message.instance = b->instance;
     message.sequence = ++b->beats;
     message.slots = 4;
@@ -209,17 +210,17 @@
     std::size_t const told = b->released.size();
     loop.after(loop.between(0, 3), [this, &node, b, life, message, sent, told] {
       on_node(node, life, [this, &node, b, life, message, sent, told] {
-        node.holder->take_beat(loop.now, message);
+        node.holder->take_heartbeat(loop.now, message);
         push(node);
         std::uint64_t const number = ++node.pending_number;
         node.pending = [this, &node, b, message, sent, told] {
-          KeyBeatAnswer const answer = node.holder->answer(loop.now, message.instance, message.sequence);
+          KeyHeartbeatReply const answer = node.holder->answer(loop.now, message.instance, message.sequence);
           if (loop.one_in(50)) return;
           loop.after(loop.between(0, 3), [this, &node, b, message, sent, told, answer] {
             apply(node, b, message.sequence, sent, told, answer);
           });
         };
-        if (!node.holder->answer_may_wait(loop.now)) push(node);
+        if (!node.holder->reply_may_wait(loop.now)) push(node);
         loop.after(KeySettings{}.answer_delay_limit, [this, &node, life, number] {
           on_node(node, life, [&node, number] {
             if (!node.pending || node.pending_number != number) return;
@@ -236,7 +237,7 @@
   }
 
   void apply(Node& node, std::shared_ptr<Backend> const b, std::uint64_t const number, Instant const sent,
-             std::size_t const told, KeyBeatAnswer const& answer) {
+             std::size_t const told, KeyHeartbeatReply const& answer) {
     if (!b->alive || b->beats != number || b->acknowledged >= number) return;
     if (loop.now < b->frozen_until || loop.now - sent > beat_patience) return;
     b->acknowledged = number;
@@ -251,7 +252,7 @@
                });
   }
 
-  bool take_rows(Backend& b, Instant const sent, KeyBeatAnswer const& answer) {
+  bool take_rows(Backend& b, Instant const sent, KeyHeartbeatReply const& answer) {
     EXPECT_LE(answer.rows.size(), KeySettings{}.held_rows_limit);
     Instant const end =
         sent + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(answer.hold) * slow_clock);
--- a/tests/data_path/local_backend_test.cpp
+++ b/tests/data_path/local_backend_test.cpp
@@ -77,10 +77,10 @@
   /** A heartbeat whose answer isn't given yet. */
   void beat(bool const leaving = false) {
     EXPECT_TRUE(take(heartbeat_of("i-1", ++beats, leaving)));
-    KeyBeat of_keys;
+    KeyHeartbeat of_keys;
     of_keys.instance = "i-1";
     of_keys.sequence = beats;
-    holder.take_beat(process->now(), of_keys);
+    holder.take_heartbeat(process->now(), of_keys);
   }
   static BackendHeartbeat heartbeat_of(std::string const& id, std::uint64_t const sequence,
                                        bool const leaving = false) {
@@ -126,7 +126,7 @@
   SimNet net;
   std::shared_ptr<SimProcess> process;
   KeyTable table;
-  KeyHolder holder{"accounts", "node", "node:1", "zone", KeySettings{}, Instant{}};
+  KeyGranter holder{"accounts", "node", "node:1", "zone", KeySettings{}, Instant{}};
   std::size_t calls = 0;
   std::function<void()> on_answer;
   std::uint64_t beats = 0;
