--- a/source/coordination/key_coordinator.hpp
+++ b/source/coordination/key_coordinator.hpp
@@ -22,7 +22,7 @@
   void attach(Dispatcher& dispatcher) {
     dispatcher.on<KeyReport>([this](KeyReport report) -> Task<KeyReportReply> {
       bool const news = !report.released.empty() || !report.ended.empty() || report.standing != KeyHolderState::serving;
-      newest_heard_ = std::max(newest_heard_, report.table);
+      newest_reported_ = std::max(newest_reported_, report.table);
       planner_.on_report(env_.now(), std::move(report));
       if (news && acting_()) alarm_.wake();
       KeyReportReply reply{planner_.table().revision};
@@ -31,7 +31,7 @@
   }
 
   /// A chosen value of the register, learnt by other ways.
-  void on_chosen(RegisterValue const& held) { take(held); }
+  void on_chosen(RegisterValue const& held) { accept(held); }
   /// Called with each table that this coordinator has written or read.
   std::function<void(RegisterValue const&)> on_table;
   /// Zones whose backends are to hold no keys; may be left empty.
@@ -39,14 +39,14 @@
 
   Task<void> run() {
     while (!stopped_) {
-      co_await alarm_.wait(env_.now() + step);
+      co_await alarm_.wait(env_.now() + tick_period);
       planner_.tick(env_.now());
       if (!acting_()) {
-        fresh_ = false;
+        table_is_current_ = false;
         continue;
       }
-      if (!fresh_ || newest_heard_ > planner_.table().revision) co_await refresh();
-      if (fresh_) co_await act();
+      if (!table_is_current_ || newest_reported_ > planner_.table().revision) co_await refresh();
+      if (table_is_current_) co_await write_plan();
     }
   }
   void stop() {
@@ -57,10 +57,10 @@
   KeyTable const& table() const { return planner_.table(); }
 
  private:
-  static constexpr Duration step = 100ms;
-  static constexpr Duration register_patience = 2s;
+  static constexpr Duration tick_period = 100ms;
+  static constexpr Duration register_timeout = 2s;
 
-  void take(RegisterValue const& held) {
+  void accept(RegisterValue const& held) {
     if (held.revision <= held_.revision) return;
     Result<KeyTable> table = unpack_key_table(held.bytes, held.revision);
     if (!table) {
@@ -73,16 +73,16 @@
   }
 
   Task<void> refresh() {
-    Result<RegisterValue> const read = co_await store_.read(Register::keys, held_, env_.now() + register_patience);
-    fresh_ = read.has_value();
+    Result<RegisterValue> const read = co_await store_.read(Register::keys, held_, env_.now() + register_timeout);
+    table_is_current_ = read.has_value();
     if (!read) {
       log_info("key_table_not_read", {{"reason", read.error().reason}});
       co_return;
     }
-    take(*read);
+    accept(*read);
   }
 
-  Task<void> act() {
+  Task<void> write_plan() {
     if (withheld_zones) planner_.withhold_zones(withheld_zones());
     std::optional<KeyTable> const plan = planner_.plan(env_.now());
     if (!plan) co_return;
@@ -90,7 +90,7 @@
     next.revision = plan->revision;
     next.bytes = pack_key_table(*plan);
     next.digest = digest_of(next.bytes);
-    auto const over = [next](RegisterValue const& newest) -> Result<RegisterValue> {
+    auto const replace_previous = [next](RegisterValue const& newest) -> Result<RegisterValue> {
       if (newest.revision + 1 != next.revision) return make_error("key table", "", "another table came first");
       RegisterValue written = next;
       written.requests = newest.requests;
@@ -98,12 +98,12 @@
     };
     std::string const request = "keys-" + std::to_string(env_.chance()());
     Result<RegisterValue> const done =
-        co_await store_.change(Register::keys, request, env_.now() + register_patience, over);
+        co_await store_.change(Register::keys, request, env_.now() + register_timeout, replace_previous);
     if (done) {
-      take(*done);
+      accept(*done);
     } else {
       log_info("key_table_not_written", {{"revision", std::to_string(next.revision)}, {"reason", done.error().reason}});
-      fresh_ = false;  // it may have been written all the same: read before the next plan
+      table_is_current_ = false;  // it may have been written all the same: read before the next plan
     }
   }
 
@@ -113,8 +113,8 @@
   std::function<bool()> acting_;
   typename Env::Alarm alarm_;
   RegisterValue held_;
-  Revision newest_heard_ = 0;
-  bool fresh_ = false;
+  Revision newest_reported_ = 0;
+  bool table_is_current_ = false;
   bool stopped_ = false;
 };
 
--- a/source/coordination/key_holder.hpp
+++ b/source/coordination/key_holder.hpp
@@ -60,11 +60,11 @@
   /// `answer_may_wait` says that nothing new is to be told. The caller decides which instance counts
   /// here; of the one before, which may run on all the same, the end is told once its hold has run out, or
   /// it has been silent for as long as makes a holder revoked while the other went on beating.
-  void take_heartbeat(Instant now, KeyHeartbeat const& beat);
+  void take_heartbeat(Instant now, KeyHeartbeat const& heartbeat);
   /// The answer to the beat with that number, which must be the last taken in.
-  KeyHeartbeatReply answer(Instant now, std::string const& instance, std::uint64_t sequence);
+  KeyHeartbeatReply reply(Instant now, std::string const& instance, std::uint64_t sequence);
   /// Both at once.
-  KeyHeartbeatReply handle_heartbeat(Instant now, KeyHeartbeat const& beat);
+  KeyHeartbeatReply handle_heartbeat(Instant now, KeyHeartbeat const& heartbeat);
   /// Whether the answer to the last beat would change nothing at the backend.
   bool reply_may_wait(Instant now) const;
 
@@ -92,34 +92,34 @@
   /// What the coordinators are to know; takes the count of requests since the last.
   KeyReport report(Instant now, float busy, float capacity = 0);
   /// Whether there is news that a report should carry at once.
-  bool has_urgent_report() const { return news_; }
+  bool has_urgent_report() const { return urgent_report_; }
 
   std::string const& instance() const { return instance_; }
   /// Whether the last answer gave the backend no row.
-  bool grants_nothing() const { return serving_.empty(); }
+  bool grants_nothing() const { return served_.empty(); }
   Revision table_revision() const { return table_revision_; }
   bool leased(Instant now) const;
 
  private:
   // A row that the table gives to this node's instance, or to one that ended here.
-  struct Mine {
+  struct AssignedRow {
     KeyRow row;
     std::string instance;
   };
-  struct Serving {
+  struct ServedRow {
     KeyGrant grant;
     KeyLoad load;
   };
-  struct KnownRelease {
+  struct ReleasedToken {
     std::uint16_t from = 0;
     std::uint16_t to = 0;
     std::uint32_t fence = 0;  // 0: not known yet
     std::string handover;
   };
   // A row in a planned move away from here.
-  struct Leaving {
+  struct MovingRow {
     KeyRow row;
-    std::uint64_t left_out_at = 0;  // the first beat whose answer left it out
+    std::uint64_t omitted_at = 0;  // the first beat whose answer left it out
     bool released = false;
     std::string handover;
   };
@@ -140,43 +140,43 @@
 
   void extend_lease(Instant until);
   void start_pending_leases();
-  void begin_life(std::string const& instance);
-  void end_life(std::string const& instance, std::string const& reason);
-  void forget_life();
-  void end_later(PendingEnd end);
+  void start_instance(std::string const& instance);
+  void end_instance(std::string const& instance, std::string const& reason);
+  void reset_instance();
+  void await_end(PendingEnd end);
   bool is_pending(std::string const& instance) const;
-  bool is_over(PendingEnd const& end, Instant now) const;
-  void end_who_holds_no_more(Instant now);
-  bool awake(Instant now) const;
-  void take_releases(KeyHeartbeat const& beat);
-  void judge_leaving(KeyHeartbeat const& beat);
-  void refresh_leaving();
-  void find_ended_in_table();
-  void match_releases();
-  std::string own_token(KeyRow const& row) const;
+  bool has_ended(PendingEnd const& end, Instant now) const;
+  void end_expired_holds(Instant now);
+  bool runs_steadily(Instant now) const;
+  void record_releases(KeyHeartbeat const& heartbeat);
+  void detect_releases(KeyHeartbeat const& heartbeat);
+  void update_moving_rows();
+  void end_instances_replaced_in_table();
+  void bind_releases_to_fences();
+  std::string released_token(KeyRow const& row) const;
   std::vector<KeyGrant> rows_to_grant() const;
-  void serve(std::vector<KeyGrant> const& rows, Instant now);
-  Serving const* serving_row(std::uint16_t key) const;
+  void update_served(std::vector<KeyGrant> const& rows, Instant now);
+  ServedRow const* served_row(std::uint16_t key) const;
   void measure(Instant now);
   std::vector<KeyRowCuts> cuts_of_hot_rows(float capacity) const;
 
   std::string const service_, node_, address_, zone_;
   KeySettings const settings_;
-  Instant const granted_before_until_;  // the last end of a hold that a process before this one gave
+  Instant const previous_process_grants_end_;  // the last end of a hold that a process before this one gave
 
   std::string instance_;
   std::uint64_t sequence_ = 0;  // of the last beat
-  std::size_t beats_ = 0;       // of this life, heard here
-  Instant arrived_{};
+  std::size_t heartbeats_ = 0;  // of this life, heard here
+  Instant heartbeat_arrived_{};
   KeyHolderState holder_state_ = KeyHolderState::serving;
   std::uint32_t slots_ = 1;
-  std::vector<HeldRange> held_;         // by the last beat
-  std::vector<KnownRelease> released_;  // tokens of what was let go and not granted again
-  std::vector<Serving> serving_;        // by the last answer that renewed
+  std::vector<HeldRange> held_;          // by the last beat
+  std::vector<ReleasedToken> released_;  // tokens of what was let go and not granted again
+  std::vector<ServedRow> served_;        // by the last answer that renewed
   Instant hold_end_{};
   Instant granted_until_{};  // by the slowest clock that a backend may have
   bool signed_off_ = false;  // the instance: it ends at `granted_until_`
-  std::vector<Leaving> leaving_;
+  std::vector<MovingRow> moving_away_;
   std::vector<PendingEnd> pending_ends_;
   std::vector<KeyEnd> ended_;
   std::set<std::string> ended_ids_;
@@ -184,11 +184,11 @@
   Revision table_revision_ = 0;
   std::optional<Instant> lease_until_;
   std::vector<PendingLease> pending_leases_;
-  std::vector<Mine> mine_;
+  std::vector<AssignedRow> assigned_;
 
   Instant last_report_{};
-  Instant awake_since_{};
-  bool news_ = false;
+  Instant running_since_{};
+  bool urgent_report_ = false;
 };
 
 }  // namespace banktide
--- a/source/coordination/key_load.cpp
+++ b/source/coordination/key_load.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr double least_seconds_measured = 0.4;
-constexpr double most_seconds_measured = 10;
-constexpr double surprise = 5;        // standard deviations from which a count is no chance
-constexpr double weight_seconds = 4;  // in which a key's former requests lose most of their weight
+constexpr double min_measured_seconds = 0.4;
+constexpr double max_measured_seconds = 10;
+constexpr double significant_deviation = 5;  // standard deviations from which a count is no chance
+constexpr double weight_decay_seconds = 4;   // in which a key's former requests lose most of their weight
 
 }  // namespace
 
@@ -50,17 +50,17 @@
 
 void KeyLoad::measure(Instant const now) {
   double const served = std::chrono::duration<double>(now - since_).count();
-  if (served < least_seconds_measured) return;
+  if (served < min_measured_seconds) return;
   since_ = now;
   double const expected = static_cast<double>(rate_) * served;
-  bool const changed = std::abs(count_ - expected) > surprise * std::sqrt(expected + 1);
+  bool const changed = std::abs(count_ - expected) > significant_deviation * std::sqrt(expected + 1);
   if (!measured_ || changed) seconds_ = 0;
-  double const newest = count_ / served;
-  seconds_ = std::min(seconds_ + served, most_seconds_measured);
-  rate_ += static_cast<float>((newest - static_cast<double>(rate_)) * std::min(1.0, served / seconds_));
-  float const kept = static_cast<float>(std::exp(-served / weight_seconds));
+  double const measured_rate = count_ / served;
+  seconds_ = std::min(seconds_ + served, max_measured_seconds);
+  rate_ += static_cast<float>((measured_rate - static_cast<double>(rate_)) * std::min(1.0, served / seconds_));
+  float const decay = static_cast<float>(std::exp(-served / weight_decay_seconds));
   for (std::size_t i = 0; i < counts_.size(); ++i) {
-    weights_[i] = weights_[i] * kept + counts_[i];
+    weights_[i] = weights_[i] * decay + counts_[i];
     counts_[i] = 0;
   }
   count_ = 0;
@@ -71,20 +71,20 @@
   float const all = std::accumulate(weights_.begin(), weights_.end(), 0.0F);
   std::vector<KeyCut> cuts;
   if (!measured_ || rate_ <= 0 || all <= 0 || part <= 0) return cuts;
-  float const most = part * all / rate_;
+  float const part_limit = part * all / rate_;
   float const per_weight = std::numeric_limits<std::uint16_t>::max() / all;
-  float gathered = 0;
+  float part_weight = 0;
   auto const end_part = [&] {
-    if (!cuts.empty()) cuts.back().share = static_cast<std::uint16_t>(gathered * per_weight);
-    gathered = 0;
+    if (!cuts.empty()) cuts.back().share = static_cast<std::uint16_t>(part_weight * per_weight);
+    part_weight = 0;
   };
   for (std::size_t i = 0; i < weights_.size(); ++i) {
-    bool const full = gathered > 0 && gathered + weights_[i] > most && i > 0;
+    bool const full = part_weight > 0 && part_weight + weights_[i] > part_limit && i > 0;
     if (full && cuts.size() < limit) {
       end_part();
       cuts.push_back(KeyCut{static_cast<std::uint16_t>(from_ + i), 0});
     }
-    gathered += weights_[i];
+    part_weight += weights_[i];
   }
   end_part();
   return cuts;
--- a/source/state/compressed_text.cpp
+++ b/source/state/compressed_text.cpp
@@ -9,17 +9,17 @@
 namespace {
 
 constexpr std::size_t length_bytes = 4;
-constexpr int usual_level = 6;
+constexpr int compression_level = 6;
 // zlib can't make a text more than about a thousand times longer than its input.
-constexpr std::size_t greatest_ratio = 1100;
+constexpr std::size_t max_ratio = 1100;
 
-std::size_t told_length(std::string_view const bytes) {
+std::size_t declared_length(std::string_view const bytes) {
   std::size_t length = 0;
   for (std::size_t i = length_bytes; i-- > 0;) length = length << 8 | static_cast<unsigned char>(bytes[i]);
   return length;
 }
 
-std::string with_level(std::string_view const text, int const level) {
+std::string compress_with_level(std::string_view const text, int const level) {
   uLongf size = compressBound(static_cast<uLong>(text.size()));
   std::string bytes(length_bytes + size, '\0');
   for (std::size_t i = 0; i < length_bytes; ++i) bytes[i] = static_cast<char>(text.size() >> (8 * i) & 0xff);
@@ -32,16 +32,16 @@
 
 }  // namespace
 
-std::string compress(std::string_view const text) { return with_level(text, usual_level); }
+std::string compress(std::string_view const text) { return compress_with_level(text, compression_level); }
 
-std::string store_uncompressed(std::string_view const text) { return with_level(text, Z_NO_COMPRESSION); }
+std::string store_uncompressed(std::string_view const text) { return compress_with_level(text, Z_NO_COMPRESSION); }
 
-Result<std::string> decompress(std::string_view const bytes, std::size_t const longest) {
+Result<std::string> decompress(std::string_view const bytes, std::size_t const size_limit) {
   if (bytes.size() <= length_bytes) return make_error("decompress", "", "shorter than its head");
-  std::size_t const length = told_length(bytes);
+  std::size_t const length = declared_length(bytes);
   std::string_view const body = bytes.substr(length_bytes);
-  if (length > longest) return make_error("decompress", "", "text of " + std::to_string(length) + " bytes");
-  if (length / greatest_ratio > body.size()) return make_error("decompress", "", "longer than its bytes can tell");
+  if (length > size_limit) return make_error("decompress", "", "text of " + std::to_string(length) + " bytes");
+  if (length / max_ratio > body.size()) return make_error("decompress", "", "longer than its bytes can tell");
   // A text of no bytes still needs somewhere to point to.
   std::string text(length + 1, '\0');
   uLongf size = static_cast<uLongf>(text.size());
--- a/source/state/compressed_text.hpp
+++ b/source/state/compressed_text.hpp
@@ -12,7 +12,7 @@
 namespace banktide {
 
 /// The longest text that `decompress` will make, in bytes.
-inline constexpr std::size_t longest_decompressed_text = 64u << 20;
+inline constexpr std::size_t max_decompressed_size = 64u << 20;
 
 /// The text in zlib's format, behind its length (4 bytes, little endian).
 std::string compress(std::string_view text);
@@ -22,6 +22,6 @@
 
 /// The text again, byte for byte. Bytes that `compress` can't have made, and texts
 /// over `longest`, are an error of the step "decompress".
-Result<std::string> decompress(std::string_view bytes, std::size_t longest = longest_decompressed_text);
+Result<std::string> decompress(std::string_view bytes, std::size_t size_limit = max_decompressed_size);
 
 }  // namespace banktide
--- a/source/state/delta_history.hpp
+++ b/source/state/delta_history.hpp
@@ -20,7 +20,7 @@
     if (!deltas_.empty() && deltas_.back().to != delta.from) clear();
     bytes_ += delta.bytes.size();
     deltas_.push_back(std::move(delta));
-    while (deltas_.size() > most_deltas || bytes_ > most_bytes) {
+    while (deltas_.size() > max_deltas || bytes_ > max_bytes) {
       bytes_ -= deltas_.front().bytes.size();
       deltas_.pop_front();
     }
@@ -47,7 +47,7 @@
     if (first == deltas_.end()) return std::nullopt;
     std::vector<Delta> const chain(first, deltas_.end());
     std::size_t bytes = 0;
-    for (Delta const& delta : chain) bytes += delta.bytes.size() + frame_bytes;
+    for (Delta const& delta : chain) bytes += delta.bytes.size() + delta_overhead_bytes;
     if (bytes >= bytes_limit) return std::nullopt;
     return chain;
   }
@@ -56,9 +56,9 @@
   Delta const* newest() const { return deltas_.empty() ? nullptr : &deltas_.back(); }
 
  private:
-  static constexpr std::size_t most_deltas = 64;
-  static constexpr std::size_t most_bytes = 256 * 1024;
-  static constexpr std::size_t frame_bytes = 28;  // what the fields add to a delta's bytes
+  static constexpr std::size_t max_deltas = 64;
+  static constexpr std::size_t max_bytes = 256 * 1024;
+  static constexpr std::size_t delta_overhead_bytes = 28;  // what the fields add to a delta's bytes
 
   std::deque<Delta> deltas_;
   std::size_t bytes_ = 0;
--- a/source/state/service_configuration.cpp
+++ b/source/state/service_configuration.cpp
@@ -36,13 +36,13 @@
 }
 
 Result<bool> check_route(Route const& route, std::size_t const services) {
-  if (normal_host(route.host).empty()) return fault(route, "the host is empty");
+  if (normalize_host(route.host).empty()) return fault(route, "the host is empty");
   if (route.targets.empty()) return fault(route, "names no service");
   for (WeightedService const& target : route.targets) {
     if (target.service >= services) return fault(route, "names an unknown service");
     if (target.weight < 0 || std::isnan(target.weight)) return fault(route, "a weight is below 0");
   }
-  if (route.aim - route.timeout >= aim_over_timeout_limit)
+  if (route.aim - route.timeout >= latency_target_over_timeout_limit)
     return fault(route, "the aim lies a minute or more over the timeout");
   return true;
 }
@@ -56,7 +56,7 @@
   std::vector<Place> places;
   places.reserve(routes.size());
   for (std::uint32_t i = 0; i < routes.size(); ++i)
-    places.push_back({normal_host(routes[i].host), routes[i].prefix, i});
+    places.push_back({normalize_host(routes[i].host), routes[i].prefix, i});
   std::sort(places.begin(), places.end(), [](Place const& a, Place const& b) {
     return std::tie(a.host, a.prefix, a.route) < std::tie(b.host, b.prefix, b.route);
   });
@@ -69,7 +69,7 @@
 
 }  // namespace
 
-std::string normal_host(std::string_view const host) {
+std::string normalize_host(std::string_view const host) {
   std::string normal(without_port(host));
   std::transform(normal.begin(), normal.end(), normal.begin(), lower);
   return normal;
@@ -89,7 +89,7 @@
 
 Router::Router(ServiceConfiguration configuration) : configuration_(std::move(configuration)) {
   std::vector<Route>& routes = configuration_.routes;
-  for (Route& route : routes) route.host = normal_host(route.host);
+  for (Route& route : routes) route.host = normalize_host(route.host);
   by_host_and_prefix_.resize(routes.size());
   std::iota(by_host_and_prefix_.begin(), by_host_and_prefix_.end(), 0u);
   std::sort(by_host_and_prefix_.begin(), by_host_and_prefix_.end(), [&](std::uint32_t const a, std::uint32_t const b) {
--- a/source/state/service_configuration.hpp
+++ b/source/state/service_configuration.hpp
@@ -70,10 +70,10 @@
 };
 
 /// An aim this far or farther over its route's timeout makes a configuration invalid.
-inline constexpr Duration aim_over_timeout_limit = 60s;
+inline constexpr Duration latency_target_over_timeout_limit = 60s;
 
 /// The host as routes compare it: in lower case and without a port.
-std::string normal_host(std::string_view host);
+std::string normalize_host(std::string_view host);
 
 /// Whether the configuration may come into force; the error's peer is the name of the route or tenant at fault.
 Result<bool> check(ServiceConfiguration const& configuration);
--- a/source/state/text_delta.cpp
+++ b/source/state/text_delta.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::string_view step = "text delta";
 constexpr int fastest_level = 1;
-constexpr unsigned least_window_log = 10;
+constexpr unsigned min_window_log = 10;
 
 struct FreeCompression {
   void operator()(ZSTD_CCtx* const context) const { ZSTD_freeCCtx(context); }
@@ -25,15 +25,15 @@
 using Compression = std::unique_ptr<ZSTD_CCtx, FreeCompression>;
 using Decompression = std::unique_ptr<ZSTD_DCtx, FreeDecompression>;
 
-tl::unexpected<Error> mishap(std::string reason) { return make_error(std::string(step), "", std::move(reason)); }
+tl::unexpected<Error> failure(std::string reason) { return make_error(std::string(step), "", std::move(reason)); }
 
 // The window must reach back over the whole dictionary from the text's last byte.
 int window_log(std::string_view const before, std::string_view const after) {
   unsigned const bits = static_cast<unsigned>(std::bit_width(before.size() + after.size()));
-  return static_cast<int>(std::max(bits, least_window_log));
+  return static_cast<int>(std::max(bits, min_window_log));
 }
 
-std::optional<std::string> difference(std::string_view const before, std::string_view const after) {
+std::optional<std::string> compress_difference(std::string_view const before, std::string_view const after) {
   Compression const context(ZSTD_createCCtx());
   if (!context) return std::nullopt;
   std::string bytes(ZSTD_compressBound(after.size()), '\0');
@@ -51,15 +51,15 @@
 
 Result<std::string> apply_difference(std::string_view const before, std::string_view const bytes) {
   unsigned long long const length = ZSTD_getFrameContentSize(bytes.data(), bytes.size());
-  if (length == ZSTD_CONTENTSIZE_ERROR || length == ZSTD_CONTENTSIZE_UNKNOWN) return mishap("spoilt bytes");
-  if (length > longest_decompressed_text) return mishap("text of " + std::to_string(length) + " bytes");
+  if (length == ZSTD_CONTENTSIZE_ERROR || length == ZSTD_CONTENTSIZE_UNKNOWN) return failure("spoilt bytes");
+  if (length > max_decompressed_size) return failure("text of " + std::to_string(length) + " bytes");
   Decompression const context(ZSTD_createDCtx());
   if (!context || ZSTD_isError(ZSTD_DCtx_refPrefix(context.get(), before.data(), before.size())))
-    return mishap("no memory");
+    return failure("no memory");
   std::string text(static_cast<std::size_t>(length), '\0');
   std::size_t const size = ZSTD_decompressDCtx(context.get(), text.data(), text.size(), bytes.data(), bytes.size());
-  if (ZSTD_isError(size)) return mishap(ZSTD_getErrorName(size));
-  if (size != text.size()) return mishap("another length than was told");
+  if (ZSTD_isError(size)) return failure(ZSTD_getErrorName(size));
+  if (size != text.size()) return failure("another length than was told");
   return text;
 }
 
@@ -70,7 +70,7 @@
   Result<std::string> const before = decompress(base.bytes);
   Result<std::string> const after = decompress(target.bytes);
   if (!before || !after) return std::nullopt;
-  std::optional<std::string> bytes = difference(*before, *after);
+  std::optional<std::string> bytes = compress_difference(*before, *after);
   if (!bytes || bytes->size() >= target.bytes.size()) return std::nullopt;
   return TextDelta{base.revision, target.revision, std::move(*bytes)};
 }
@@ -78,14 +78,14 @@
 Result<RegisterValue> apply_text_deltas(RegisterValue const& base, std::vector<TextDelta> const& deltas) {
   auto next =
       std::find_if(deltas.begin(), deltas.end(), [&](TextDelta const& delta) { return delta.to > base.revision; });
-  if (next == deltas.end()) return mishap("nothing newer");
-  if (next->from != base.revision) return mishap("made from another version");
+  if (next == deltas.end()) return failure("nothing newer");
+  if (next->from != base.revision) return failure("made from another version");
   Result<std::string> text = decompress(base.bytes);
   if (!text) return tl::unexpected<Error>(text.error());
   RegisterValue target;
   target.revision = base.revision;
   for (; next != deltas.end(); ++next) {
-    if (next->from != target.revision || next->to <= next->from) return mishap("versions out of order");
+    if (next->from != target.revision || next->to <= next->from) return failure("versions out of order");
     text = apply_difference(*text, next->bytes);
     if (!text) return tl::unexpected<Error>(text.error());
     target.revision = next->to;
--- a/source/state/version_claims.cpp
+++ b/source/state/version_claims.cpp
@@ -22,7 +22,7 @@
 
 void add(RegisterValue& held, std::string claim, Revision const version) {
   held.requests.emplace_back(std::move(claim), version);
-  if (held.requests.size() > remembered_claims) held.requests.erase(held.requests.begin());
+  if (held.requests.size() > max_claims) held.requests.erase(held.requests.begin());
 }
 
 }  // namespace
--- a/source/state/version_claims.hpp
+++ b/source/state/version_claims.hpp
@@ -12,7 +12,7 @@
 
 /// How many of the latest numbers are remembered, at 24 bytes each. A number that was
 /// claimed before them can't be told from one that never was.
-inline constexpr std::size_t remembered_claims = 256;
+inline constexpr std::size_t max_claims = 256;
 
 /// What is known of a version number and a content.
 enum class VersionClaim {
--- a/source/state/zone_entry_delta.cpp
+++ b/source/state/zone_entry_delta.cpp
@@ -11,11 +11,11 @@
 
 constexpr std::size_t largest_index = std::numeric_limits<std::uint16_t>::max();
 
-auto place_of(ServiceOffer const& offer) { return std::tie(offer.service, offer.node); }
+auto sort_key(ServiceOffer const& offer) { return std::tie(offer.service, offer.node); }
 
-bool comes_first(ServiceOffer const& a, ServiceOffer const& b) { return place_of(a) < place_of(b); }
+bool precedes(ServiceOffer const& a, ServiceOffer const& b) { return sort_key(a) < sort_key(b); }
 
-bool member_comes_first(Member const& a, Member const& b) { return a.id < b.id; }
+bool member_precedes(Member const& a, Member const& b) { return a.id < b.id; }
 
 bool differs_by_load_only(ServiceOffer const& a, ServiceOffer const& b) {
   bool const fits = b.running <= largest_index && b.waiting <= largest_index;
@@ -37,8 +37,8 @@
                     std::vector<ServiceOffer> const& after) {
   auto next = after.begin();
   for (std::size_t i = 0; i < before.size(); ++i) {
-    while (next != after.end() && comes_first(*next, before[i])) delta.offers_set.push_back(*next++);
-    bool const stays = next != after.end() && !comes_first(before[i], *next);
+    while (next != after.end() && precedes(*next, before[i])) delta.offers_set.push_back(*next++);
+    bool const stays = next != after.end() && !precedes(before[i], *next);
     if (stays) {
       compare_offer(delta, i, before[i], *next++);
     } else {
@@ -59,7 +59,7 @@
 
 /// Puts the item in the place that the order gives it, instead of its equal there.
 template <class Item, class Order>
-void set_in_order(std::vector<Item>& items, Item const& item, Order const order) {
+void insert_or_replace(std::vector<Item>& items, Item const& item, Order const order) {
   auto const at = std::lower_bound(items.begin(), items.end(), item, order);
   if (at != items.end() && !order(item, *at)) {
     *at = item;
@@ -84,7 +84,7 @@
   return delta;
 }
 
-bool tells_loads_only(ZoneEntryDelta const& delta) {
+bool changes_loads_only(ZoneEntryDelta const& delta) {
   ZoneEntryDelta loads;
   loads.zone = delta.zone;
   loads.loads = delta.loads;
@@ -99,12 +99,12 @@
   }
   for (auto index = delta.offers_removed.rbegin(); index != delta.offers_removed.rend(); ++index)
     if (*index < entry.services.size()) entry.services.erase(entry.services.begin() + *index);
-  for (ServiceOffer const& offer : delta.offers_set) set_in_order(entry.services, offer, comes_first);
+  for (ServiceOffer const& offer : delta.offers_set) insert_or_replace(entry.services, offer, precedes);
   std::erase_if(entry.gateways, [&](Member const& gateway) {
     return std::find(delta.gateways_removed.begin(), delta.gateways_removed.end(), gateway.id) !=
            delta.gateways_removed.end();
   });
-  for (Member const& gateway : delta.gateways_set) set_in_order(entry.gateways, gateway, member_comes_first);
+  for (Member const& gateway : delta.gateways_set) insert_or_replace(entry.gateways, gateway, member_precedes);
   if (delta.service_names) entry.offers = *delta.service_names;
 }
 
--- a/source/state/zone_entry_delta.hpp
+++ b/source/state/zone_entry_delta.hpp
@@ -13,7 +13,7 @@
 std::optional<ZoneEntryDelta> make_entry_delta(ZoneEntry const& before, ZoneEntry const& after);
 
 /// Whether the delta changes nothing but loads.
-bool tells_loads_only(ZoneEntryDelta const& delta);
+bool changes_loads_only(ZoneEntryDelta const& delta);
 
 /// Applies a delta to the very entry that it was made from. Indexes that don't exist there are passed over.
 void apply_entry_delta(ZoneEntry& entry, ZoneEntryDelta const& delta);
--- a/tests/coordination/key_balance_test.cpp
+++ b/tests/coordination/key_balance_test.cpp
@@ -128,13 +128,13 @@
     }
   }
 
-  void beat(Member& member) {
-    KeyHeartbeat beat;
-    beat.instance = member.instance;
-    beat.sequence = ++member.beats;
-    beat.held = member.held;
-    beat.slots = 9;
-    KeyHeartbeatReply const answer = member.holder->handle_heartbeat(now, beat);
+  void heartbeat(Member& member) {
+    KeyHeartbeat heartbeat;
+    heartbeat.instance = member.instance;
+    heartbeat.sequence = ++member.beats;
+    heartbeat.held = member.held;
+    heartbeat.slots = 9;
+    KeyHeartbeatReply const answer = member.holder->handle_heartbeat(now, heartbeat);
     if (!answer.renews) return;
     EXPECT_LE(answer.rows.size(), KeySettings{}.held_rows_limit);
     member.held.clear();
@@ -162,7 +162,7 @@
       std::vector<double> const demand = demands();
       for (std::size_t i = 0; i < members.size(); ++i) {
         members[i].holder->on_confirmed(planner.table().revision, now);
-        beat(members[i]);
+        heartbeat(members[i]);
         tell(members[i], demand[i]);
       }
       std::optional<KeyTable> const plan = planner.plan(now);
--- a/tests/coordination/key_holder_test.cpp
+++ b/tests/coordination/key_holder_test.cpp
@@ -38,7 +38,7 @@
     learn();
     holder.on_confirmed(table.revision, now);
   }
-  KeyHeartbeat beat(std::vector<HeldRange> held = {}, std::vector<ReleasedRange> released = {}) {
+  KeyHeartbeat heartbeat(std::vector<HeldRange> held = {}, std::vector<ReleasedRange> released = {}) {
     KeyHeartbeat made;
     made.instance = "i-1";
     made.sequence = ++beats;
@@ -59,9 +59,9 @@
     for (Duration const kept_back : {0ms, 300ms, 700ms}) {
       HolderTrial t;
       t.confirm();
-      KeyHeartbeat const beat = t.beat();
-      t.holder.take_heartbeat(t.now + age, beat);
-      KeyHeartbeatReply const answer = t.holder.answer(t.now + age + kept_back, beat.instance, beat.sequence);
+      KeyHeartbeat const heartbeat = t.heartbeat();
+      t.holder.take_heartbeat(t.now + age, heartbeat);
+      KeyHeartbeatReply const answer = t.holder.answer(t.now + age + kept_back, heartbeat.instance, heartbeat.sequence);
       if (!answer.renews) {
         EXPECT_GT(age + kept_back, 4800ms);
         continue;
@@ -74,13 +74,13 @@
 
 TEST(KeyGranter, grants_nothing_without_a_lease_or_by_a_table_older_than_the_confirmed) {
   HolderTrial t;
-  EXPECT_FALSE(t.holder.handle_heartbeat(t.now, t.beat()).renews);
+  EXPECT_FALSE(t.holder.handle_heartbeat(t.now, t.heartbeat()).renews);
   t.learn();
-  EXPECT_FALSE(t.holder.handle_heartbeat(t.now, t.beat()).renews);
+  EXPECT_FALSE(t.holder.handle_heartbeat(t.now, t.heartbeat()).renews);
   t.holder.on_confirmed(t.table.revision + 1, t.now);
-  EXPECT_FALSE(t.holder.handle_heartbeat(t.now, t.beat()).renews);
+  EXPECT_FALSE(t.holder.handle_heartbeat(t.now, t.heartbeat()).renews);
   t.learn();
-  EXPECT_TRUE(t.holder.handle_heartbeat(t.now, t.beat()).renews);
+  EXPECT_TRUE(t.holder.handle_heartbeat(t.now, t.heartbeat()).renews);
 }
 
 TEST(KeyGranter, a_running_lease_goes_on_while_newer_tables_are_confirmed_that_are_not_here_yet) {
@@ -90,7 +90,7 @@
   for (Revision ahead = 1; ahead <= 40; ++ahead) {
     t.now += 100ms;
     t.holder.on_confirmed(t.table.revision + ahead, t.now);
-    EXPECT_EQ(t.holder.handle_heartbeat(t.now, t.beat()).renews, t.now + 300ms < first + t.settings.term) << ahead;
+    EXPECT_EQ(t.holder.handle_heartbeat(t.now, t.heartbeat()).renews, t.now + 300ms < first + t.settings.term) << ahead;
   }
   t.now = first + t.settings.term;
   EXPECT_FALSE(t.holder.leased(t.now)) << "what was confirmed without its table gives no lease";
@@ -117,26 +117,26 @@
   t.confirm();
   t.first_row().revoked = 2;
   t.learn();
-  EXPECT_TRUE(t.holder.handle_heartbeat(t.now, t.beat()).rows.empty());
+  EXPECT_TRUE(t.holder.handle_heartbeat(t.now, t.heartbeat()).rows.empty());
   t.first_row().revoked = 0;
   t.first_row().moving = 3;
   t.first_row().next = 1;
   t.learn();
-  EXPECT_TRUE(t.holder.handle_heartbeat(t.now, t.beat()).rows.empty());
+  EXPECT_TRUE(t.holder.handle_heartbeat(t.now, t.heartbeat()).rows.empty());
 }
 
 TEST(KeyGranter, reports_a_release_only_when_the_backend_works_on_the_row_no_more) {
   HolderTrial t;
   t.confirm();
-  t.holder.handle_heartbeat(t.now, t.beat());
+  t.holder.handle_heartbeat(t.now, t.heartbeat());
   t.first_row().moving = 3;
   t.first_row().next = 1;
   t.learn();
-  t.holder.handle_heartbeat(t.now, t.beat({{0, 99, 5}}));
+  t.holder.handle_heartbeat(t.now, t.heartbeat({{0, 99, 5}}));
   EXPECT_TRUE(t.holder.report(t.now, 0).released.empty());
-  t.holder.handle_heartbeat(t.now, t.beat({{50, 99, 5}}, {{0, 49, "part"}}));  // still works on a part
+  t.holder.handle_heartbeat(t.now, t.heartbeat({{50, 99, 5}}, {{0, 49, "part"}}));  // still works on a part
   EXPECT_TRUE(t.holder.report(t.now, 0).released.empty());
-  t.holder.handle_heartbeat(t.now, t.beat({}, {{0, 99, "token"}}));
+  t.holder.handle_heartbeat(t.now, t.heartbeat({}, {{0, 99, "token"}}));
   EXPECT_TRUE(t.holder.has_urgent_report());
   KeyReport const report = t.holder.report(t.now, 0);
   ASSERT_EQ(report.released.size(), 1u);
@@ -148,12 +148,12 @@
 TEST(KeyGranter, takes_a_row_that_is_not_shown_as_let_go_only_by_a_beat_after_the_one_that_left_it_out) {
   HolderTrial t;
   t.confirm();
-  t.holder.handle_heartbeat(t.now, t.beat());
+  t.holder.handle_heartbeat(t.now, t.heartbeat());
   t.first_row().moving = 3;
   t.learn();
-  t.holder.handle_heartbeat(t.now, t.beat());
+  t.holder.handle_heartbeat(t.now, t.heartbeat());
   EXPECT_TRUE(t.holder.report(t.now, 0).released.empty());
-  t.holder.handle_heartbeat(t.now, t.beat());
+  t.holder.handle_heartbeat(t.now, t.heartbeat());
   ASSERT_EQ(t.holder.report(t.now, 0).released.size(), 1u);
   EXPECT_EQ(t.holder.report(t.now, 0).released[0].handover, "");
 }
@@ -163,14 +163,14 @@
   t.confirm();
   t.first_row().moving = 3;
   t.learn();
-  t.holder.handle_heartbeat(t.now, t.beat({}, {{0, 99, "own"}}));
+  t.holder.handle_heartbeat(t.now, t.heartbeat({}, {{0, 99, "own"}}));
   t.first_row().moving = 0;
   t.learn();
-  EXPECT_EQ(t.holder.handle_heartbeat(t.now, t.beat()).rows, (std::vector<KeyGrant>{{0, 99, 5, "own"}}));
+  EXPECT_EQ(t.holder.handle_heartbeat(t.now, t.heartbeat()).rows, (std::vector<KeyGrant>{{0, 99, 5, "own"}}));
   t.first_row().fence = 9;  // another held it in between
   t.first_row().handover = "theirs";
   t.learn();
-  EXPECT_EQ(t.holder.handle_heartbeat(t.now, t.beat()).rows, (std::vector<KeyGrant>{{0, 99, 9, "theirs"}}));
+  EXPECT_EQ(t.holder.handle_heartbeat(t.now, t.heartbeat()).rows, (std::vector<KeyGrant>{{0, 99, 9, "theirs"}}));
 }
 
 // Guards against OWNER: another instance's heartbeat may be a late one of a former life, and the holder runs on.
@@ -178,10 +178,10 @@
   HolderTrial t;
   t.confirm();
   for (int i = 0; i < 4; ++i, t.now += 500ms) t.holder.report(t.now, 0);
-  KeyHeartbeatReply const granted = t.holder.handle_heartbeat(t.now, t.beat());
+  KeyHeartbeatReply const granted = t.holder.handle_heartbeat(t.now, t.heartbeat());
   ASSERT_TRUE(granted.renews);
   Instant const end_of_hold = t.now + std::chrono::duration_cast<Duration>(granted.hold * 1.02);
-  KeyHeartbeat newer = t.beat();
+  KeyHeartbeat newer = t.heartbeat();
   newer.instance = "i-9";
   EXPECT_TRUE(t.holder.handle_heartbeat(t.now, newer).rows.empty());
   EXPECT_EQ(t.holder.instance(), "i-9");
@@ -189,7 +189,7 @@
   KeyReport const report = t.holder.report(end_of_hold + 10ms, 0);
   ASSERT_EQ(report.ended.size(), 1u);
   EXPECT_EQ(report.ended[0].instance, "i-1");
-  EXPECT_FALSE(t.holder.handle_heartbeat(end_of_hold + 20ms, t.beat()).renews);
+  EXPECT_FALSE(t.holder.handle_heartbeat(end_of_hold + 20ms, t.heartbeat()).renews);
   EXPECT_EQ(t.holder.instance(), "i-9");
 }
 
@@ -198,9 +198,9 @@
   t.confirm();
   for (int i = 0; i < 4; ++i, t.now += 500ms) t.holder.report(t.now, 0);
   Instant const last_beat = t.now;
-  ASSERT_TRUE(t.holder.handle_heartbeat(t.now, t.beat()).renews);
+  ASSERT_TRUE(t.holder.handle_heartbeat(t.now, t.heartbeat()).renews);
   for (int i = 0; i < 5; ++i, t.now += 500ms) {
-    KeyHeartbeat newer = t.beat();
+    KeyHeartbeat newer = t.heartbeat();
     newer.instance = "i-9";
     t.holder.handle_heartbeat(t.now + 100ms, newer);
     EXPECT_TRUE(t.holder.report(t.now + 200ms, 0).ended.empty()) << i;
@@ -211,8 +211,8 @@
 TEST(KeyGranter, an_instance_without_a_hold_ends_as_another_takes_its_place) {
   HolderTrial t;
   for (int i = 0; i < 4; ++i, t.now += 500ms) t.holder.report(t.now, 0);
-  EXPECT_FALSE(t.holder.handle_heartbeat(t.now, t.beat()).renews);
-  KeyHeartbeat newer = t.beat();
+  EXPECT_FALSE(t.holder.handle_heartbeat(t.now, t.heartbeat()).renews);
+  KeyHeartbeat newer = t.heartbeat();
   newer.instance = "i-9";
   t.holder.handle_heartbeat(t.now, newer);
   EXPECT_TRUE(t.holder.has_urgent_report());
@@ -223,11 +223,11 @@
   HolderTrial t;
   t.confirm();
   for (int i = 0; i < 4; ++i, t.now += 500ms) t.holder.report(t.now, 0);
-  ASSERT_TRUE(t.holder.handle_heartbeat(t.now, t.beat()).renews);
-  KeyHeartbeat late = t.beat();
+  ASSERT_TRUE(t.holder.handle_heartbeat(t.now, t.heartbeat()).renews);
+  KeyHeartbeat late = t.heartbeat();
   late.instance = "i-0";
   t.holder.handle_heartbeat(t.now + 100ms, late);
-  KeyHeartbeatReply const again = t.holder.handle_heartbeat(t.now + 200ms, t.beat());
+  KeyHeartbeatReply const again = t.holder.handle_heartbeat(t.now + 200ms, t.heartbeat());
   EXPECT_EQ(again.rows, (std::vector<KeyGrant>{{0, 99, 5, ""}}));
   KeyReport const report = t.holder.report(t.now + 10s, 0);
   for (KeyEnd const& end : report.ended) EXPECT_EQ(end.instance, "i-0");
@@ -237,16 +237,16 @@
 TEST(KeyGranter, who_signs_off_without_draining_first_ends_when_its_hold_has_run_out) {
   HolderTrial t;
   t.confirm();
-  KeyHeartbeatReply const granted = t.holder.handle_heartbeat(t.now, t.beat());
+  KeyHeartbeatReply const granted = t.holder.handle_heartbeat(t.now, t.heartbeat());
   ASSERT_TRUE(granted.renews);
   Instant const end_of_hold = t.now + std::chrono::duration_cast<Duration>(granted.hold * 1.02);
   // The answer to a beat may still be held back when it signs off.
-  KeyHeartbeat const unanswered = t.beat();
+  KeyHeartbeat const unanswered = t.heartbeat();
   t.holder.take_heartbeat(t.now + 50ms, unanswered);
   t.holder.on_instance_signed_off("i-1", t.now + 100ms);
   EXPECT_FALSE(t.holder.answer(t.now + 110ms, "i-1", unanswered.sequence).renews);
   EXPECT_FALSE(t.holder.may_run(50, t.now + 200ms, 1ms));
-  EXPECT_FALSE(t.holder.handle_heartbeat(t.now + 300ms, t.beat()).renews);
+  EXPECT_FALSE(t.holder.handle_heartbeat(t.now + 300ms, t.heartbeat()).renews);
   KeyReport const before = t.holder.report(end_of_hold - 10ms, 0);
   EXPECT_TRUE(before.ended.empty());
   EXPECT_EQ(before.instance, "i-1");
@@ -260,14 +260,14 @@
 TEST(KeyGranter, who_signs_off_after_draining_or_without_a_hold_ends_at_once) {
   HolderTrial drained;
   drained.confirm();
-  KeyHeartbeat leaving = drained.beat();
+  KeyHeartbeat leaving = drained.heartbeat();
   leaving.standing = KeyHolderState::draining;
   ASSERT_TRUE(drained.holder.handle_heartbeat(drained.now, leaving).renews);
   drained.holder.on_instance_signed_off("i-1", drained.now + 100ms);
   EXPECT_EQ(drained.holder.report(drained.now + 200ms, 0).ended.size(), 1u);
 
   HolderTrial without_lease;
-  without_lease.holder.handle_heartbeat(without_lease.now, without_lease.beat());
+  without_lease.holder.handle_heartbeat(without_lease.now, without_lease.heartbeat());
   without_lease.holder.on_instance_signed_off("i-1", without_lease.now + 100ms);
   EXPECT_EQ(without_lease.holder.report(without_lease.now + 200ms, 0).ended.size(), 1u);
 }
@@ -278,7 +278,7 @@
   HolderTrial t(started);
   Duration const longest_hold = std::chrono::duration_cast<Duration>(t.settings.term * 1.02);
   t.now += 400ms;
-  t.holder.take_heartbeat(t.now, t.beat({{0, 99, 5}}));
+  t.holder.take_heartbeat(t.now, t.heartbeat({{0, 99, 5}}));
   t.holder.on_instance_signed_off("i-1", t.now + 100ms);
   KeyReport const within = t.holder.report(started + longest_hold - 10ms, 0);
   EXPECT_TRUE(within.ended.empty());
@@ -288,7 +288,7 @@
 
 TEST(KeyGranter, who_signs_off_long_after_its_nodes_start_waits_for_the_grants_of_this_process_only) {
   HolderTrial t(long_ago + 1000s - 2 * KeySettings{}.term);
-  t.holder.take_heartbeat(t.now, t.beat());
+  t.holder.take_heartbeat(t.now, t.heartbeat());
   t.holder.on_instance_signed_off("i-1", t.now + 100ms);
   EXPECT_EQ(t.holder.report(t.now + 200ms, 0).ended.size(), 1u);
 }
@@ -297,9 +297,9 @@
   HolderTrial t;
   t.confirm();
   for (int i = 0; i < 4; ++i, t.now += 500ms) t.holder.report(t.now, 0);
-  t.holder.handle_heartbeat(t.now, t.beat());
+  t.holder.handle_heartbeat(t.now, t.heartbeat());
   t.now += 10s;
-  KeyHeartbeat stale = t.beat();
+  KeyHeartbeat stale = t.heartbeat();
   stale.instance = "i-0";
   t.holder.handle_heartbeat(t.now, stale);
   t.holder.report(t.now, 0);
@@ -309,7 +309,7 @@
 
 TEST(KeyGranter, a_node_that_began_anew_finds_the_end_of_a_life_in_the_table) {
   HolderTrial t;
-  KeyHeartbeat newer = t.beat();
+  KeyHeartbeat newer = t.heartbeat();
   newer.instance = "i-9";
   t.holder.handle_heartbeat(t.now, newer);
   t.confirm();
@@ -322,13 +322,13 @@
   HolderTrial t;
   t.confirm();
   EXPECT_FALSE(t.holder.may_run(7, t.now, 1ms));
-  Duration const hold = t.holder.handle_heartbeat(t.now, t.beat()).hold;
+  Duration const hold = t.holder.handle_heartbeat(t.now, t.heartbeat()).hold;
   EXPECT_EQ(t.holder.may_run(7, t.now, 1ms), 5u);
   EXPECT_EQ(t.holder.may_run(99, t.now, 1ms), 5u);
   EXPECT_FALSE(t.holder.may_run(100, t.now, 1ms));
   EXPECT_FALSE(t.holder.may_run(7, t.now, hold));
   EXPECT_FALSE(t.holder.may_run(7, t.now + hold, 0ms));
-  EXPECT_FALSE(t.holder.handle_heartbeat(t.now + 20s, t.beat()).renews);
+  EXPECT_FALSE(t.holder.handle_heartbeat(t.now + 20s, t.heartbeat()).renews);
   EXPECT_FALSE(t.holder.may_run(7, t.now + 20s, 1ms));
 }
 
@@ -339,7 +339,7 @@
   for (std::uint32_t i = 0; i < 128; ++i)
     rows.push_back(row_of(static_cast<std::uint16_t>(i * 512), static_cast<std::uint16_t>(i * 512 + 511), 0, 5));
   t.confirm();
-  std::vector<KeyGrant> const granted = t.holder.handle_heartbeat(t.now, t.beat()).rows;
+  std::vector<KeyGrant> const granted = t.holder.handle_heartbeat(t.now, t.heartbeat()).rows;
   EXPECT_LE(granted.size(), t.settings.held_rows_limit);
   std::uint32_t from = 0;
   for (KeyGrant const& grant : granted) {
@@ -356,7 +356,7 @@
   t.holder.report(t.now, 0.5F);
   t.now += 1s;
   t.confirm();
-  t.holder.handle_heartbeat(t.now, t.beat());
+  t.holder.handle_heartbeat(t.now, t.heartbeat());
   for (int i = 0; i < 20; ++i) t.holder.count(static_cast<std::uint16_t>(i));
   t.now += 100ms;
   KeyReport const early = t.holder.report(t.now, 0.5F, 120);
@@ -379,7 +379,7 @@
   }
   void renew() {
     confirm();
-    holder.handle_heartbeat(now, beat());
+    holder.handle_heartbeat(now, heartbeat());
   }
   // So many requests on each key in half a second, and a report.
   KeyReport report_after(std::map<std::uint16_t, int> const& requests, float const capacity) {
--- a/tests/coordination/key_trial_test.cpp
+++ b/tests/coordination/key_trial_test.cpp
@@ -184,17 +184,17 @@
     node.backend = std::make_shared<Backend>();
     node.backend->instance = "i-" + std::to_string(++instances);
     all.push_back(node.backend);
-    loop.after(loop.between(0, 500), [this, &node, b = node.backend] { beat(node, b); });
+    loop.after(loop.between(0, 500), [this, &node, b = node.backend] { heartbeat(node, b); });
   }
 
   void drop_expired(Backend& b) const {
     std::erase_if(b.rows, [&](Backend::Row const& r) { return r.end <= loop.now; });
   }
 
-  void beat(Node& node, std::shared_ptr<Backend> const b) {
+  void heartbeat(Node& node, std::shared_ptr<Backend> const b) {
     if (!b->alive) return;
     if (loop.now < b->frozen_until) {
-      loop.after(b->frozen_until - loop.now, [this, &node, b] { beat(node, b); });
+      loop.after(b->frozen_until - loop.now, [this, &node, b] { heartbeat(node, b); });
       return;
     }
     drop_expired(*b);
@@ -232,7 +232,7 @@
       });
     });
     loop.after(beat_patience, [this, &node, b, number = message.sequence] {
-      if (b->beats == number && b->acknowledged < number) beat(node, b);
+      if (b->beats == number && b->acknowledged < number) heartbeat(node, b);
     });
   }
 
@@ -248,7 +248,7 @@
     check();
     loop.after(letting_go ? loop.between(20, 100) : std::max<Duration>(sent + beat_every - loop.now, 1ms),
                [this, &node, b] {
-                 if (b->beats == b->acknowledged) beat(node, b);
+                 if (b->beats == b->acknowledged) heartbeat(node, b);
                });
   }
 
--- a/tests/programs/control_trial_test.cpp
+++ b/tests/programs/control_trial_test.cpp
@@ -385,7 +385,7 @@
     most_bytes = std::max(most_bytes, pack(t.stores.disks[member].durable).size());
   }
   EXPECT_LE(slowest, 4s);
-  EXPECT_LT(most_bytes, 24 * remembered_claims + 3000u);
+  EXPECT_LT(most_bytes, 24 * max_claims + 3000u);
   RecordProperty("slowest_ms", static_cast<int>(as_ms(slowest)));
   RecordProperty("most_bytes", static_cast<int>(most_bytes));
 }
--- a/tests/state/version_claims_test.cpp
+++ b/tests/state/version_claims_test.cpp
@@ -54,7 +54,7 @@
     if (!remembered) {
       first[version] = content;
       order.push_back(version);
-      if (order.size() > remembered_claims) order.erase(order.begin());
+      if (order.size() > max_claims) order.erase(order.begin());
     }
     ASSERT_EQ(held.requests.size(), order.size());
     for (Revision const known : order) {
@@ -62,7 +62,7 @@
       ASSERT_EQ(find_claim(held, known, "none of them"), VersionClaim::other_content);
     }
   }
-  EXPECT_EQ(order.size(), remembered_claims);
+  EXPECT_EQ(order.size(), max_claims);
 }
 
 }  // namespace
