--- a/source/coordination/backend_side.hpp
+++ b/source/coordination/backend_side.hpp
@@ -62,12 +62,12 @@
       if (n_.local_backends.size() >= 256)
         return json_reply(503, {{"error", "256 backends beat here already"}, {"step", "beat"}});
       it = n_.local_backends.emplace(key, LocalBackendState{}).first;
-      it->second.record = BackendRecord{service, instance, settings_.id, port, 0, Liveness::fit};
+      it->second.record = BackendRecord{service, instance, settings_.id, port, 0, Liveness::alive};
       n_.rejoin();
     }
     LocalBackendState& l = it->second;
     std::uint32_t const running = j->value("burden", 0u);
-    Liveness const liveness = leaving || l.record.liveness == Liveness::leaving ? Liveness::leaving : Liveness::fit;
+    Liveness const liveness = leaving || l.record.liveness == Liveness::leaving ? Liveness::leaving : Liveness::alive;
     if (liveness != l.record.liveness || port != l.record.port || running / 4 != l.record.running / 4) n_.rejoin();
     if (liveness == Liveness::leaving && l.record.liveness != Liveness::leaving) {
       l.record.liveness = liveness;
--- a/source/coordination/caller_side.hpp
+++ b/source/coordination/caller_side.hpp
@@ -209,7 +209,7 @@
     e.reason = m.reason;
     e.step = m.step;
     e.peer = m.peer;
-    e.cell = cell.empty() ? settings_.zone : cell;
+    e.zone = cell.empty() ? settings_.zone : cell;
     e.keyed = c != nullptr && c->keyed;
     e.slice = e.keyed ? c->slice : 0;
     e.routing = rules.routing;
--- a/source/coordination/key_coordinator.hpp
+++ b/source/coordination/key_coordinator.hpp
@@ -21,8 +21,8 @@
 
   void attach(Dispatcher& dispatcher) {
     dispatcher.on<KeyReport>([this](KeyReport report) -> Task<KeyReportReply> {
-      bool const news = !report.released.empty() || !report.ended.empty() || report.standing != KeyHolderState::serving;
-      newest_reported_ = std::max(newest_reported_, report.table);
+      bool const news = !report.released.empty() || !report.ended.empty() || report.state != KeyHolderState::serving;
+      newest_heard_ = std::max(newest_heard_, report.table);
       planner_.on_report(env_.now(), std::move(report));
       if (news && acting_()) alarm_.wake();
       KeyReportReply reply{planner_.table().revision};
--- a/source/coordination/node_state.hpp
+++ b/source/coordination/node_state.hpp
@@ -72,7 +72,7 @@
 
   bool fit(BackendRecord const& b, Instant const now) const {
     if (broken_on_purpose("drain_unheard")) return view.usable_node(b.node);
-    if (b.liveness != Liveness::fit || !view.usable_node(b.node)) return false;
+    if (b.liveness != Liveness::alive || !view.usable_node(b.node)) return false;
     auto const d = drained_until.find({b.service, b.instance});
     if (d != drained_until.end() && now < d->second) return false;
     if (b.node == settings.id) {
@@ -83,7 +83,7 @@
   }
 
   bool usable(LocalBackendState const& l, Instant const now) const {
-    return (l.record.liveness == Liveness::fit || broken_on_purpose("drain_unheard")) && !l.refused &&
+    return (l.record.liveness == Liveness::alive || broken_on_purpose("drain_unheard")) && !l.refused &&
            now - l.last_heartbeat <= settings.heartbeat_expiry;
   }
 
--- a/source/coordination/ring_neighbours.hpp
+++ b/source/coordination/ring_neighbours.hpp
@@ -22,7 +22,7 @@
     std::vector<std::string> all, fit, others;
     for (auto const& [id, m] : view.members) {
       all.push_back(id);
-      if (m.role != Role::registry) (m.liveness == Liveness::fit ? fit : others).push_back(id);
+      if (m.role != Role::registry) (m.liveness == Liveness::alive ? fit : others).push_back(id);
     }
     std::vector<std::string> const order = ring_order(std::move(all));
     nodes_ = ring_order(std::move(fit));
--- a/source/coordination/zone_feed.hpp
+++ b/source/coordination/zone_feed.hpp
@@ -41,7 +41,7 @@
         last_node_at_(env.now()),
         neighbours_(settings_.registry_id) {
     Member const self{settings_.registry_id, settings_.zone, settings_.registry_address, Role::registry, 1,
-                      Liveness::fit};
+                      Liveness::alive};
     record_change(Change{0, self, std::nullopt, std::nullopt});
   }
 
@@ -64,8 +64,8 @@
     if (!is_valid(q)) return reply;
     auto const it = view_.members.find(q.self.id);
     bool const suspected = it != view_.members.end() && it->second.liveness == Liveness::suspected;
-    if (suspected && q.self.liveness == Liveness::fit && q.self.incarnation <= it->second.incarnation) {
-      reply.incarnation = it->second.incarnation + 1;  // the member refutes the suspicion with this one
+    if (suspected && q.self.liveness == Liveness::alive && q.self.incarnation <= it->second.incarnation) {
+      reply.incarnation = it->second.incarnation + 1;  // refute with this
       return reply;
     }
     if (!has_nodes()) begin_warm_up();
@@ -103,8 +103,8 @@
 
   void suspect(Suspect const& q) {
     auto const it = view_.members.find(q.id);
-    if (it == view_.members.end() || it->second.incarnation != q.incarnation || it->second.liveness != Liveness::fit ||
-        it->second.role == Role::registry)
+    if (it == view_.members.end() || it->second.incarnation != q.incarnation ||
+        it->second.liveness != Liveness::alive || it->second.role == Role::registry)
       return;
     Member m = it->second;
     m.liveness = Liveness::suspected;
@@ -146,8 +146,8 @@
     if (it->second == entry) return;
     Change change;
     change.entry_delta = make_entry_delta(it->second, entry);
-    if (!change.entry_delta) change.zone = entry;
-    bool const loads_only = change.entry_delta && changes_loads_only(*change.entry_delta);
+    if (!change.entry_delta) change.zone_entry = entry;
+    bool const loads_only = change.entry_delta && tells_loads_only(*change.entry_delta);
     publish(std::move(change), loads_only ? Urgency::with_next_pulse : Urgency::at_once);
   }
 
@@ -165,7 +165,7 @@
       if (m.role == Role::registry) continue;
       bool const watched = neighbours_.watched().contains(id);
       Instant const heard = effective_last_heard(id, watched, was_suspended);
-      if (watched && now - heard > timing_.suspect_after && m.liveness == Liveness::fit)
+      if (watched && now - heard > timing_.suspect_after && m.liveness == Liveness::alive)
         silent.push_back(Suspect{id, m.incarnation, settings_.registry_id, settings_.zone});
       if (is_dead(m, watched)) dead.push_back(m);
     }
@@ -178,10 +178,10 @@
     ZoneEntry e;
     e.zone = settings_.zone;
     for (auto const& [id, m] : view_.members)
-      if (m.role == Role::gateway && m.liveness == Liveness::fit) e.gateways.push_back(m);
+      if (m.role == Role::gateway && m.liveness == Liveness::alive) e.gateways.push_back(m);
     std::map<std::pair<std::string, std::string>, ServiceOffer> by_node;
     for (auto const& [key, b] : view_.backends) {
-      if (b.liveness != Liveness::fit || !view_.usable_node(b.node)) continue;
+      if (b.liveness != Liveness::alive || !view_.usable_node(b.node)) continue;
       if (e.offers.empty() || e.offers.back() != b.service) e.offers.push_back(b.service);
       Member const& beside = view_.members.at(b.node);
       if (beside.role != Role::gateway) continue;
@@ -210,7 +210,7 @@
   bool is_valid(Join const& q) const {
     bool const named = !q.self.id.empty() && q.self.id != settings_.registry_id && q.self.zone == settings_.zone;
     bool const node = q.self.role == Role::node || q.self.role == Role::gateway;
-    bool const present = q.self.liveness == Liveness::fit || q.self.liveness == Liveness::leaving;
+    bool const present = q.self.liveness == Liveness::alive || q.self.liveness == Liveness::leaving;
     return named && node && present && q.backends.size() <= backend_limit;
   }
 
@@ -296,7 +296,7 @@
     n.at = position();
     announced_ = n.at;
     n.pulse = ++pulse_;
-    n.vouched = sources_.vouched();
+    n.has_quorum_reading = sources_.vouched();
     n.root = settings_.registry_address;
     n.revisions = sources_.revisions();
     return n;
--- a/source/coordination/zone_follower.hpp
+++ b/source/coordination/zone_follower.hpp
@@ -181,7 +181,7 @@
     Join q;
     q.self = Member{settings_.id,      settings_.zone,
                     settings_.address, settings_.gateway ? Role::gateway : Role::node,
-                    incarnation_,      leaving_ ? Liveness::leaving : Liveness::fit};
+                    incarnation_,      leaving_ ? Liveness::leaving : Liveness::alive};
     if (events_.backends) q.backends = events_.backends();
     return q;
   }
@@ -292,7 +292,7 @@
   // Joins again if the zone's view of this node is wrong.
   void check_own_entry() {
     auto const me = view_.members.find(settings_.id);
-    if (me == view_.members.end() || me->second.liveness != (leaving_ ? Liveness::leaving : Liveness::fit)) rejoin();
+    if (me == view_.members.end() || me->second.liveness != (leaving_ ? Liveness::leaving : Liveness::alive)) rejoin();
   }
 
   void mark_behind() {
@@ -441,8 +441,8 @@
     Follow const request{};
     Result<FollowReply> const r = co_await ask(env_, from, request, env_.now() + 400ms);
     if (!r || !r->known || !r->snapshot || has_view_) co_return;
-    for (ZoneEntry const& c : r->snapshot->cells)
-      if (c.zone != settings_.zone) view_.cells[c.zone] = c;
+    for (ZoneEntry const& c : r->snapshot->zones)
+      if (c.zone != settings_.zone) view_.zones[c.zone] = c;
     has_view_ = true;
     view_changed();
     status_changed();
@@ -509,7 +509,7 @@
       Member const& m = view_.members.at(id);
       Instant& at = last_heard_.try_emplace(id, now).first->second;
       if (was_suspended) at = now;
-      if (now - at > timing_.suspect_after && m.liveness == Liveness::fit && m.role != Role::registry &&
+      if (now - at > timing_.suspect_after && m.liveness == Liveness::alive && m.role != Role::registry &&
           !registry.empty())
         tell(env_, registry, Suspect{id, m.incarnation, settings_.id, settings_.zone});
     }
--- a/source/data_path/local_backend.hpp
+++ b/source/data_path/local_backend.hpp
@@ -111,7 +111,7 @@
     r.waiting = announced_waiting_;
     r.slots = i.beat.slots;
     r.warming = i.beat.warm_left > Duration::zero();
-    r.liveness = i.draining_since ? Liveness::leaving : Liveness::fit;
+    r.liveness = i.draining_since ? Liveness::leaving : Liveness::alive;
     return {r};
   }
 
--- a/source/programs/hollow_fleet_objects.cpp
+++ b/source/programs/hollow_fleet_objects.cpp
@@ -54,7 +54,7 @@
                 "10.1.0." + std::to_string(i % 250) + ":7200",
                 Role::gateway,
                 1,
-                Liveness::fit};
+                Liveness::alive};
 }
 
 BackendRecord backend(std::size_t const i) {
--- a/source/programs/mesh_node.hpp
+++ b/source/programs/mesh_node.hpp
@@ -265,19 +265,19 @@
     std::map<std::string, EndpointSelector::Endpoints> all;
     ZoneView const& view = follower_.view();
     for (auto const& [key, b] : view.backends) {
-      if (b.node == settings_.follower.id || b.liveness != Liveness::fit || !view.usable_node(b.node)) continue;
+      if (b.node == settings_.follower.id || b.liveness != Liveness::alive || !view.usable_node(b.node)) continue;
       Endpoint const e{b.node, view.members.at(b.node).address, settings_.follower.zone,
                        true,   std::max(b.slots, 1u),           b.running + b.waiting};
       all[b.service].push_back(e);
     }
-    for (auto const& [zone, entry] : view.cells) {
+    for (auto const& [zone, entry] : view.zones) {
       if (zone == settings_.follower.zone) continue;
       for (ServiceOffer const& o : entry.services)
         all[o.service].push_back(
             Endpoint{o.node, o.address, zone, false, std::max(o.slots, 1u), o.running + o.waiting});
     }
     for (BackendRecord const& b : local_.records())
-      if (b.liveness == Liveness::fit)
+      if (b.liveness == Liveness::alive)
         all[b.service].push_back(Endpoint{settings_.follower.id, settings_.follower.address, settings_.follower.zone,
                                           true, std::max(b.slots, 1u), 0});
     path_.selector().replace(std::move(all));
@@ -361,7 +361,7 @@
     KeyHeartbeat k;
     k.instance = heartbeat.id;
     k.sequence = heartbeat.sequence;
-    k.liveness = heartbeat.leaving || graceful_shutdown_.leaving() ? KeyHolderState::draining : KeyHolderState::serving;
+    k.state = heartbeat.leaving || graceful_shutdown_.leaving() ? KeyHolderState::draining : KeyHolderState::serving;
     k.slots = heartbeat.slots;
     for (HeartbeatHeldRow const& r : heartbeat.held)
       k.held.push_back(HeldRange{static_cast<std::uint16_t>(r.from), static_cast<std::uint16_t>(r.to),
@@ -456,7 +456,7 @@
       last = env_.now();
       if (!keys_) continue;
       KeyReport report = keys_->report(last, static_cast<float>(load_average_), backend_capacity());
-      if (graceful_shutdown_.leaving()) report.liveness = KeyHolderState::draining;
+      if (graceful_shutdown_.leaving()) report.state = KeyHolderState::draining;
       for (Address const& registry : registry_addresses()) tell(env_, registry, report);
       co_await sleep_for(env_, 10ms);
     }
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -99,7 +99,7 @@
   }
   /// All zones with a known registry or a known zone entry.
   std::set<std::string> zone_names() const {
-    std::set<std::string> names{settings_.zone};
+    std::set<std::string> names{settings_.cell};
     for (RegistryEntry const& e : directory_.entries()) names.insert(e.zone);
     for (auto const& [zone, entry] : view().zones) names.insert(zone);
     return names;
@@ -465,7 +465,7 @@
     if (!feed || (!q.zone.empty() && !serves(q.zone))) co_return reply;
     reply = feed->follow(q);
     bool const foreign = q.zone.empty() && reply.snapshot && feed->had_nodes();
-    if (foreign) reply.snapshot->cells.push_back(feed->entry());
+    if (foreign) reply.snapshot->zones.push_back(feed->entry());
     co_return reply;
   }
 
--- a/source/protocol/key_messages.hpp
+++ b/source/protocol/key_messages.hpp
@@ -63,7 +63,7 @@
   std::string node;
   std::string address;
   std::string zone;
-  KeyHolderState standing = KeyHolderState::serving;
+  KeyHolderState state = KeyHolderState::serving;
   bool leased = false;  // the node has a lease and so can grant
   std::uint32_t slots = 1;
   float busy = 0;      // the share of its slots in use over the last seconds; over 1 if requests queue
@@ -73,7 +73,7 @@
   std::vector<KeyRowCuts> hot;  // the cuts of rows that carry much of the load
   std::vector<KeyRelease> released;
   std::vector<KeyEnd> ended;
-  BANKTIDE_FIELDS(service, instance, node, address, zone, standing, leased, slots, busy, capacity, table, held, hot,
+  BANKTIDE_FIELDS(service, instance, node, address, zone, state, leased, slots, busy, capacity, table, held, hot,
                   released, ended)
 };
 
--- a/source/protocol/zone_messages.hpp
+++ b/source/protocol/zone_messages.hpp
@@ -9,7 +9,7 @@
 // ---- members, beats and news of a cell
 
 enum class Role : std::uint8_t { node = 0, gateway = 1, registry = 2 };
-enum class Liveness : std::uint8_t { fit = 0, suspected = 1, leaving = 2, dead = 3 };
+enum class Liveness : std::uint8_t { alive = 0, suspected = 1, leaving = 2, dead = 3 };
 
 struct Member {
   std::string id;
@@ -17,7 +17,7 @@
   std::string address;
   Role role = Role::node;
   std::uint64_t incarnation = 0;
-  Liveness liveness = Liveness::fit;
+  Liveness liveness = Liveness::alive;
   bool operator==(Member const&) const = default;
   BANKTIDE_FIELDS(id, zone, address, role, incarnation, liveness)
 };
@@ -28,7 +28,7 @@
   std::string node;
   std::uint16_t port = 0;
   std::uint32_t running = 0;  // calls that it runs now
-  Liveness liveness = Liveness::fit;
+  Liveness liveness = Liveness::alive;
   std::uint32_t slots = 0;    // calls that it can run at once; 0: not told
   std::uint32_t waiting = 0;  // calls that wait for it at its node
   bool warming = false;
@@ -105,17 +105,17 @@
   std::uint64_t seq = 0;
   std::optional<Member> member;
   std::optional<BackendRecord> backend;
-  std::optional<ZoneEntry> zone;
+  std::optional<ZoneEntry> zone_entry;
   std::optional<ZoneEntryDelta> entry_delta{};  // of a zone whose entry came before
-  BANKTIDE_FIELDS(seq, member, backend, zone, entry_delta)
+  BANKTIDE_FIELDS(seq, member, backend, zone_entry, entry_delta)
 };
 
 struct Snapshot {
   Position at;
   std::vector<Member> members;
   std::vector<BackendRecord> backends;
-  std::vector<ZoneEntry> cells;
-  BANKTIDE_FIELDS(at, members, backends, cells)
+  std::vector<ZoneEntry> zones;
+  BANKTIDE_FIELDS(at, members, backends, zones)
 };
 
 // What turns the table of keys of one revision into that of a later one, and the
--- a/source/state/key_planner.cpp
+++ b/source/state/key_planner.cpp
@@ -91,7 +91,7 @@
 }
 
 bool KeyPlanner::is_serving(Backend const& backend, Instant const now) const {
-  return backend.report.standing == KeyHolderState::serving && backend.report.leased &&
+  return backend.report.state == KeyHolderState::serving && backend.report.leased &&
          now - backend.last_report <= settings_.report_valid_for && !ended(backend.report.instance);
 }
 
@@ -227,7 +227,7 @@
     if (is_vacated(report.zone)) continue;
     bool const may_hold = report.leased || now - backend.first_heard <= settings_.successor_grace;
     bool const here = now - backend.last_report <= settings_.report_valid_for;
-    if (may_hold && here && report.standing == KeyHolderState::serving) return &backend;
+    if (is_serving && here && report.state == KeyHolderState::serving) return &backend;
   }
   return nullptr;
 }
@@ -389,7 +389,7 @@
     if (row.holder == no_holder || row.moving != 0) continue;
     Backend const* const holder = backend_of(table.holders[row.holder].instance);
     if (holder == nullptr) continue;
-    bool const ends = holder->report.standing == KeyHolderState::draining;
+    bool const ends = holder->report.state == KeyHolderState::draining;
     bool const leaves = is_vacated(table.holders[row.holder].zone) && leaving[row.holder] < settings_.moving_rows_limit;
     if (!ends && !leaves) continue;
     Recipient* const recipient = pick(recipients, service, i, settings_.held_rows_limit);
--- a/source/state/view_json.hpp
+++ b/source/state/view_json.hpp
@@ -22,7 +22,7 @@
   j["cells"] = Json::array();
   for (auto const& [id, m] : v.members)
     j["members"].push_back({{"id", m.id},
-                            {"cell", m.cell},
+                            {"cell", m.zone},
                             {"address", m.address},
                             {"role", role_name(m.role)},
                             {"incarnation", m.incarnation},
@@ -37,7 +37,7 @@
   for (auto const& [name, c] : v.zones) {
     Json gateways = Json::array();
     for (Member const& g : c.gateways) gateways.push_back({{"id", g.id}, {"address", g.address}});
-    j["cells"].push_back({{"cell", c.cell}, {"gateways", gateways}, {"offers", c.offers}});
+    j["cells"].push_back({{"cell", c.zone}, {"gateways", gateways}, {"offers", c.offers}});
   }
   return j;
 }
--- a/source/state/zone_view.hpp
+++ b/source/state/zone_view.hpp
@@ -39,7 +39,7 @@
       else
         backends[key] = *c.backend;
     }
-    if (c.zone) zones[c.zone->zone] = *c.zone;
+    if (c.zone_entry) zones[c.zone_entry->zone] = *c.zone_entry;
     if (c.entry_delta) apply_delta(*c.entry_delta);
   }
 
@@ -50,7 +50,7 @@
     zones.clear();
     for (Member const& m : s.members) members[m.id] = m;
     for (BackendRecord const& b : s.backends) backends[{b.service, b.instance}] = b;
-    for (ZoneEntry const& c : s.cells) cells[c.zone] = c;
+    for (ZoneEntry const& c : s.zones) zones[c.zone] = c;
   }
 
   Snapshot snapshot(Position const at) const {
@@ -58,13 +58,13 @@
     s.at = at;
     for (auto const& [id, m] : members) s.members.push_back(m);
     for (auto const& [key, b] : backends) s.backends.push_back(b);
-    for (auto const& [name, c] : zones) s.cells.push_back(c);
+    for (auto const& [name, c] : zones) s.zones.push_back(c);
     return s;
   }
 
   bool usable_node(std::string const& id) const {
     auto const it = members.find(id);
-    return it != members.end() && it->second.liveness == Liveness::fit;
+    return it != members.end() && it->second.liveness == Liveness::alive;
   }
 
  private:
@@ -72,8 +72,8 @@
     return before.role != after.role || before.liveness != after.liveness;
   }
   void fold_entry(ZoneEntryDelta const& delta) {
-    auto const known = cells.find(delta.zone);
-    if (known != cells.end()) apply_entry_delta(known->second, delta);
+    auto const known = zones.find(delta.zone);
+    if (known != zones.end()) apply_entry_delta(known->second, delta);
   }
 
   std::uint64_t membership_version_ = 0;
--- a/tests/coordination/key_holder_test.cpp
+++ b/tests/coordination/key_holder_test.cpp
@@ -250,7 +250,7 @@
   KeyReport const before = t.holder.report(end_of_hold - 10ms, 0);
   EXPECT_TRUE(before.ended.empty());
   EXPECT_EQ(before.instance, "i-1");
-  EXPECT_EQ(before.standing, KeyHolderState::draining);
+  EXPECT_EQ(before.state, KeyHolderState::draining);
   KeyReport const after = t.holder.report(end_of_hold + 1ms, 0);
   ASSERT_EQ(after.ended.size(), 1u);
   EXPECT_EQ(after.ended[0].instance, "i-1");
@@ -260,9 +260,9 @@
 TEST(KeyGranter, who_signs_off_after_draining_or_without_a_hold_ends_at_once) {
   HolderTrial drained;
   drained.confirm();
-  KeyHeartbeat leaving = drained.heartbeat();
-  leaving.standing = KeyHolderState::draining;
-  ASSERT_TRUE(drained.holder.handle_heartbeat(drained.now, leaving).renews);
+  KeyBeat leaving = drained.beat();
+  leaving.state = KeyHolderState::draining;
+  ASSERT_TRUE(drained.holder.on_beat(drained.now, leaving).renews);
   drained.holder.on_instance_signed_off("i-1", drained.now + 100ms);
   EXPECT_EQ(drained.holder.report(drained.now + 200ms, 0).ended.size(), 1u);
 
@@ -282,7 +282,7 @@
   t.holder.on_instance_signed_off("i-1", t.now + 100ms);
   KeyReport const within = t.holder.report(started + longest_hold - 10ms, 0);
   EXPECT_TRUE(within.ended.empty());
-  EXPECT_EQ(within.standing, KeyHolderState::draining);
+  EXPECT_EQ(within.state, KeyHolderState::draining);
   EXPECT_EQ(t.holder.report(started + longest_hold + 10ms, 0).ended.size(), 1u);
 }
 
--- a/tests/coordination/key_trial_test.cpp
+++ b/tests/coordination/key_trial_test.cpp
@@ -202,7 +202,7 @@
     message.instance = b->instance;
     message.sequence = ++b->beats;
     message.slots = 4;
-    message.standing = b->draining ? KeyHolderState::draining : KeyHolderState::serving;
+    message.state = b->draining ? KeyHolderState::draining : KeyHolderState::serving;
     for (Backend::Row const& r : b->rows) message.held.push_back(HeldRange{r.from, r.to, r.fence});
     message.released = b->released;
     Instant const sent = loop.now;
--- a/tests/coordination/zone_feed_test.cpp
+++ b/tests/coordination/zone_feed_test.cpp
@@ -24,7 +24,7 @@
     sim.settle();
   }
 
-  JoinReply join(std::string const& id, std::vector<BackendRecord> backends, Liveness const liveness = Liveness::fit,
+  JoinReply join(std::string const& id, std::vector<BackendRecord> backends, Liveness const liveness = Liveness::alive,
                  std::uint64_t const incarnation = 1) {
     Join q;
     q.self = Member{id, "a", id + ":1", Role::gateway, incarnation, liveness};
@@ -109,7 +109,7 @@
   entry.zone = "b";
   for (int i = 10; i < 58; ++i) {
     std::string const node = "machine-in-zone-b-" + std::to_string(i);
-    entry.gateways.push_back(Member{node, "b", node + ":1", Role::gateway, 1, Liveness::fit});
+    entry.gateways.push_back(Member{node, "b", node + ":1", Role::gateway, 1, Liveness::alive});
     entry.services.push_back(ServiceOffer{"s", node, node + ":1", 8, 2, 0});
   }
   entry.offers = {"s"};
@@ -129,13 +129,13 @@
 TEST(ZoneFeed, joins_from_other_zones_and_invalid_members_are_rejected) {
   FeedTrial t;
   Join q;
-  q.self = Member{"n", "b", "n:1", Role::node, 1, Liveness::fit};
+  q.self = Member{"n", "b", "n:1", Role::node, 1, Liveness::alive};
   EXPECT_FALSE(t.feed->join(q).taken);
-  q.self = Member{"n", "a", "n:1", Role::registry, 1, Liveness::fit};
+  q.self = Member{"n", "a", "n:1", Role::registry, 1, Liveness::alive};
   EXPECT_FALSE(t.feed->join(q).taken);
   q.self = Member{"n", "a", "n:1", Role::node, 1, Liveness::suspected};
   EXPECT_FALSE(t.feed->join(q).taken);
-  q.self = Member{"r", "a", "n:1", Role::node, 1, Liveness::fit};
+  q.self = Member{"r", "a", "n:1", Role::node, 1, Liveness::alive};
   EXPECT_FALSE(t.feed->join(q).taken);
   EXPECT_FALSE(t.feed->has_nodes());
 }
@@ -168,8 +168,8 @@
   EXPECT_EQ(t.feed->view().members.at("n2").liveness, Liveness::suspected);
   JoinReply const refused = t.join("n2", {backend("s", "i", 4, 0)});
   EXPECT_FALSE(refused.taken);
-  EXPECT_TRUE(t.join("n2", {backend("s", "i", 4, 0)}, Liveness::fit, refused.incarnation).taken);
-  EXPECT_EQ(t.feed->view().members.at("n2").liveness, Liveness::fit);
+  EXPECT_TRUE(t.join("n2", {backend("s", "i", 4, 0)}, Liveness::alive, refused.incarnation).taken);
+  EXPECT_EQ(t.feed->view().members.at("n2").liveness, Liveness::alive);
   t.watch_for(4400ms, "n2");
   EXPECT_FALSE(t.feed->view().members.contains("n2"));
   EXPECT_TRUE(t.feed->view().backends.empty());
@@ -191,7 +191,7 @@
     x = x * 6364136223846793005ull + 1442695040888963407ull;
     std::string const id = "n" + std::to_string((x >> 33) % 12);
     Role const role = (x >> 40) % 5 == 0 ? Role::registry : Role::node;
-    Liveness const liveness = (x >> 45) % 3 == 0 ? Liveness::dead : Liveness::fit;
+    Liveness const liveness = (x >> 45) % 3 == 0 ? Liveness::dead : Liveness::alive;
     view.apply(Change{0, Member{id, "a", "", role, 1, liveness}, std::nullopt, std::nullopt});
     places.follow(view);
     std::vector<std::string> all, nodes;
@@ -221,7 +221,7 @@
   };
   std::vector<std::string> ids;
   for (int i = 0; i < 13; ++i) ids.push_back("n" + std::to_string(i));
-  for (std::string const& id : ids) fold(id, Liveness::fit);
+  for (std::string const& id : ids) fold(id, Liveness::alive);
   std::vector<std::string> const first = places.first_relays();
   ASSERT_EQ(first.size(), 3u);
   fold(first[0], Liveness::leaving);
@@ -240,8 +240,8 @@
     }
   }
   EXPECT_EQ(reached.size(), ids.size());
-  fold(first[0], Liveness::fit);
-  fold(first[1], Liveness::fit);
+  fold(first[0], Liveness::alive);
+  fold(first[1], Liveness::alive);
   EXPECT_EQ(places.first_relays(), first);
 }
 
@@ -296,7 +296,7 @@
   e.zone = "a";
   for (std::size_t i = 0; i < gateways; ++i) {
     std::string const id = "g" + std::to_string(i);
-    e.gateways.push_back(Member{id, "a", id, Role::gateway, 1, Liveness::fit});
+    e.gateways.push_back(Member{id, "a", id, Role::gateway, 1, Liveness::alive});
   }
   return e;
 }
--- a/tests/coordination/zone_trial.hpp
+++ b/tests/coordination/zone_trial.hpp
@@ -124,7 +124,7 @@
   /// The number of fit nodes in this node's view, including itself.
   std::size_t nodes_seen(std::string const& node) {
     std::size_t n = 0;
-    for (auto const& [id, m] : view(node).members) n += m.role != Role::registry && m.liveness == Liveness::fit;
+    for (auto const& [id, m] : view(node).members) n += m.role != Role::registry && m.liveness == Liveness::alive;
     return n;
   }
   std::size_t services_seen(std::string const& node, std::string const& zone) {
--- a/tests/state/key_planner_test.cpp
+++ b/tests/state/key_planner_test.cpp
@@ -116,7 +116,7 @@
 TEST(KeyPlanner, accepts_a_release_of_its_own_move_only) {
   Fleet fleet(3);
   fleet.run(3s);
-  fleet.reports[0].standing = KeyHolderState::draining;
+  fleet.reports[0].state = KeyHolderState::draining;
   fleet.run(500ms);
   std::vector<KeyRow> const rows = fleet.planner.table().services[0].rows;
   for (KeyRow const& row : rows)
@@ -446,7 +446,7 @@
 TEST(KeyPlanner, a_move_into_a_zone_that_becomes_withheld_is_redirected) {
   ZonedFleet fleet;
   fleet.run(3s);
-  fleet.reports[5].standing = KeyHolderState::draining;
+  fleet.reports[5].state = KeyHolderState::draining;
   fleet.run(300ms);
   ASSERT_GT(fleet.rows_in("east"), 36u);
   fleet.planner.withhold_zones({"east"});
--- a/tests/state/zone_entry_delta_test.cpp
+++ b/tests/state/zone_entry_delta_test.cpp
@@ -19,7 +19,7 @@
     if (random() % 5 == 0) continue;
     std::string const id = "node-" + std::to_string(100 + i);
     std::string const address = "10.0.0." + std::to_string(i) + (random() % 20 == 0 ? ":8" : ":7");
-    entry.gateways.push_back(Member{id, "east", address, Role::gateway, random() % 10 == 0 ? 2u : 1u, Liveness::fit});
+    entry.gateways.push_back(Member{id, "east", address, Role::gateway, random() % 10 == 0 ? 2u : 1u, Liveness::alive});
     std::string const service = "service-" + std::to_string(i % 3);
     offers[{service, id}] = ServiceOffer{
         service, id, address, 8, static_cast<std::uint32_t>(random() % 8), static_cast<std::uint32_t>(random() % 3)};
@@ -54,14 +54,14 @@
   before.zone = "jhb-a";
   for (int i = 0; i < 48; ++i) {
     std::string const node = "adjunct-jhb-a-" + std::to_string(10 + i);
-    before.gateways.push_back(Member{node, "jhb-a", "10.1.0.20:7120", Role::gateway, 1, Liveness::fit});
+    before.gateways.push_back(Member{node, "jhb-a", "10.1.0.20:7120", Role::gateway, 1, Liveness::alive});
     before.services.push_back(ServiceOffer{"huvo11a", node, "10.1.0.20:7120", 8, 3, 0});
   }
   before.offers = {"huvo11a"};
   ZoneEntry after = before;
   for (std::size_t i = 0; i < 5; ++i) after.services[9 * i].running = 4;
   Change whole, changed;
-  whole.zone = after;
+  whole.zone_entry = after;
   changed.entry_delta = make_entry_delta(before, after);
   ASSERT_TRUE(changed.entry_delta);
   EXPECT_LT(50 * pack(changed).size(), pack(whole).size());
@@ -82,7 +82,7 @@
   view.apply(change);
   EXPECT_TRUE(view.zones.empty());
   Change whole;
-  whole.zone = before;
+  whole.zone_entry = before;
   view.apply(whole);
   view.apply(change);
   EXPECT_EQ(view.zones.at("east"), after);
