--- a/source/data_path/local_backend.hpp
+++ b/source/data_path/local_backend.hpp
@@ -58,7 +58,7 @@
   LocalBackend(Env& env, LocalBackendSettings settings, DataPathHeaders const& headers, ConnectionsFactory factory,
                Events events)
       : env_(env),
-        s_(std::move(settings)),
+        settings_(std::move(settings)),
         headers_(headers),
         factory_(std::move(factory)),
         events_(std::move(events)) {}
@@ -102,11 +102,11 @@
   std::vector<BackendRecord> records() const {
     if (!instance_) return {};
     Instance const& i = *instance_;
-    if (i.refused || env_.now() - i.heard > s_.silent_after) return {};
+    if (i.refused || env_.now() - i.heard > settings_.silent_after) return {};
     BackendRecord r;
     r.service = i.beat.service;
     r.instance = i.beat.id;
-    r.node = s_.node;
+    r.node = settings_.node;
     r.running = announced_running_;
     r.waiting = announced_waiting_;
     r.slots = i.beat.slots;
@@ -138,7 +138,7 @@
     Instant const deadline = arrived + std::chrono::milliseconds(forward.remaining_ms);
     // What would miss its aim is better refused early: another endpoint, or the
     // client's next try, may still make it.
-    Duration const aim = std::chrono::milliseconds(forward.target_latency_ms) * s_.aim_percent / 100;
+    Duration const aim = std::chrono::milliseconds(forward.target_latency_ms) * settings_.aim_percent / 100;
     Duration const useful = std::min<Duration>(aim, deadline - arrived);
     if (key_is_due(forward, arrived)) co_await wait_for_key(forward, arrived + useful, cancellation);
     if (is_cancelled(cancellation)) co_return cancelled_reply(Proof::not_run);
@@ -165,11 +165,11 @@
     if (!instance_) return;
     Instant const now = env_.now();
     announce_load(now);
-    if (instance_->draining_since && now - *instance_->draining_since > s_.drain_end) {
+    if (instance_->draining_since && now - *instance_->draining_since > settings_.drain_end) {
       instance_->queue.refuse_all();
       carry_out();
     }
-    if (now - instance_->heard > s_.silent_after && !instance_->silent) {
+    if (now - instance_->heard > settings_.silent_after && !instance_->silent) {
       instance_->silent = true;
       log_info("backend_silent", {{"instance", instance_->beat.id}});
       events_.record_changed();
@@ -180,7 +180,7 @@
   // The feed goes to every node of the zone: load that changes with each request
   // is told now and then; answers tell it fresher to those who send.
   void announce_load(Instant const now) {
-    if (now - load_announced_ < s_.announce_load_every) return;
+    if (now - load_announced_ < settings_.announce_load_every) return;
     load_announced_ = now;
     announced_running_ = instance_->queue.running();
     announced_waiting_ = instance_->queue.waiting();
@@ -221,7 +221,7 @@
   // A late heartbeat of a former life looks like the first one of a new life. Who beats again while the present
   // instance says nothing is alive; whoever was taken for gone by mistake comes back in the same way.
   bool takes_the_place(std::string const& id, Instant const now) {
-    bool const present_is_silent = instance_->refused || now - instance_->heard > s_.gives_way_after;
+    bool const present_is_silent = instance_->refused || now - instance_->heard > settings_.gives_way_after;
     bool const beats_again = rival_ == id && instance_->heard < rival_since_;
     if (present_is_silent || beats_again) return true;
     rival_ = id;
@@ -259,11 +259,11 @@
     if (!instance_ || instance_->beat.service != forward.service)
       return refuse(Refusal::no_backend, "no backend of the service here", 100ms);
     Instance const& i = *instance_;
-    if (i.refused || now - i.heard > s_.silent_after)
+    if (i.refused || now - i.heard > settings_.silent_after)
       return refuse(Refusal::no_backend, "backend is gone or silent", 100ms);
-    if (i.draining_since && now - *i.draining_since > s_.drain_tail && !forward.keyed)
+    if (i.draining_since && now - *i.draining_since > settings_.drain_tail && !forward.keyed)
       return refuse(Refusal::no_backend, "backend is draining", 30ms);
-    if (i.draining_since && now - *i.draining_since > s_.drain_end)
+    if (i.draining_since && now - *i.draining_since > settings_.drain_end)
       return refuse(Refusal::no_backend, "backend is draining", 100ms);
     if (forward.keyed && keys_ != nullptr) keys_->count(forward.key);
     if (forward.keyed && !key_held(forward, now)) return refuse(Refusal::key_not_held, "key is not held here", 150ms);
@@ -360,7 +360,7 @@
     Instant const begun = env_.now();
     if (life != life_ || !instance_) co_return refuse(Refusal::no_backend, "backend ended", 100ms);
     bool const held = !forward.keyed || key_held(forward, begun);
-    bool const drained = instance_->draining_since && begun - *instance_->draining_since > s_.drain_end;
+    bool const drained = instance_->draining_since && begun - *instance_->draining_since > settings_.drain_end;
     if (is_cancelled(cancellation)) {
       finished(life, forward.work_class, Duration::zero(), false);
       co_return cancelled_reply(Proof::not_run);
@@ -450,7 +450,7 @@
   static constexpr Duration grant_takes = 5ms;
 
   Env& env_;
-  LocalBackendSettings const s_;
+  LocalBackendSettings const settings_;
   DataPathHeaders const& headers_;
   ConnectionsFactory factory_;
   Events events_;
--- a/source/data_path/request_path.hpp
+++ b/source/data_path/request_path.hpp
@@ -49,7 +49,11 @@
 class RequestPath {
  public:
   RequestPath(Env& env, RequestPathSettings settings, DataPathHeaders const& headers, Backend& backend)
-      : env_(env), s_(std::move(settings)), headers_(headers), backend_(backend), access_lease_(s_.revocation_limit) {}
+      : env_(env),
+        settings_(std::move(settings)),
+        headers_(headers),
+        backend_(backend),
+        access_lease_(settings_.revocation_limit) {}
 
   EndpointSelector& selector() { return selector_; }
   RequestCounts const& counts() const { return counts_; }
@@ -78,7 +82,7 @@
     if (route == nullptr) co_return plain_reply(404, "no route");
     AccessDecision const access = decide_access(*router, *route, request, access_lease_.valid(env_.now()));
     if (access.verdict != AccessDecision::Verdict::granted) co_return access_refused(access.verdict);
-    if (in_flight_ >= s_.most_in_flight) co_return refusal("too many requests in flight", busy_retry);
+    if (in_flight_ >= settings_.most_in_flight) co_return refusal("too many requests in flight", busy_retry);
     remove_credentials(request, *router, *route, access);
     Result<Attempt> attempt = prepare(*router, *route, access.tenant, std::move(request));
     if (!attempt) co_return plain_reply(400, attempt.error().reason);
@@ -99,7 +103,7 @@
   /** The gateway's part: a request from another zone that the own backend can't take goes to another of this zone. */
   Task<ForwardReply> pass_on(Forward forward, ForwardReply refused, SharedCancellation cancellation = nullptr) {
     forward.crossed = false;
-    std::set<Address> const tried{s_.own_address};
+    std::set<Address> const tried{settings_.own_address};
     Endpoint const* const other =
         selector_.select(forward.service, tried, env_.now(), env_.chance(), forward.repeatable);
     if (other == nullptr || !other->local_zone) co_return refused;
@@ -200,14 +204,15 @@
     f.rank = tenant != nullptr ? tenant->rank.value_or(route.rank) : route.rank;
     if (tenant != nullptr) f.tenant = tenant->name;
     f.work_class = static_cast<std::uint32_t>(digest_of(route.name));
-    f.calling_service = s_.calling_service;
+    f.calling_service = settings_.calling_service;
     f.request = std::move(request);
     return attempt;
   }
 
   RetryBudget& budget(std::string const& service) {
     auto it = budgets_.find(service);
-    if (it == budgets_.end()) it = budgets_.emplace(service, RetryBudget(s_.retry_percent, s_.retry_margin)).first;
+    if (it == budgets_.end())
+      it = budgets_.emplace(service, RetryBudget(settings_.retry_percent, settings_.retry_margin)).first;
     return it.value();
   }
 
@@ -217,7 +222,7 @@
       KeyHolderRecord const* const holder = keys_ ? keys_->find(f.service, f.key) : nullptr;
       if (holder == nullptr || tried.contains(holder->address) || selector_.avoided(holder->address, env_.now()))
         return std::nullopt;
-      f.crossed = holder->zone != s_.zone;
+      f.crossed = holder->zone != settings_.zone;
       return holder->address;
     }
     Endpoint const* const endpoint = selector_.select(f.service, tried, env_.now(), env_.chance(), f.repeatable);
@@ -230,7 +235,7 @@
                           SharedCancellation const cancellation) {
     selector_.sent(address);
     ForwardReply reply;
-    if (address == s_.own_address) {
+    if (address == settings_.own_address) {
       reply = co_await backend_.run(forward, cancellation);
     } else {
       Instant const sent = env_.now();
@@ -305,7 +310,7 @@
     std::uint32_t arrivals = 0;
     std::uint32_t retry_after_ms = 0;
     budget(attempt.forward.service).first(env_.now());
-    for (std::uint32_t n = 0; n < s_.most_endpoints; ++n) {
+    for (std::uint32_t n = 0; n < settings_.most_endpoints; ++n) {
       attempt.forward.remaining_ms = remaining_ms(attempt);
       if (attempt.forward.remaining_ms < 2 || attempt.cancellation->requested()) break;
       attempt.state.step(RequestPhase::selecting);
@@ -370,7 +375,7 @@
   }
 
   Env& env_;
-  RequestPathSettings const s_;
+  RequestPathSettings const settings_;
   DataPathHeaders const& headers_;
   Backend& backend_;
   EndpointSelector selector_;
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -99,7 +99,7 @@
   }
   /// All zones with a known registry or a known zone entry.
   std::set<std::string> zone_names() const {
-    std::set<std::string> names{settings_.cell};
+    std::set<std::string> names{settings_.zone};
     for (RegistryEntry const& e : directory_.entries()) names.insert(e.zone);
     for (auto const& [zone, entry] : view().zones) names.insert(zone);
     return names;
--- a/source/state/maintenance.cpp
+++ b/source/state/maintenance.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::ptrdiff_t most_remembered = 16;  // windows that are over
+constexpr std::ptrdiff_t max_finished_windows = 16;  // windows that are over
 
 std::int64_t milliseconds(Duration const d) { return std::chrono::duration_cast<std::chrono::milliseconds>(d).count(); }
 
@@ -59,7 +59,7 @@
   return false;
 }
 
-bool readable(MaintenanceWindow const& w) {
+bool is_valid(MaintenanceWindow const& w) {
   constexpr std::int64_t most = std::numeric_limits<std::int64_t>::max() / 8;
   for (std::int64_t const time : {w.opens_in, w.lasts, w.lead, w.return_time, w.left})
     if (time < 0 || time > most) return false;
@@ -86,32 +86,32 @@
   return "unknown";
 }
 
-ScheduleOutcome MaintenancePlan::schedule(MaintenanceWindowSpec const& mark) {
+ScheduleOutcome MaintenancePlan::schedule(MaintenanceWindowSpec const& spec) {
   MaintenanceWindow wanted;
   wanted.id = 1;
-  wanted.zone = mark.zone;
-  wanted.opens_in = wanted.left = milliseconds(mark.opens_in);
-  wanted.lasts = milliseconds(mark.lasts);
-  wanted.lead = std::min(milliseconds(mark.lead), wanted.opens_in);
-  wanted.return_time = milliseconds(mark.return_time);
+  wanted.zone = spec.zone;
+  wanted.opens_in = wanted.left = milliseconds(spec.opens_in);
+  wanted.lasts = milliseconds(spec.lasts);
+  wanted.lead = std::min(milliseconds(spec.lead), wanted.opens_in);
+  wanted.return_time = milliseconds(spec.return_time);
   for (MaintenanceWindow& w : windows) {
     wanted.id = std::max(wanted.id, w.id + 1);
     if (!w.current()) continue;
     bool const same = w.opens_in == wanted.opens_in && w.lasts == wanted.lasts && w.lead == wanted.lead;
     bool const returning = w.phase == MaintenancePhase::returning;
-    if (w.zone == mark.zone && !returning) return same ? ScheduleOutcome::repeated : ScheduleOutcome::overlaps_own_zone;
-    if (w.zone != mark.zone && !mark.allow_second && span_of(w).overlaps(span_of(wanted)))
+    if (w.zone == spec.zone && !returning) return same ? ScheduleOutcome::repeated : ScheduleOutcome::overlaps_own_zone;
+    if (w.zone != spec.zone && !spec.allow_second && span_of(w).overlaps(span_of(wanted)))
       return ScheduleOutcome::overlaps_other_zone;
   }
   // What is still returning of the zone's last window is cut short by the new one.
   for (MaintenanceWindow& w : windows)
-    if (w.zone == mark.zone && w.current()) {
+    if (w.zone == spec.zone && w.current()) {
       w.phase = MaintenancePhase::over;
       w.left = 0;
     }
   windows.push_back(std::move(wanted));
   advance(Duration::zero());
-  forget_oldest();
+  remove_oldest_finished();
   return ScheduleOutcome::scheduled;
 }
 
@@ -171,9 +171,9 @@
   return shares;
 }
 
-void MaintenancePlan::forget_oldest() {
+void MaintenancePlan::remove_oldest_finished() {
   auto const is_over = [](MaintenanceWindow const& w) { return !w.current(); };
-  std::ptrdiff_t surplus = std::count_if(windows.begin(), windows.end(), is_over) - most_remembered;
+  std::ptrdiff_t surplus = std::count_if(windows.begin(), windows.end(), is_over) - max_finished_windows;
   std::erase_if(windows, [&](MaintenanceWindow const& w) { return is_over(w) && surplus-- > 0; });
 }
 
@@ -182,7 +182,7 @@
 Result<MaintenancePlan> unpack_maintenance(Bytes const& bytes) {
   if (bytes.empty()) return MaintenancePlan{};
   Result<MaintenancePlan> plan = unpack<MaintenancePlan>(bytes);
-  if (plan && !std::all_of(plan->windows.begin(), plan->windows.end(), readable))
+  if (plan && !std::all_of(plan->windows.begin(), plan->windows.end(), is_valid))
     return make_error("decode", "", "a window that can't be");
   return plan;
 }
--- a/source/state/maintenance.hpp
+++ b/source/state/maintenance.hpp
@@ -84,7 +84,7 @@
   std::map<std::string, double> zone_shares() const;
 
  private:
-  void forget_oldest();
+  void remove_oldest_finished();
 };
 
 /** The plan as a register's value, and back; no bytes are an empty plan. */
--- a/source/state/retry_budget.hpp
+++ b/source/state/retry_budget.hpp
@@ -22,38 +22,38 @@
       : percent_(percent), margin_(extra_margin) {}
 
   void first(Instant const now) {
-    turn(now);
-    ++firsts_[at_];
-    ++first_sum_;
+    advance(now);
+    ++first_tries_[current_];
+    ++first_total_;
   }
   bool extra(Instant const now) {
-    turn(now);
-    if (extra_sum_ + 1 > first_sum_ * percent_ / 100 + margin_) return false;
-    ++extras_[at_];
-    ++extra_sum_;
+    advance(now);
+    if (extra_total_ + 1 > first_total_ * percent_ / 100 + margin_) return false;
+    ++extra_tries_[current_];
+    ++extra_total_;
     return true;
   }
-  std::uint64_t firsts() const { return first_sum_; }
-  std::uint64_t extras() const { return extra_sum_; }
+  std::uint64_t firsts() const { return first_total_; }
+  std::uint64_t extras() const { return extra_total_; }
 
  private:
-  void turn(Instant const now) {
+  void advance(Instant const now) {
     std::int64_t const tick = as_ms(now.time_since_epoch()) / 100;
     for (std::size_t steps = 0; tick_ < tick && steps < slots; ++tick_, ++steps) {
-      at_ = (at_ + 1) % slots;
-      first_sum_ -= firsts_[at_];
-      extra_sum_ -= extras_[at_];
-      firsts_[at_] = extras_[at_] = 0;
+      current_ = (current_ + 1) % slots;
+      first_total_ -= first_tries_[current_];
+      extra_total_ -= extra_tries_[current_];
+      first_tries_[current_] = extra_tries_[current_] = 0;
     }
     tick_ = std::max(tick_, tick);
   }
 
   std::uint64_t percent_;
   std::uint64_t margin_;
-  std::array<std::uint64_t, slots> firsts_{};
-  std::array<std::uint64_t, slots> extras_{};
-  std::uint64_t first_sum_ = 0, extra_sum_ = 0;
-  std::size_t at_ = 0;
+  std::array<std::uint64_t, slots> first_tries_{};
+  std::array<std::uint64_t, slots> extra_tries_{};
+  std::uint64_t first_total_ = 0, extra_total_ = 0;
+  std::size_t current_ = 0;
   std::int64_t tick_ = 0;
 };
 
--- a/source/state/service_configuration.hpp
+++ b/source/state/service_configuration.hpp
@@ -70,7 +70,7 @@
 };
 
 /// An aim this far or farther over its route's timeout makes a configuration invalid.
-inline constexpr Duration latency_target_over_timeout_limit = 60s;
+inline constexpr Duration target_latency_over_timeout_limit = 60s;
 
 /// The host as routes compare it: in lower case and without a port.
 std::string normalize_host(std::string_view host);
--- a/source/state/version_claims.cpp
+++ b/source/state/version_claims.cpp
@@ -13,7 +13,7 @@
 constexpr char const* unknown_content = "";
 
 // The digest's eight bytes, as there are many claims.
-std::string claim_of(std::string_view const content) {
+std::string claim_digest(std::string_view const content) {
   std::uint64_t digest = digest_of(content);
   std::string claim;
   for (std::size_t i = 0; i < sizeof digest; ++i, digest >>= 8) claim.push_back(static_cast<char>(digest & 0xff));
@@ -31,15 +31,15 @@
   auto const claimed = std::find_if(held.requests.begin(), held.requests.end(),
                                     [version](auto const& claim) { return claim.second == version; });
   if (claimed == held.requests.end()) return VersionClaim::free;
-  return claimed->first == claim_of(content) ? VersionClaim::same_content : VersionClaim::other_content;
+  return claimed->first == claim_digest(content) ? VersionClaim::same_content : VersionClaim::other_content;
 }
 
 RegisterValue claim_version(RegisterValue const& now, Revision const version, std::string_view const content,
                             std::string const& bytes) {
   RegisterValue next = now;
   if (find_claim(now, version, content) == VersionClaim::free) {
-    bool const held_without_claim = now.revision == version && now.bytes != bytes;
-    add(next, held_without_claim ? unknown_content : claim_of(content), version);
+    bool const unclaimed_value = now.revision == version && now.bytes != bytes;
+    add(next, unclaimed_value ? unknown_content : claim_digest(content), version);
   }
   if (now.revision >= version) return next;
   next.revision = version;
--- a/tests/coordination/key_holder_test.cpp
+++ b/tests/coordination/key_holder_test.cpp
@@ -260,9 +260,9 @@
 TEST(KeyGranter, who_signs_off_after_draining_or_without_a_hold_ends_at_once) {
   HolderTrial drained;
   drained.confirm();
-  KeyBeat leaving = drained.beat();
+  KeyHeartbeat leaving = drained.heartbeat();
   leaving.state = KeyHolderState::draining;
-  ASSERT_TRUE(drained.holder.on_beat(drained.now, leaving).renews);
+  ASSERT_TRUE(drained.holder.handle_heartbeat(drained.now, leaving).renews);
   drained.holder.on_instance_signed_off("i-1", drained.now + 100ms);
   EXPECT_EQ(drained.holder.report(drained.now + 200ms, 0).ended.size(), 1u);
 
--- a/tests/state/maintenance_test.cpp
+++ b/tests/state/maintenance_test.cpp
@@ -8,15 +8,15 @@
 namespace banktide {
 namespace {
 
-MaintenanceWindowSpec mark_of(std::string const& zone, Duration const opens_in, Duration const lasts,
+MaintenanceWindowSpec spec_of(std::string const& zone, Duration const opens_in, Duration const lasts,
                               Duration const lead = 60s) {
-  MaintenanceWindowSpec mark;
-  mark.zone = zone;
-  mark.opens_in = opens_in;
-  mark.lasts = lasts;
-  mark.lead = lead;
-  mark.return_time = 30s;
-  return mark;
+  MaintenanceWindowSpec spec;
+  spec.zone = zone;
+  spec.opens_in = opens_in;
+  spec.lasts = lasts;
+  spec.lead = lead;
+  spec.return_time = 30s;
+  return spec;
 }
 
 MaintenancePhase phase_of(MaintenancePlan const& plan, std::string const& zone) {
@@ -26,23 +26,23 @@
 
 /** What a window that was marked at 0 is at a moment, if nobody ends it. */
 struct Model {
-  MaintenanceWindowSpec mark;
+  MaintenanceWindowSpec spec;
   MaintenancePhase phase(Duration const at) const {
-    if (at < mark.opens_in - mark.lead) return MaintenancePhase::scheduled;
-    if (at < mark.opens_in) return MaintenancePhase::draining;
-    if (at < mark.opens_in + mark.lasts) return MaintenancePhase::open;
-    if (at < mark.opens_in + mark.lasts + mark.return_time) return MaintenancePhase::returning;
+    if (at < spec.opens_in - spec.lead) return MaintenancePhase::scheduled;
+    if (at < spec.opens_in) return MaintenancePhase::draining;
+    if (at < spec.opens_in + spec.lasts) return MaintenancePhase::open;
+    if (at < spec.opens_in + spec.lasts + spec.return_time) return MaintenancePhase::returning;
     return MaintenancePhase::over;
   }
   Duration left(Duration const at) const {
     switch (phase(at)) {
       case MaintenancePhase::scheduled:
       case MaintenancePhase::draining:
-        return mark.opens_in - at;
+        return spec.opens_in - at;
       case MaintenancePhase::open:
-        return mark.opens_in + mark.lasts - at;
+        return spec.opens_in + spec.lasts - at;
       case MaintenancePhase::returning:
-        return mark.opens_in + mark.lasts + mark.return_time - at;
+        return spec.opens_in + spec.lasts + spec.return_time - at;
       default:
         return 0s;
     }
@@ -50,7 +50,7 @@
   double share(Duration const at) const {
     if (phase(at) == MaintenancePhase::scheduled || phase(at) == MaintenancePhase::over) return 1;
     if (phase(at) != MaintenancePhase::returning) return 0;
-    return 1 - std::chrono::duration<double>(left(at)) / std::chrono::duration<double>(mark.return_time);
+    return 1 - std::chrono::duration<double>(left(at)) / std::chrono::duration<double>(spec.return_time);
   }
 };
 
@@ -58,10 +58,10 @@
   std::mt19937_64 chance(1);
   auto const up_to = [&](std::uint64_t const most) { return std::chrono::milliseconds(chance() % most); };
   for (int round = 0; round < 500; ++round) {
-    Model model{mark_of("z", 1s + up_to(100000), 1s + up_to(100000), up_to(60000))};
-    model.mark.lead = std::min(model.mark.lead, model.mark.opens_in);
+    Model model{spec_of("z", 1s + up_to(100000), 1s + up_to(100000), up_to(60000))};
+    model.spec.lead = std::min(model.spec.lead, model.spec.opens_in);
     MaintenancePlan plan;
-    ASSERT_EQ(plan.schedule(model.mark), ScheduleOutcome::scheduled);
+    ASSERT_EQ(plan.schedule(model.spec), ScheduleOutcome::scheduled);
     Duration at{};
     while (phase_of(plan, "z") != MaintenancePhase::over) {
       MaintenancePhase const before = phase_of(plan, "z");
@@ -85,43 +85,43 @@
 
 TEST(Maintenance, a_lead_longer_than_the_time_left_begins_at_once) {
   MaintenancePlan plan;
-  plan.schedule(mark_of("z", 20s, 10s, 60s));
+  plan.schedule(spec_of("z", 20s, 10s, 60s));
   EXPECT_EQ(phase_of(plan, "z"), MaintenancePhase::draining);
   EXPECT_EQ(plan.newest("z")->left, 20000);
 }
 
 TEST(Maintenance, a_repeat_changes_nothing_and_another_window_of_the_zone_is_refused) {
   MaintenancePlan plan;
-  ASSERT_EQ(plan.schedule(mark_of("z", 100s, 50s)), ScheduleOutcome::scheduled);
+  ASSERT_EQ(plan.schedule(spec_of("z", 100s, 50s)), ScheduleOutcome::scheduled);
   for (int i = 0; i < 3; ++i) {
     plan.advance(45s);
     MaintenancePlan const before = plan;
-    EXPECT_EQ(plan.schedule(mark_of("z", 100s, 50s)), ScheduleOutcome::repeated);
-    EXPECT_EQ(plan.schedule(mark_of("z", 100s, 60s)), ScheduleOutcome::overlaps_own_zone);
+    EXPECT_EQ(plan.schedule(spec_of("z", 100s, 50s)), ScheduleOutcome::repeated);
+    EXPECT_EQ(plan.schedule(spec_of("z", 100s, 60s)), ScheduleOutcome::overlaps_own_zone);
     EXPECT_EQ(plan, before);
   }
 }
 
 TEST(Maintenance, windows_of_two_zones_overlap_only_if_that_is_asked_for) {
   MaintenancePlan plan;
-  ASSERT_EQ(plan.schedule(mark_of("a", 100s, 50s)), ScheduleOutcome::scheduled);
-  MaintenanceWindowSpec second = mark_of("b", 200s, 50s);
+  ASSERT_EQ(plan.schedule(spec_of("a", 100s, 50s)), ScheduleOutcome::scheduled);
+  MaintenanceWindowSpec second = spec_of("b", 200s, 50s);
   EXPECT_EQ(plan.schedule(second), ScheduleOutcome::overlaps_other_zone);  // a is back at 180 s, b is left at 140 s
   second.allow_second = true;
   EXPECT_EQ(plan.schedule(second), ScheduleOutcome::scheduled);
   MaintenancePlan apart;
-  ASSERT_EQ(apart.schedule(mark_of("a", 100s, 50s)), ScheduleOutcome::scheduled);
-  EXPECT_EQ(apart.schedule(mark_of("b", 240s, 50s)), ScheduleOutcome::scheduled);
+  ASSERT_EQ(apart.schedule(spec_of("a", 100s, 50s)), ScheduleOutcome::scheduled);
+  EXPECT_EQ(apart.schedule(spec_of("b", 240s, 50s)), ScheduleOutcome::scheduled);
 }
 
 TEST(Maintenance, ended_early_it_is_cancelled_or_returns_and_a_repeat_changes_nothing) {
   MaintenancePlan plan;
   EXPECT_EQ(plan.end("z"), EndOutcome::no_window);
-  plan.schedule(mark_of("z", 100s, 50s));
+  plan.schedule(spec_of("z", 100s, 50s));
   EXPECT_EQ(plan.end("z"), EndOutcome::ended);
   EXPECT_EQ(phase_of(plan, "z"), MaintenancePhase::cancelled);
   EXPECT_EQ(plan.end("z"), EndOutcome::already_ended);
-  plan.schedule(mark_of("z", 100s, 50s));
+  plan.schedule(spec_of("z", 100s, 50s));
   plan.advance(41s);
   ASSERT_EQ(phase_of(plan, "z"), MaintenancePhase::draining);
   EXPECT_EQ(plan.end("z"), EndOutcome::ended);
@@ -133,10 +133,10 @@
 
 TEST(Maintenance, a_zone_that_returns_may_be_marked_again) {
   MaintenancePlan plan;
-  plan.schedule(mark_of("z", 100s, 50s));
+  plan.schedule(spec_of("z", 100s, 50s));
   plan.advance(160s);
   ASSERT_EQ(phase_of(plan, "z"), MaintenancePhase::returning);
-  EXPECT_EQ(plan.schedule(mark_of("z", 100s, 50s)), ScheduleOutcome::scheduled);
+  EXPECT_EQ(plan.schedule(spec_of("z", 100s, 50s)), ScheduleOutcome::scheduled);
   EXPECT_EQ(phase_of(plan, "z"), MaintenancePhase::scheduled);
   EXPECT_FALSE(plan.zone_shares().contains("z"));
 }
@@ -144,7 +144,7 @@
 TEST(Maintenance, only_the_last_windows_that_are_over_are_remembered) {
   MaintenancePlan plan;
   for (int i = 0; i < 40; ++i) {
-    ASSERT_EQ(plan.schedule(mark_of("z" + std::to_string(i), 100s, 50s)), ScheduleOutcome::scheduled);
+    ASSERT_EQ(plan.schedule(spec_of("z" + std::to_string(i), 100s, 50s)), ScheduleOutcome::scheduled);
     plan.advance(1000s);
   }
   EXPECT_LE(plan.windows.size(), 17u);
@@ -156,7 +156,7 @@
   EXPECT_TRUE(unpack_maintenance("")->windows.empty());
   EXPECT_FALSE(unpack_maintenance("x"));
   MaintenancePlan plan;
-  plan.schedule(mark_of("z", 100s, 50s));
+  plan.schedule(spec_of("z", 100s, 50s));
   plan.windows[0].left = -1;
   EXPECT_FALSE(unpack_maintenance(pack_maintenance(plan)));
   plan.windows[0].left = 1;
