--- a/source/coordination/key_holder.cpp
+++ b/source/coordination/key_holder.cpp
@@ -237,23 +237,23 @@
 
 // The counts of rows that stay are kept, also if they are cut or joined.
 void KeyGranter::update_served(std::vector<KeyGrant> const& rows, Instant const now) {
-  std::vector<ServedRow> serving;
-  serving.reserve(rows.size());
+  std::vector<ServedRow> served;
+  served.reserve(rows.size());
   std::size_t first = 0;
   for (KeyGrant const& grant : rows) {
     while (first < served_.size() && served_[first].grant.to < grant.from) ++first;
     bool const same = first < served_.size() && served_[first].grant.from == grant.from &&
                       served_[first].grant.to == grant.to && served_[first].grant.fence == grant.fence;
     if (same) {
-      serving.push_back(ServedRow{grant, std::move(served_[first++].load)});
+      served.push_back(ServedRow{grant, std::move(served_[first++].load)});
       continue;
     }
     KeyLoad load(grant.from, grant.to, now);
     for (std::size_t i = first; i < served_.size() && served_[i].grant.from <= grant.to; ++i)
       load.inherit(served_[i].load);
-    serving.push_back(ServedRow{grant, std::move(load)});
+    served.push_back(ServedRow{grant, std::move(load)});
   }
-  served_ = std::move(serving);
+  served_ = std::move(served);
 }
 
 void KeyGranter::on_table(KeyTable const& table) {
--- a/source/programs/mesh_node.hpp
+++ b/source/programs/mesh_node.hpp
@@ -331,7 +331,7 @@
     report_alarm_.wake();
     while (number == heartbeats_received_ && env_.now() < until && keys_->reply_may_wait(env_.now()))
       co_await grant_alarm_.wait(until);
-    KeyHeartbeatReply const grant = keys_->answer(env_.now(), heartbeat.id, heartbeat.sequence);
+    KeyHeartbeatReply const grant = keys_->reply(env_.now(), heartbeat.id, heartbeat.sequence);
     if (!grant.renews) co_return answer;
     local_.keys_granted();
     answer.grant.emplace();
--- a/tests/coordination/key_holder_test.cpp
+++ b/tests/coordination/key_holder_test.cpp
@@ -61,7 +61,7 @@
       t.confirm();
       KeyHeartbeat const heartbeat = t.heartbeat();
       t.holder.take_heartbeat(t.now + age, heartbeat);
-      KeyHeartbeatReply const answer = t.holder.answer(t.now + age + kept_back, heartbeat.instance, heartbeat.sequence);
+      KeyHeartbeatReply const answer = t.holder.reply(t.now + age + kept_back, heartbeat.instance, heartbeat.sequence);
       if (!answer.renews) {
         EXPECT_GT(age + kept_back, 4800ms);
         continue;
@@ -244,7 +244,7 @@
   KeyHeartbeat const unanswered = t.heartbeat();
   t.holder.take_heartbeat(t.now + 50ms, unanswered);
   t.holder.on_instance_signed_off("i-1", t.now + 100ms);
-  EXPECT_FALSE(t.holder.answer(t.now + 110ms, "i-1", unanswered.sequence).renews);
+  EXPECT_FALSE(t.holder.reply(t.now + 110ms, "i-1", unanswered.sequence).renews);
   EXPECT_FALSE(t.holder.may_run(50, t.now + 200ms, 1ms));
   EXPECT_FALSE(t.holder.handle_heartbeat(t.now + 300ms, t.heartbeat()).renews);
   KeyReport const before = t.holder.report(end_of_hold - 10ms, 0);
--- a/tests/data_path/local_backend_test.cpp
+++ b/tests/data_path/local_backend_test.cpp
@@ -100,7 +100,7 @@
     return records.empty() ? "" : records.front().instance;
   }
   void grant() {
-    EXPECT_TRUE(holder.answer(process->now(), "i-1", beats).renews);
+    EXPECT_TRUE(holder.reply(process->now(), "i-1", beats).renews);
     backend->keys_granted();
   }
   void send(std::uint16_t const key, SharedCancellation const cancellation = nullptr) {
