--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -75,11 +75,13 @@
   /// Whether its nodes had time to join it since it started.
   bool warm() const { return env_.now() - started_ >= timing_.warm_up; }
   /// Whether there is a recent reading that a majority confirmed.
-  bool has_quorum_reading() const { return reading_.newest() && env_.now() - *reading_.newest() < reading_valid_for; }
+  bool has_quorum_reading() const {
+    return reading_.latest_start() && env_.now() - *reading_.latest_start() < reading_valid_for;
+  }
   /// The time since the request of the latest reading was sent; none before the first reading.
   std::optional<Duration> reading_age() const {
-    if (!reading_.newest()) return std::nullopt;
-    return env_.now() - *reading_.newest();
+    if (!reading_.latest_start()) return std::nullopt;
+    return env_.now() - *reading_.latest_start();
   }
 
   RegistrySettings const& settings() const { return settings_; }
