--- a/source/coordination/zone_follower.hpp
+++ b/source/coordination/zone_follower.hpp
@@ -141,7 +141,7 @@
     status_changed();
     RegistryExchangeReply reply;
     reply.registries = directory_.told(env_.now());
-    reply.cores = cores_;
+    reply.cores = registry_count_;
     co_return reply;
   }
 
@@ -346,7 +346,7 @@
   Task<bool> catch_up_from_one_of(std::vector<Address> const from) {
     if (from.empty()) co_return false;
     RegisterValuesRequest request = values_.request();
-    request.fresh = !fresh_;
+    request.fresh = !has_confirmed_values_;
     request.revisions_only = true;
     Instant const asked = env_.now();
     auto const confirms = [](auto const& reply) { return reply.second && reply.second->known; };
@@ -369,7 +369,7 @@
   // Accepts whatever newer values that registry has; returns whether it confirms them.
   Task<bool> ask_for_values(Address const from, Instant const deadline) {
     RegisterValuesRequest request = values_.request();
-    request.fresh = !fresh_;
+    request.fresh = !has_confirmed_values_;
     Instant const asked = env_.now();
     std::optional<RegisterValuesReply> const reply = co_await ask_registry(from, request, deadline);
     if (reply && reply->known) accept_confirmed_reply(*reply, asked);
