--- a/source/coordination/caller_side.hpp
+++ b/source/coordination/caller_side.hpp
@@ -231,8 +231,8 @@
         break;
       }
       if (n == 0 || broken_on_purpose("no_budget")) {
-        budget_.first(env_.now());
-      } else if (!budget_.extra(env_.now())) {
+        budget_.record_first(env_.now());
+      } else if (!budget_.try_extra(env_.now())) {
         last.reason += "; retry budget spent";
         break;
       } else {
--- a/source/data_path/request_path.hpp
+++ b/source/data_path/request_path.hpp
@@ -126,7 +126,7 @@
   static constexpr Duration leaving_retry = 100ms;
   static constexpr Duration no_room_retry = 200ms;
   static constexpr Duration answer_margin = 3ms;
-  static constexpr int late_aim_divisor = 4;
+  static constexpr int late_target_divisor = 4;
   static constexpr Duration key_move_patience = 120ms;
   static constexpr Duration key_move_pause = 15ms;
 
@@ -135,7 +135,7 @@
     Forward forward;
     Instant began{};
     Instant deadline{};
-    Duration aim{};  // from `began`; zero: not stated
+    Duration target_latency{};  // from `began`; zero: not stated
     std::uint32_t attempt_limit = 1;
     SharedCancellation cancellation = std::make_shared<Cancellation>();
     RequestState state;
@@ -198,7 +198,7 @@
     if (remaining) patience = std::min<Duration>(patience, std::chrono::milliseconds(*remaining));
     attempt.began = env_.now();
     attempt.deadline = attempt.began + patience;
-    attempt.aim = std::max<Duration>(Duration::zero(), route.aim);
+    attempt.target_latency = std::max<Duration>(Duration::zero(), route.target_latency);
     attempt.attempt_limit = std::max<std::uint32_t>(route.attempt_limit, 1);
     f.repeatable = route.repeatable;
     f.rank = tenant != nullptr ? tenant->rank.value_or(route.rank) : route.rank;
@@ -290,9 +290,9 @@
 
   // What is left of the aim when the request arrives there, if its answer is to be back
   // in time. Once that is hopeless a part of it still says how long to wait for a slot.
-  std::uint32_t aim_left_ms(Attempt const& attempt, Address const& endpoint) const {
+  std::uint32_t target_latency_left_ms(Attempt const& attempt, Address const& endpoint) const {
     Duration const spent = env_.now() - attempt.began + selector_.expected_transfer(endpoint, env_.now());
-    Duration const left = std::max(attempt.aim - spent, attempt.aim / late_aim_divisor);
+    Duration const left = std::max(attempt.target_latency - spent, attempt.target_latency / late_target_divisor);
     return static_cast<std::uint32_t>(as_ms(left));
   }
 
@@ -309,7 +309,7 @@
     bool may_have_run = false;
     std::uint32_t arrivals = 0;
     std::uint32_t retry_after_ms = 0;
-    budget(attempt.forward.service).first(env_.now());
+    budget(attempt.forward.service).record_first(env_.now());
     for (std::uint32_t n = 0; n < settings_.most_endpoints; ++n) {
       attempt.forward.remaining_ms = remaining_ms(attempt);
       if (attempt.forward.remaining_ms < 2 || attempt.cancellation->requested()) break;
@@ -317,10 +317,10 @@
       std::optional<Address> const endpoint = choose(attempt, tried);
       if (!endpoint) break;
       if (arrivals > 0) {
-        if (arrivals >= attempt.attempt_limit || !budget(attempt.forward.service).extra(env_.now())) break;
+        if (arrivals >= attempt.attempt_limit || !budget(attempt.forward.service).try_extra(env_.now())) break;
         ++counts_.retried;
       }
-      attempt.forward.target_latency_ms = aim_left_ms(attempt, *endpoint);
+      attempt.forward.target_latency_ms = target_latency_left_ms(attempt, *endpoint);
       attempt.state.step(RequestPhase::forwarded);
       last = co_await send(*endpoint, attempt.forward, attempt.deadline, attempt.cancellation);
       if (last.outcome == Outcome::answered && !worth_repeating(attempt, last)) break;
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -109,7 +109,7 @@
   /// The entries of all zones, the own zone included: what each offers to the others.
   std::vector<ZoneEntry> zone_entries() const {
     std::vector<ZoneEntry> all{own_feed_->entry()};
-    for (auto const& [zone, entry] : view().cells) all.push_back(entry);
+    for (auto const& [zone, entry] : view().zones) all.push_back(entry);
     return all;
   }
   /// Whether this registry has the lowest address of those heard from lately, and so acts for all of them.
--- a/source/state/maintenance.hpp
+++ b/source/state/maintenance.hpp
@@ -69,7 +69,7 @@
   bool operator==(MaintenancePlan const&) const = default;
   BANKTIDE_FIELDS(windows)
 
-  ScheduleOutcome schedule(MaintenanceWindowSpec const& wanted);
+  ScheduleOutcome schedule(MaintenanceWindowSpec const& spec);
   /** A window that had no effect yet is cancelled; one that had begins to return. */
   EndOutcome end(std::string const& zone);
   /** Counts down; true if a phase has changed. */
--- a/source/state/retry_budget.hpp
+++ b/source/state/retry_budget.hpp
@@ -21,12 +21,12 @@
   explicit RetryBudget(std::uint64_t const percent = default_percent, std::uint64_t const extra_margin = margin)
       : percent_(percent), margin_(extra_margin) {}
 
-  void first(Instant const now) {
+  void record_first(Instant const now) {
     advance(now);
     ++first_tries_[current_];
     ++first_total_;
   }
-  bool extra(Instant const now) {
+  bool try_extra(Instant const now) {
     advance(now);
     if (extra_total_ + 1 > first_total_ * percent_ / 100 + margin_) return false;
     ++extra_tries_[current_];
--- a/source/state/service_configuration.cpp
+++ b/source/state/service_configuration.cpp
@@ -42,7 +42,7 @@
     if (target.service >= services) return fault(route, "names an unknown service");
     if (target.weight < 0 || std::isnan(target.weight)) return fault(route, "a weight is below 0");
   }
-  if (route.aim - route.timeout >= target_latency_over_timeout_limit)
+  if (route.target_latency - route.timeout >= target_latency_over_timeout_limit)
     return fault(route, "the aim lies a minute or more over the timeout");
   return true;
 }
--- a/source/state/service_configuration.hpp
+++ b/source/state/service_configuration.hpp
@@ -34,7 +34,7 @@
   std::string prefix;               ///< of the path
   bool repeatable = false;          ///< whether a request may run more than once
   Duration timeout = 30s;           ///< the longest that a request is held
-  Duration aim = 30s;               ///< an answer within this time earns its full worth
+  Duration target_latency = 30s;    ///< an answer within this time earns its full worth
   std::uint32_t attempt_limit = 1;  ///< the most backends that one request is sent to
   std::uint32_t rank = 0;           ///< 0 is served first when there is too much to do
   bool open = false;                ///< needs no access key even if the configuration has tenants
--- a/source/state/zone_view.hpp
+++ b/source/state/zone_view.hpp
@@ -14,7 +14,7 @@
  public:
   std::map<std::string, Member> members;
   std::map<std::pair<std::string, std::string>, BackendRecord> backends;
-  std::map<std::string, ZoneEntry> cells;
+  std::map<std::string, ZoneEntry> zones;
 
   /// Counts how often members came, went or changed their role or standing.
   std::uint64_t membership_version() const { return membership_version_; }
@@ -50,7 +50,7 @@
     zones.clear();
     for (Member const& m : s.members) members[m.id] = m;
     for (BackendRecord const& b : s.backends) backends[{b.service, b.instance}] = b;
-    for (ZoneEntry const& c : s.zones) zones[c.zone] = c;
+    for (ZoneEntry const& c : s.cells) zones[c.zone] = c;
   }
 
   Snapshot snapshot(Position const at) const {
@@ -71,7 +71,7 @@
   static bool changes_role_or_standing(Member const& before, Member const& after) {
     return before.role != after.role || before.liveness != after.liveness;
   }
-  void fold_entry(ZoneEntryDelta const& delta) {
+  void apply_delta(ZoneEntryDelta const& delta) {
     auto const known = zones.find(delta.zone);
     if (known != zones.end()) apply_entry_delta(known->second, delta);
   }
--- a/tests/data_path/request_path_model_test.cpp
+++ b/tests/data_path/request_path_model_test.cpp
@@ -108,7 +108,7 @@
     r.host = host + ".test";
     r.prefix = "/";
     r.timeout = 2s;
-    r.aim = 1s;
+    r.target_latency = 1s;
     r.attempt_limit = 3;
     r.repeatable = repeatable;
     r.targets = {WeightedService{0, 1}};
--- a/tests/data_path/request_path_test.cpp
+++ b/tests/data_path/request_path_test.cpp
@@ -66,7 +66,7 @@
     r.host = service + ".test";
     r.prefix = "/";
     r.timeout = 2s;
-    r.aim = 1s;
+    r.target_latency = 1s;
     r.attempt_limit = 2;
     r.targets = {WeightedService{index, 1}};
     return r;
--- a/tests/platform/configuration_reader_test.cpp
+++ b/tests/platform/configuration_reader_test.cpp
@@ -40,7 +40,7 @@
   EXPECT_EQ(first.prefix, "/items/");
   EXPECT_TRUE(first.repeatable);
   EXPECT_EQ(first.timeout, 1500ms);
-  EXPECT_EQ(first.aim, 250ms);
+  EXPECT_EQ(first.target_latency, 250ms);
   EXPECT_EQ(first.rank, 3u);
   EXPECT_EQ(first.attempt_limit, 4u);
   ASSERT_EQ(first.targets.size(), 2u);
@@ -256,7 +256,7 @@
            "routingEntries":[{"pathPrefix":"/x","domain":"h","destination":"a"}]} )");
   ASSERT_TRUE(read) << read.error().reason;
   EXPECT_FALSE(read->routes[0].repeatable);
-  EXPECT_EQ(read->routes[0].aim, read->routes[0].timeout);
+  EXPECT_EQ(read->routes[0].target_latency, read->routes[0].timeout);
 }
 
 TEST(ConfigurationReader, TakesThousandsOfRoutes) {
--- a/tests/programs/client_leaves_trial.hpp
+++ b/tests/programs/client_leaves_trial.hpp
@@ -95,7 +95,7 @@
     route.repeatable = name == "orders";
     route.attempt_limit = 3;
     route.timeout = route_timeout;
-    route.aim = route_timeout;
+    route.target_latency = route_timeout;
     route.targets = {WeightedService{0, 1}};
     all.routes.push_back(route);
   }
--- a/tests/programs/mesh_trial.hpp
+++ b/tests/programs/mesh_trial.hpp
@@ -374,7 +374,7 @@
       route.repeatable = name == "browse";
       route.attempt_limit = route.repeatable ? 2 : 1;
       route.timeout = timeout;
-      route.aim = aim;
+      route.target_latency = aim;
       route.targets = {WeightedService{index, 1}};
       all.routes.push_back(route);
     }
--- a/tests/state/retry_budget_test.cpp
+++ b/tests/state/retry_budget_test.cpp
@@ -20,11 +20,11 @@
     for (auto const& [t, e] : model) (e ? extras : firsts) += 1;
     Instant const now{std::chrono::milliseconds(ms)};
     if (r() % 3 != 0) {
-      b.first(now);
+      b.record_first(now);
       model.emplace_back(ms / 100, false);
     } else {
       bool const may = extras + 1 <= firsts / 5 + RetryBudget::margin;
-      ASSERT_EQ(b.extra(now), may);
+      ASSERT_EQ(b.try_extra(now), may);
       if (may) model.emplace_back(ms / 100, true);
     }
   }
--- a/tests/state/service_configuration_test.cpp
+++ b/tests/state/service_configuration_test.cpp
@@ -50,12 +50,12 @@
   EXPECT_TRUE(check(weights));
   weights.routes[0].targets = {{0, 1}, {1, -0.5}};
   EXPECT_FALSE(check(weights));
-  ServiceConfiguration aim = with_routes({route("a", "/")});
-  aim.routes[0].timeout = 2s;
-  aim.routes[0].aim = 62s - 1ns;
-  EXPECT_TRUE(check(aim));
-  aim.routes[0].aim = 62s;
-  EXPECT_FALSE(check(aim));
+  ServiceConfiguration late = with_routes({route("a", "/")});
+  late.routes[0].timeout = 2s;
+  late.routes[0].target_latency = 62s - 1ns;
+  EXPECT_TRUE(check(late));
+  late.routes[0].target_latency = 62s;
+  EXPECT_FALSE(check(late));
 }
 
 TEST(ServiceConfiguration, CheckNamesTheRouteAtFault) {
