--- a/source/programs/configuration_interface.hpp
+++ b/source/programs/configuration_interface.hpp
@@ -27,7 +27,7 @@
       return claim_version(now, operation.version, operation.bytes, bytes);
     };
     Result<RegisterValue> const done =
-        co_await registry_.registers().change(Register::routing, "", env_.now() + patience, step);
+        co_await registry_.registers().change(Register::routing, "", env_.now() + request_timeout, step);
     if (!done) {
       log_warn("configuration_not_taken", {{"version", std::to_string(operation.version)},
                                            {"step", done.error().step},
@@ -52,7 +52,7 @@
     RegisterValue const known = registry_.held(Register::routing);
     Result<RegisterValue> held = known;
     if (!broken_on_purpose("shows_what_it_holds"))
-      held = co_await registry_.registers().read(Register::routing, known, env_.now() + patience);
+      held = co_await registry_.registers().read(Register::routing, known, env_.now() + request_timeout);
     if (!held) co_return http_reply(adapter_.unavailable_reply(held.error().reason));
     if (held->revision == 0) co_return http_reply(adapter_.unavailable_reply("no configuration was ever sent"));
     Result<std::string> const text = decompress(held->bytes);
@@ -66,7 +66,7 @@
 
  private:
   // Callers go on to another registry after a second of silence.
-  static constexpr Duration patience = 900ms;
+  static constexpr Duration request_timeout = 900ms;
 
   Env& env_;
   Registry<Env>& registry_;
--- a/source/programs/hollow_fleet.cpp
+++ b/source/programs/hollow_fleet.cpp
@@ -15,7 +15,7 @@
 constexpr std::uint16_t node_port = 7200;
 constexpr std::size_t seed_count = 3;
 constexpr std::size_t samples_per_zone = 3;
-constexpr Duration look_every = 50ms;
+constexpr Duration poll_period = 50ms;
 constexpr Duration write_again_after = 1s;
 
 Address address_of(std::size_t const zone, std::size_t const number, std::uint16_t const port) {
@@ -173,7 +173,7 @@
   Instant const end = network_.now() + d;
   while (network_.now() < end) {
     end_and_start_nodes();
-    network_.run_for(std::min<Duration>(look_every, end - network_.now()));
+    network_.run_for(std::min<Duration>(poll_period, end - network_.now()));
   }
 }
 
@@ -193,7 +193,7 @@
   Instant const begun = network_.now();
   while (network_.now() - begun < most) {
     if (holds()) return network_.now() - begun;
-    run_for(look_every);
+    run_for(poll_period);
   }
   return std::nullopt;
 }
--- a/source/programs/maintenance_command.cpp
+++ b/source/programs/maintenance_command.cpp
@@ -20,7 +20,7 @@
   return !word.empty() && word.size() <= 9 && word.find_first_not_of("0123456789") == std::string::npos;
 }
 
-Command read_mark(std::vector<std::string> const& words) {
+Command parse_mark(std::vector<std::string> const& words) {
   if (words.size() < 3) return usage();
   Json body = Json::object();
   for (std::size_t i = 3; i < words.size(); ++i) {
@@ -45,10 +45,10 @@
 
 }  // namespace
 
-Command read_maintenance_command(std::vector<std::string> const& words) {
+Command parse_maintenance_command(std::vector<std::string> const& words) {
   if (words.size() < 2) return usage();
   MaintenanceCommand command;
-  if (words[1] == "mark") return read_mark(words);
+  if (words[1] == "mark") return parse_mark(words);
   if (words[1] == "status" && words.size() <= 3) {
     command.verb = MaintenanceVerb::status;
     if (words.size() == 3) command.zone = words[2];
@@ -64,7 +64,7 @@
   return usage();
 }
 
-Json windows_of(MaintenanceCommand const& command, HttpReply const& reply) {
+Json windows_in_reply(MaintenanceCommand const& command, HttpReply const& reply) {
   Json const answer = Json::parse(reply.body, nullptr, false);
   Json asked = Json::array();
   if (reply.status != 200 || !answer.is_object()) return asked;
@@ -78,15 +78,15 @@
 
 int maintenance_exit_code(MaintenanceCommand const& command, HttpReply const& reply) {
   if (reply.status != 200) return exit_refused;
-  if (command.verb != MaintenanceVerb::status) return exit_good;
+  if (command.verb != MaintenanceVerb::status) return exit_ok;
   std::size_t withheld = 0, clear = 0;
-  for (Json const& window : windows_of(command, reply)) {
+  for (Json const& window : windows_in_reply(command, reply)) {
     std::string const phase = window.value("phase", "");
     if (phase != "draining" && phase != "open") continue;
     ++withheld;
     clear += window.value("clear", false);
   }
-  return withheld > 0 && clear == withheld ? exit_good : exit_not_clear;
+  return withheld > 0 && clear == withheld ? exit_ok : exit_not_clear;
 }
 
 }  // namespace banktide
--- a/source/programs/maintenance_command.hpp
+++ b/source/programs/maintenance_command.hpp
@@ -19,7 +19,7 @@
 };
 
 /** Answered, and for `status`: traffic is away, nothing is left where machines may be worked on. */
-inline constexpr int exit_good = 0;
+inline constexpr int exit_ok = 0;
 inline constexpr int exit_refused = 1;
 inline constexpr int exit_unknown_command = 2;
 /** `status` was answered, but no zone asked for is clear, or not all of them are. */
@@ -30,9 +30,9 @@
     "maintenance status [ZONE], or maintenance end ZONE";
 
 /** `words` begins with "maintenance". The error is what to tell the caller. */
-tl::expected<MaintenanceCommand, std::string> read_maintenance_command(std::vector<std::string> const& words);
+tl::expected<MaintenanceCommand, std::string> parse_maintenance_command(std::vector<std::string> const& words);
 /** Windows that the answer tells of, as far as they were asked for; none if it is no such answer. */
-Json windows_of(MaintenanceCommand const& command, HttpReply const& reply);
+Json windows_in_reply(MaintenanceCommand const& command, HttpReply const& reply);
 int maintenance_exit_code(MaintenanceCommand const& command, HttpReply const& reply);
 
 }  // namespace banktide
--- a/source/programs/maintenance_interface.cpp
+++ b/source/programs/maintenance_interface.cpp
@@ -5,11 +5,11 @@
 namespace {
 
 constexpr std::string_view path = "/maintenance";
-constexpr std::int64_t longest_s = 30L * 24 * 3600;
-constexpr Duration quiet_enough = 8s;  // several announcements of each node's load
+constexpr std::int64_t max_duration_s = 30L * 24 * 3600;
+constexpr Duration min_quiet_time = 8s;  // several announcements of each node's load
 constexpr std::size_t body_limit = 4096;
 
-constexpr char const* mark_schema = R"({
+constexpr char const* schedule_schema = R"({
   "type": "object",
   "properties": {
     "opens_in_s": {"type": "integer"}, "lasts_s": {"type": "integer"}, "lead_s": {"type": "integer"},
@@ -28,11 +28,11 @@
 }
 
 /** The name of what is wrong with a duration, and why; none if it can be. */
-std::optional<std::pair<std::string, std::string>> duration_fault(Json const& body, std::string const& name) {
+std::optional<std::pair<std::string, std::string>> duration_error(Json const& body, std::string const& name) {
   if (!body.contains(name)) return std::nullopt;
   Json const& value = body[name];
-  if (value.is_number_unsigned() && value.get<std::uint64_t>() > static_cast<std::uint64_t>(longest_s))
-    return std::pair{"duration_too_long", name + ": at most " + std::to_string(longest_s)};
+  if (value.is_number_unsigned() && value.get<std::uint64_t>() > static_cast<std::uint64_t>(max_duration_s))
+    return std::pair{"duration_too_long", name + ": at most " + std::to_string(max_duration_s)};
   if (value.get<std::int64_t>() < 0) return std::pair{"duration_negative", name + ": below 0"};
   return std::nullopt;
 }
@@ -40,24 +40,24 @@
 Read read_mark(std::string const& zone, std::string const& bytes, MaintenanceSettings const& settings) {
   Result<Json> const body = parse_json(bytes, body_limit);
   if (!body) return refused(400, "not_json", body.error().reason);
-  Result<bool> const kept = check_schema(*body, mark_schema);
+  Result<bool> const kept = check_schema(*body, schedule_schema);
   if (!kept) return refused(400, "wrong_body", kept.error().peer + ": " + kept.error().reason);
   for (std::string const name : {"opens_in_s", "lasts_s", "lead_s"})
-    if (auto const fault = duration_fault(*body, name)) return refused(400, fault->first, fault->second);
-  MarkZone asked;
+    if (auto const fault = duration_error(*body, name)) return refused(400, fault->first, fault->second);
+  ScheduleWindow asked;
   asked.mark.zone = zone;
   asked.mark.opens_in = std::chrono::seconds(body->at("opens_in_s").get<std::int64_t>());
   asked.mark.lasts = std::chrono::seconds(body->at("lasts_s").get<std::int64_t>());
-  asked.mark.lead = settings.standard_lead;
+  asked.mark.lead = settings.default_lead;
   if (body->contains("lead_s")) asked.mark.lead = std::chrono::seconds(body->at("lead_s").get<std::int64_t>());
   asked.mark.return_time = settings.return_time;
   asked.mark.allow_second = body->value("allow_second", false);
   asked.force = body->value("force", false);
-  std::string const least = std::to_string(as_ms(settings.least_lead) / 1000);
+  std::string const least = std::to_string(as_ms(settings.min_lead) / 1000);
   if (asked.mark.lasts == Duration::zero()) return refused(400, "duration_zero", "lasts_s: at least 1");
-  if (asked.mark.lead < settings.least_lead && !asked.force)
+  if (asked.mark.lead < settings.min_lead && !asked.force)
     return refused(400, "lead_too_short", "lead_s: at least " + least);
-  if (asked.mark.opens_in < settings.least_lead && !asked.force)
+  if (asked.mark.opens_in < settings.min_lead && !asked.force)
     return refused(400, "opens_too_soon", "opens_in_s: at least " + least + ", for traffic to move");
   return MaintenanceRequest(asked);
 }
@@ -73,7 +73,7 @@
   return json_reply(status, Json{{"error", name}, {"reason", reason}});
 }
 
-Read read_maintenance_request(HttpRequest const& request, MaintenanceSettings const& settings) {
+Read parse_maintenance_request(HttpRequest const& request, MaintenanceSettings const& settings) {
   std::string const p = path_of(request.target);
   std::string const zone = p.size() > path.size() + 1 ? p.substr(path.size() + 1) : "";
   bool const all = p == path;
@@ -86,8 +86,8 @@
   return tl::unexpected<HttpReply>(std::move(reply));
 }
 
-std::optional<std::string> lack_of_capacity(std::string const& zone, std::vector<ZoneEntry> const& entries,
-                                            std::set<std::string> const& withheld) {
+std::optional<std::string> capacity_shortage(std::string const& zone, std::vector<ZoneEntry> const& entries,
+                                             std::set<std::string> const& withheld) {
   std::map<std::string, std::uint64_t> busy, free;
   for (ZoneEntry const& entry : entries)
     for (ServiceOffer const& offer : entry.services) {
@@ -107,9 +107,9 @@
 }
 
 // Stores listen on the machines of registries, whose zones are known.
-std::optional<std::string> lack_of_quorum(std::string const& zone, VoterSet const& voters,
-                                          std::vector<RegistryEntry> const& registries,
-                                          std::set<std::string> const& withheld) {
+std::optional<std::string> quorum_shortage(std::string const& zone, VoterSet const& voters,
+                                           std::vector<RegistryEntry> const& registries,
+                                           std::set<std::string> const& withheld) {
   auto const machine_of = [](std::string const& address) { return address.substr(0, address.rfind(':')); };
   std::set<std::string> machines;
   for (RegistryEntry const& e : registries)
@@ -121,26 +121,26 @@
          " stores stand elsewhere, needed are " + std::to_string(quorum_size(voters));
 }
 
-ZoneRemains remains_in(std::string const& zone, std::vector<ZoneEntry> const& entries, KeyTable const& keys) {
-  ZoneRemains remains;
+ZoneUsage zone_usage(std::string const& zone, std::vector<ZoneEntry> const& entries, KeyTable const& keys) {
+  ZoneUsage usage;
   for (ZoneEntry const& entry : entries) {
     if (entry.zone != zone) continue;
     for (ServiceOffer const& offer : entry.services) {
-      remains.requests += offer.running + offer.waiting;
-      remains.backends += offer.running + offer.waiting > 0;
+      usage.requests += offer.running + offer.waiting;
+      usage.backends += offer.running + offer.waiting > 0;
     }
   }
   for (KeyService const& service : keys.services)
     for (KeyRow const& row : service.rows)
-      remains.rows += row.holder != no_holder && keys.holders[row.holder].zone == zone;
-  return remains;
+      usage.rows += row.holder != no_holder && keys.holders[row.holder].zone == zone;
+  return usage;
 }
 
-bool is_clear(MaintenanceWindow const& window, ZoneRemains const& remains, Duration const quiet_for) {
-  return window.withholds() && quiet_for >= quiet_enough && remains.requests == 0 && remains.rows == 0;
+bool is_clear(MaintenanceWindow const& window, ZoneUsage const& usage, Duration const quiet_for) {
+  return window.withholds() && quiet_for >= min_quiet_time && usage.requests == 0 && usage.rows == 0;
 }
 
-Json window_json(MaintenanceWindow const& window, ZoneRemains const& remains, bool const clear) {
+Json window_json(MaintenanceWindow const& window, ZoneUsage const& usage, bool const clear) {
   auto const seconds = [](std::int64_t const ms) { return static_cast<double>(ms) / 1000; };
   Json j = {{"id", window.id},
             {"zone", window.zone},
@@ -150,9 +150,9 @@
             {"lasts_s", seconds(window.lasts)},
             {"lead_s", seconds(window.lead)}};
   if (!window.current()) return j;
-  j["requests"] = remains.requests;
-  j["backends"] = remains.backends;
-  j["rows"] = remains.rows;
+  j["requests"] = usage.requests;
+  j["backends"] = usage.backends;
+  j["rows"] = usage.rows;
   j["clear"] = clear;
   return j;
 }
--- a/source/programs/maintenance_interface.hpp
+++ b/source/programs/maintenance_interface.hpp
@@ -17,15 +17,15 @@
 
 struct MaintenanceSettings {
   /** How long before a window opens traffic moves, if the operator doesn't say. */
-  Duration standard_lead = 60s;
+  Duration default_lead = 60s;
   /** The least that the operator may say: a draining backend and a hold on keys may take this long. */
-  Duration least_lead = 12s;
+  Duration min_lead = 12s;
   /** Over how long traffic comes back. */
   Duration return_time = 30s;
 };
 
 /** A window that is asked for. */
-struct MarkZone {
+struct ScheduleWindow {
   MaintenanceWindowSpec mark;
   /** Also if the other zones have too few free slots, or the time is too short. */
   bool force = false;
@@ -34,35 +34,35 @@
   std::string zone;
 };
 struct ListWindows {};
-using MaintenanceRequest = std::variant<MarkZone, EndWindow, ListWindows>;
+using MaintenanceRequest = std::variant<ScheduleWindow, EndWindow, ListWindows>;
 
 /** Whether the interface to maintenance windows answers at this target. */
 bool is_maintenance_target(std::string_view target);
 /** What is asked for, or the reply that refuses it. */
-tl::expected<MaintenanceRequest, HttpReply> read_maintenance_request(HttpRequest const& request,
-                                                                     MaintenanceSettings const& settings);
+tl::expected<MaintenanceRequest, HttpReply> parse_maintenance_request(HttpRequest const& request,
+                                                                      MaintenanceSettings const& settings);
 HttpReply maintenance_error(std::uint16_t status, std::string const& name, std::string const& reason);
 
 /** Why the other zones could not carry a zone's load as it was last announced; none if they can. */
-std::optional<std::string> lack_of_capacity(std::string const& zone, std::vector<ZoneEntry> const& entries,
-                                            std::set<std::string> const& withheld);
+std::optional<std::string> capacity_shortage(std::string const& zone, std::vector<ZoneEntry> const& entries,
+                                             std::set<std::string> const& withheld);
 
 /** Why the stores outside a zone could not vouch for the registers, whatever else is withheld; none if they can. */
-std::optional<std::string> lack_of_quorum(std::string const& zone, VoterSet const& voters,
-                                          std::vector<RegistryEntry> const& registries,
-                                          std::set<std::string> const& withheld);
+std::optional<std::string> quorum_shortage(std::string const& zone, VoterSet const& voters,
+                                           std::vector<RegistryEntry> const& registries,
+                                           std::set<std::string> const& withheld);
 
 /** What is still in a zone, as last announced. */
-struct ZoneRemains {
+struct ZoneUsage {
   std::uint64_t requests = 0;
   std::size_t backends = 0;  // that run or hold back requests
   std::size_t rows = 0;      // of keys held there
 };
-ZoneRemains remains_in(std::string const& zone, std::vector<ZoneEntry> const& entries, KeyTable const& keys);
+ZoneUsage zone_usage(std::string const& zone, std::vector<ZoneEntry> const& entries, KeyTable const& keys);
 /** Nothing is left in the window's zone; `quiet_for`: for how long no load was announced there. A node tells its
     load now and then, so that one look may miss requests. */
-bool is_clear(MaintenanceWindow const& window, ZoneRemains const& remains, Duration quiet_for);
-Json window_json(MaintenanceWindow const& window, ZoneRemains const& remains, bool clear);
+bool is_clear(MaintenanceWindow const& window, ZoneUsage const& usage, Duration quiet_for);
+Json window_json(MaintenanceWindow const& window, ZoneUsage const& usage, bool clear);
 
 /** Of `Registry` are used: held, registers, directory, has_quorum_reading, zone_names and zone_entries. */
 template <Environment Env, class Registry, class Keeper>
@@ -74,39 +74,40 @@
   /** Watches zones that traffic is kept away from, for as long as the process runs. */
   Task<void> run() {
     while (true) {
-      co_await sleep_for(env_, look_every);
-      look_at_withheld_zones();
+      co_await sleep_for(env_, poll_period);
+      update_last_busy();
     }
   }
 
   Task<HttpReply> call(HttpRequest const request) {
-    tl::expected<MaintenanceRequest, HttpReply> asked = read_maintenance_request(request, settings_);
+    tl::expected<MaintenanceRequest, HttpReply> asked = parse_maintenance_request(request, settings_);
     if (!asked) co_return std::move(asked.error());
-    if (MarkZone const* const mark = std::get_if<MarkZone>(&*asked)) co_return co_await mark_zone(*mark);
+    if (ScheduleWindow const* const mark = std::get_if<ScheduleWindow>(&*asked))
+      co_return co_await schedule_window(*mark);
     if (EndWindow const* const end = std::get_if<EndWindow>(&*asked)) co_return co_await end_window(*end);
     co_return list();
   }
 
  private:
-  static constexpr Duration look_every = 500ms;
+  static constexpr Duration poll_period = 500ms;
 
-  void look_at_withheld_zones() {
+  void update_last_busy() {
     std::set<std::string> const withheld = keeper_.plan().withheld_zones();
     std::erase_if(last_busy_, [&](auto const& known) { return !withheld.contains(known.first); });
     for (std::string const& zone : withheld) {
       Instant& last = last_busy_.try_emplace(zone, env_.now()).first->second;
-      if (remains(zone).requests > 0) last = env_.now();
+      if (usage(zone).requests > 0) last = env_.now();
     }
   }
 
-  Json described(MaintenanceWindow const& window) const {
-    ZoneRemains const left = remains(window.zone);
+  Json to_json(MaintenanceWindow const& window) const {
+    ZoneUsage const left = usage(window.zone);
     auto const busy = last_busy_.find(window.zone);
     Duration const quiet_for = busy == last_busy_.end() ? Duration::zero() : env_.now() - busy->second;
     return window_json(window, left, is_clear(window, left, quiet_for));
   }
 
-  Task<HttpReply> mark_zone(MarkZone const asked) {
+  Task<HttpReply> schedule_window(ScheduleWindow const asked) {
     std::string const& zone = asked.mark.zone;
     std::set<std::string> const zones = registry_.zone_names();
     if (!zones.contains(zone)) co_return maintenance_error(404, "unknown_zone", "no registry or node is in " + zone);
@@ -114,9 +115,9 @@
     bool const is_new = tried.schedule(asked.mark) == ScheduleOutcome::scheduled;
     if (is_new && !asked.force) {
       std::set<std::string> const withheld = keeper_.plan().withheld_zones();
-      std::optional<std::string> lack = lack_of_capacity(zone, registry_.zone_entries(), withheld);
+      std::optional<std::string> lack = capacity_shortage(zone, registry_.zone_entries(), withheld);
       if (lack) co_return maintenance_error(409, "no_capacity", *lack);
-      lack = lack_of_quorum(zone, registry_.registers().set(), registry_.directory(), withheld);
+      lack = quorum_shortage(zone, registry_.registers().set(), registry_.directory(), withheld);
       if (lack) co_return maintenance_error(409, "no_quorum", *lack);
     }
     ScheduleOutcome outcome = ScheduleOutcome::scheduled;
@@ -130,7 +131,7 @@
       co_return maintenance_error(409, "window_overlaps", zone + " has another window; end that one first");
     if (outcome == ScheduleOutcome::overlaps_other_zone)
       co_return maintenance_error(409, "other_zone", "another zone is under maintenance then; see allow_second");
-    co_return newest_of(*done, zone);
+    co_return newest_window_reply(*done, zone);
   }
 
   Task<HttpReply> end_window(EndWindow const asked) {
@@ -142,30 +143,30 @@
     Result<MaintenancePlan> const done = co_await keeper_.change(edit);
     if (!done) co_return not_taken(done.error());
     if (outcome == EndOutcome::no_window) co_return maintenance_error(404, "no_window", asked.zone + " has no window");
-    co_return newest_of(*done, asked.zone);
+    co_return newest_window_reply(*done, asked.zone);
   }
 
   static HttpReply not_taken(Error const& m) {
     return maintenance_error(503, "not_known_to_be_taken", "send the same again: " + m.reason);
   }
 
-  HttpReply newest_of(MaintenancePlan const& plan, std::string const& zone) const {
+  HttpReply newest_window_reply(MaintenancePlan const& plan, std::string const& zone) const {
     MaintenanceWindow const* const window = plan.newest(zone);
     if (window == nullptr) return maintenance_error(404, "no_window", zone + " has no window");
-    return json_reply(200, described(*window));
+    return json_reply(200, to_json(*window));
   }
 
-  ZoneRemains remains(std::string const& zone) const {
+  ZoneUsage usage(std::string const& zone) const {
     RegisterValue const& held = registry_.held(Register::keys);
     Result<KeyTable> const keys = unpack_key_table(held.bytes, held.revision);
-    return remains_in(zone, registry_.zone_entries(), keys ? *keys : KeyTable{});
+    return zone_usage(zone, registry_.zone_entries(), keys ? *keys : KeyTable{});
   }
 
   HttpReply list() const {
     if (!registry_.has_quorum_reading())
       return maintenance_error(503, "not_current", "no majority of the stores has answered lately");
     Json windows = Json::array();
-    for (MaintenanceWindow const& w : keeper_.plan().windows) windows.push_back(described(w));
+    for (MaintenanceWindow const& w : keeper_.plan().windows) windows.push_back(to_json(w));
     return json_reply(200, Json{{"windows", windows}});
   }
 
--- a/source/programs/mesh_registry.cpp
+++ b/source/programs/mesh_registry.cpp
@@ -36,8 +36,8 @@
 MaintenanceSettings maintenance_settings(Settings const& s, TimingBounds const& bounds) {
   constexpr Duration until_known = 2s;
   MaintenanceSettings m;
-  m.least_lead = std::max(bounds.drain_limit, bounds.hold_limit) + until_known;
-  m.standard_lead = std::max<Duration>(std::chrono::seconds(s.number("maintenance-lead")), m.least_lead);
+  m.min_lead = std::max(bounds.drain_limit, bounds.hold_limit) + until_known;
+  m.default_lead = std::max<Duration>(std::chrono::seconds(s.number("maintenance-lead")), m.min_lead);
   m.return_time = std::chrono::seconds(s.number("maintenance-return"));
   return m;
 }
--- a/source/programs/operator_interface.hpp
+++ b/source/programs/operator_interface.hpp
@@ -45,19 +45,19 @@
 class OperatorInterface {
  public:
   explicit OperatorInterface(Registry<Env>& registry)
-      : registry_(registry), register_(registry.registers()), env_(registry.world()) {}
+      : registry_(registry), register_client_(registry.registers()), env_(registry.world()) {}
 
   // What an operator proposes, through whichever door: whole bytes of a
   // register, or a change to the newest catalogue.
   Task<Verdict> propose(Proposal p) {
-    ++proposing_;
-    Verdict const v = co_await settle(std::move(p));
-    --proposing_;
+    ++proposals_in_flight_;
+    Verdict const v = co_await process_proposal(std::move(p));
+    --proposals_in_flight_;
     co_return v;
   }
-  bool idle() const { return proposing_ == 0; }
+  bool idle() const { return proposals_in_flight_ == 0; }
 
-  Task<Verdict> settle(Proposal p) {
+  Task<Verdict> process_proposal(Proposal p) {
     Verdict v;
     v.reg = p.reg;
     if (p.request.size() > 128)
@@ -79,7 +79,7 @@
       Result<Layout> const l = Layout::read(p.bytes);
       if (!l) co_return bad_revision(v, l.error());
       Result<RegisterValue> const catalogue =
-          co_await register_.read(Register::catalogue, held(Register::catalogue), env_.now() + 2s);
+          co_await register_client_.read(Register::catalogue, held(Register::catalogue), env_.now() + 2s);
       if (!catalogue) co_return not_taken(v, catalogue.error());
       registry_.take(Register::catalogue, *catalogue);
       Result<Catalogue> const c =
@@ -91,7 +91,7 @@
                                         Proof::not_run});
     } else {
       Result<RegisterValue> const routing =
-          co_await register_.read(Register::routing, held(Register::routing), env_.now() + 2s);
+          co_await register_client_.read(Register::routing, held(Register::routing), env_.now() + 2s);
       if (!routing) co_return not_taken(v, routing.error());
       if (routing->revision == 0)
         co_return bad_revision(v, Error{"check_references", "", "there is no routing revision yet", Proof::not_run});
@@ -103,7 +103,7 @@
       if (!c) co_return bad_revision(v, c.error());
     }
     Revision newest = 0;
-    Result<RegisterValue> done = co_await register_.change(
+    Result<RegisterValue> done = co_await register_client_.change(
         p.reg, p.request, env_.now() + 5s, [&](RegisterValue const& now) -> Result<RegisterValue> {
           newest = now.revision;
           if (expected && *expected != now.revision)
@@ -146,7 +146,7 @@
 
   // Every zone's state, from its own registry; a zone that doesn't answer is
   // named as silent.
-  Task<Json> whole_fleet() {
+  Task<Json> collect_fleet_state() {
     std::vector<Address> others;
     std::set<std::string> silent;
     for (RegistryEntry const& e : registry_.directory())
@@ -171,7 +171,7 @@
 
   // Where each slice is, where it should be, and what it waits for.
   Task<Json> moves() {
-    Json const fleet = co_await whole_fleet();
+    Json const fleet = co_await collect_fleet_state();
     Result<Layout> const layout = Layout::read(held(Register::routing).bytes);
     if (!layout) co_return Json{{"slices", Json::array()}, {"error", "there is no routing revision yet"}};
     Result<Catalogue> const catalogue = held(Register::catalogue).revision > 0
@@ -190,8 +190,8 @@
                                                            {"warm", registry_.warm()},
                                                            {"leaving", registry_.leaving()}});
     if (path == "/fleet" && q.method == "GET") co_return json_reply(200, fleet());
-    if (path == "/mishaps" && q.method == "GET") co_return json_reply(200, registry_.mishaps().json());
-    if (path == "/nodes" && q.method == "GET") co_return json_reply(200, co_await whole_fleet());
+    if (path == "/mishaps" && q.method == "GET") co_return json_reply(200, registry_.recent_errors().json());
+    if (path == "/nodes" && q.method == "GET") co_return json_reply(200, co_await collect_fleet_state());
     if (path == "/moves" && q.method == "GET") co_return json_reply(200, co_await moves());
     for (Register const r : operator_registers) {
       if (path != "/" + register_name(r)) continue;
@@ -208,8 +208,8 @@
   static std::string quoted(Revision const r) { return "\"" + std::to_string(r) + "\""; }
 
   Task<HttpReply> get(Register const r) {
-    Result<RegisterValue> h = co_await register_.read(r, held(r), env_.now() + 2s);
-    if (!h) co_return not_vouched(h.error());
+    Result<RegisterValue> h = co_await register_client_.read(r, held(r), env_.now() + 2s);
+    if (!h) co_return no_quorum(h.error());
     registry_.take(r, *h);
     if (h->revision == 0) co_return json_reply(404, {{"error", "nothing was ever put"}, {"revision", 0}});
     HttpReply reply;
@@ -221,7 +221,7 @@
     co_return reply;
   }
 
-  HttpReply not_vouched(Error const& m) {
+  HttpReply no_quorum(Error const& m) {
     note("register", m);
     HttpReply reply = json_reply(
         503,
@@ -277,9 +277,9 @@
   void note(std::string const& what, Error const& m) { registry_.note(what, m); }
 
   Registry<Env>& registry_;
-  RegisterClient<Env>& register_;
+  RegisterClient<Env>& register_client_;
   Env& env_;
-  std::size_t proposing_ = 0;
+  std::size_t proposals_in_flight_ = 0;
 };
 
 }  // namespace banktide
--- a/source/programs/operator_streams.hpp
+++ b/source/programs/operator_streams.hpp
@@ -24,7 +24,7 @@
   { out.full() } -> std::same_as<bool>;
 };
 
-inline std::map<std::string, std::string> query_of(std::string const& target) {
+inline std::map<std::string, std::string> parse_query(std::string const& target) {
   std::map<std::string, std::string> out;
   std::size_t const mark = target.find('?');
   if (mark == std::string::npos) return out;
@@ -47,13 +47,13 @@
 }
 
 // Where a reader is, in one word that it can come back with.
-inline std::string word_of(Positions const& positions) {
+inline std::string format_positions(Positions const& positions) {
   std::string out;
   for (auto const& [node, p] : positions)
     out += (out.empty() ? "" : ",") + node + ":" + std::to_string(p.epoch) + ":" + std::to_string(p.seq);
   return out;
 }
-inline Result<Positions> positions_of(std::string const& word) {
+inline Result<Positions> parse_positions(std::string const& word) {
   Positions out;
   std::stringstream in(word);
   for (std::string part; std::getline(in, part, ',');) {
@@ -88,13 +88,13 @@
  public:
   explicit OperatorStreams(Registry<Env>& r) : registry_(r), env_(r.world()) {}
 
-  static constexpr std::size_t most_streams = 64, most_readers = 32, line_limit = 2 * layout_limit;
+  static constexpr std::size_t max_streams = 64, max_readers = 32, line_limit = 2 * layout_limit;
 
   // POST /changes?stream=NAME
   template <LineSource In>
   Task<HttpReply> changes(HttpRequest q, In& in) {
-    std::string const name =
-        query_of(q.target)["stream"].empty() ? "auto-" + std::to_string(env_.chance()()) : query_of(q.target)["stream"];
+    std::string const name = parse_query(q.target)["stream"].empty() ? "auto-" + std::to_string(env_.chance()())
+                                                                     : parse_query(q.target)["stream"];
     std::shared_ptr<Stream> const s = stream(name);
     if (!s) co_return busy("too many streams");
     if (s->sending) co_return json_reply(409, {{"error", "this stream has a sender already"}, {"step", "open_stream"}});
@@ -125,13 +125,13 @@
   // GET /verdicts?stream=NAME&after=LINE
   template <LineSink Out>
   Task<std::optional<HttpReply>> verdicts(HttpRequest q, Out& out) {
-    std::map<std::string, std::string> query = query_of(q.target);
+    std::map<std::string, std::string> query = parse_query(q.target);
     std::string const after = query["after"].empty() ? "0" : query["after"];
     if (query["stream"].empty()) co_return json_reply(400, {{"error", "name the stream"}, {"step", "open_stream"}});
     if (after.size() > 18 || after.find_first_not_of("0123456789") != std::string::npos)
       co_return json_reply(400, {{"error", "after must be a line's number"}, {"step", "open_stream"}});
     std::shared_ptr<Stream> const s = stream(query["stream"]);
-    if (!s || *readers_ >= most_readers) co_return busy("too many streams or readers");
+    if (!s || *readers_ >= max_readers) co_return busy("too many streams or readers");
     Reader const reader(readers_);
     std::uint64_t at = std::min<std::uint64_t>(std::stoull(after), s->verdicts.last());
     Instant told = env_.now();
@@ -162,17 +162,17 @@
   // GET /decisions?service=&decision=&cell=&after=WORD
   template <LineSink Out>
   Task<std::optional<HttpReply>> decisions(HttpRequest q, Out& out) {
-    std::map<std::string, std::string> query = query_of(q.target);
+    std::map<std::string, std::string> query = parse_query(q.target);
     for (auto const& [name, value] : query)
       if (name != "service" && name != "decision" && name != "cell" && name != "after")
         co_return json_reply(400, {{"error", "no such filter: " + name}, {"step", "open_stream"}});
-    Result<Positions> at = positions_of(query["after"]);
+    Result<Positions> at = parse_positions(query["after"]);
     if (!at)
       co_return json_reply(400, {{"error", at.error().reason}, {"step", at.error().step}, {"peer", at.error().peer}});
     std::string const& decision = query["decision"];
     if (!decision.empty() && decision != "stay" && decision != "cross" && decision != "drop")
       co_return json_reply(400, {{"error", "decision is stay, cross or drop"}, {"step", "open_stream"}});
-    if (*readers_ >= most_readers) co_return busy("too many readers");
+    if (*readers_ >= max_readers) co_return busy("too many readers");
     Reader const reader(readers_);
     DecisionsRequest question{*at, at->empty(), DecisionFilter{query["service"], decision, query["cell"]}, 60};
     Instant told{};
@@ -194,7 +194,7 @@
           if (e.state != "answered") open = open && out.write(event_json(e).dump());
         if (open && env_.now() - told >= 1s) {
           told = env_.now();
-          open = out.write(Json{{"pulse", true}, {"after", word_of(question.after)}}.dump());
+          open = out.write(Json{{"pulse", true}, {"after", format_positions(question.after)}}.dump());
         }
         if (!open) break;
       }
@@ -224,7 +224,7 @@
 
   // The named stream; the one unused for longest makes room.
   std::shared_ptr<Stream> stream(std::string const& name) {
-    if (!streams_.contains(name) && streams_.size() >= most_streams) {
+    if (!streams_.contains(name) && streams_.size() >= max_streams) {
       auto oldest = streams_.end();
       for (auto it = streams_.begin(); it != streams_.end(); ++it)
         if (!it->second->sending && it->second.use_count() == 1 &&
@@ -239,7 +239,7 @@
     return s;
   }
 
-  static constexpr char const* whole_schema = R"({
+  static constexpr char const* put_schema = R"({
     "type": "object", "additionalProperties": false, "required": ["put", "bytes"],
     "properties": {
       "put": {"type": "string", "enum": ["routing", "catalogue"]}, "bytes": {"type": "string"},
@@ -251,7 +251,7 @@
     if (!j->is_object()) return make_error("check_schema", "", "a change is an object", Proof::not_run);
     Proposal p;
     if (j->contains("put")) {
-      Result<bool> const fits = check_schema(*j, whole_schema);
+      Result<bool> const fits = check_schema(*j, put_schema);
       if (!fits) return tl::unexpected<Error>(fits.error());
       p.reg = (*j)["put"] == "routing" ? Register::routing : Register::catalogue;
       p.bytes = (*j)["bytes"];
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -38,7 +38,7 @@
       : env_(env),
         settings_(std::move(s)),
         timing_(settings_.timing),
-        register_(client_of(env, settings_)),
+        register_client_(client_of(env, settings_)),
         lease_(env),
         started_(env.now()),
         directory_(settings_.seeds),
@@ -87,7 +87,7 @@
   RegistrySettings const& settings() const { return settings_; }
   Env& world() { return env_; }
   Address const& address() const { return settings_.address; }
-  RegisterClient<Env>& registers() { return register_; }
+  RegisterClient<Env>& registers() { return register_client_; }
   RegisterValue const& held(Register const r) const { return held_.at(static_cast<std::size_t>(r)); }
   /// The view of the own zone.
   ZoneView const& view() const { return own_feed_->view(); }
@@ -141,8 +141,8 @@
     }
   }
 
-  void note(std::string const& what, Error const& m) { mishaps_.note(env_.now() - started_, what, m); }
-  RecentErrors const& mishaps() const { return mishaps_; }
+  void note(std::string const& what, Error const& m) { recent_errors_.note(env_.now() - started_, what, m); }
+  RecentErrors const& recent_errors() const { return recent_errors_; }
 
   // ---- operator interface
 
@@ -297,7 +297,7 @@
   Task<bool> read_all() {
     Instant const deadline = env_.now() + read_timeout;
     // Usually nothing has changed, and one request shows that for all registers.
-    std::optional<Revisions> const newest = co_await register_.newest_revisions(deadline);
+    std::optional<Revisions> const newest = co_await register_client_.newest_revisions(deadline);
     bool all = true;
     for (Register const r : published_registers) {
       bool const current = newest && (*newest)[static_cast<std::size_t>(r)] <= held(r).revision;
@@ -314,7 +314,7 @@
       if (current) co_return true;
     }
     RegisterValue const known = held(r);
-    Result<RegisterValue> const h = co_await register_.read(r, known, deadline);
+    Result<RegisterValue> const h = co_await register_client_.read(r, known, deadline);
     if (h) take(r, *h);
     co_return h.has_value();
   }
@@ -323,7 +323,7 @@
   // that delta doesn't arrive in time.
   Task<bool> confirm_keys(Instant const deadline) {
     Result<ConfirmedRevision> const newest =
-        co_await register_.confirm_revision(Register::keys, held(Register::keys).revision, deadline);
+        co_await register_client_.confirm_revision(Register::keys, held(Register::keys).revision, deadline);
     if (!newest) co_return false;
     Instant const until = env_.now() + delta_timeout;
     while (held(Register::keys).revision < newest->revision && env_.now() < until)
@@ -334,7 +334,7 @@
   // Lease epochs start from a round number of the register that was never issued before, so they never repeat.
   Task<void> establish_epoch_floor() {
     while (!lease_.has_floor()) {
-      Result<std::uint64_t> const round = co_await register_.next_number(Register::routing, env_.now() + 2s);
+      Result<std::uint64_t> const round = co_await register_client_.next_number(Register::routing, env_.now() + 2s);
       if (round)
         lease_.set_floor(broken_on_purpose("epochs_start_again") ? 1 : *round << 20);
       else
@@ -375,7 +375,7 @@
       for (Address const& peer : peers) spawn(env_, meet_one(peer));
       directory_.forget_silent(env_.now());
       if (settings_.voters.empty())
-        register_.add_contacts(
+        register_client_.add_contacts(
             colocated_stores(std::vector<Address>(peers.begin(), peers.end()), settings_.store_port));
       co_await sleep_for(env_, directory_.entries().size() < 2 ? Duration(200ms) : timing_.registry_meet_every);
     }
@@ -513,10 +513,10 @@
   Env& env_;
   RegistrySettings const settings_;
   FeedTiming const& timing_;
-  RegisterClient<Env> register_;
+  RegisterClient<Env> register_client_;
   LeaseVoter<Env> lease_;
   Instant const started_;
-  RecentErrors mishaps_;
+  RecentErrors recent_errors_;
   RegistryDirectory directory_;
   std::array<RegisterValue, register_count> held_;
   DeltaHistory<KeyDelta> key_deltas_;       // up to the current key table, if any
--- a/source/programs/shell_main.cpp
+++ b/source/programs/shell_main.cpp
@@ -200,12 +200,12 @@
   }
 
   int maintenance(std::vector<std::string> const& words) {
-    tl::expected<MaintenanceCommand, std::string> const command = read_maintenance_command(words);
+    tl::expected<MaintenanceCommand, std::string> const command = parse_maintenance_command(words);
     if (!command) return wrong(command.error());
     Result<HttpReply> const r = http(command->request);
     if (!r) return failed(r.error().step, r.error().peer, r.error().reason);
     if (r->status != 200) return failed("answer", door_, std::to_string(r->status) + " " + r->body);
-    Json const windows = windows_of(*command, *r);
+    Json const windows = windows_in_reply(*command, *r);
     if (json_)
       std::cout << windows.dump(1) << "\n";
     else
--- a/tests/programs/maintenance_interface_test.cpp
+++ b/tests/programs/maintenance_interface_test.cpp
@@ -19,7 +19,7 @@
 }
 
 std::string refusal_of(HttpRequest const& request) {
-  tl::expected<MaintenanceRequest, HttpReply> const read = read_maintenance_request(request, MaintenanceSettings{});
+  tl::expected<MaintenanceRequest, HttpReply> const read = parse_maintenance_request(request, MaintenanceSettings{});
   return read ? "taken" : error_of(read.error());
 }
 
@@ -71,24 +71,24 @@
 
 TEST(MaintenanceCapacity, the_other_zones_must_have_as_many_free_slots_as_are_busy) {
   std::vector<ZoneEntry> const enough{entry("a", "s", 10, 4, 1), entry("b", "s", 10, 7), entry("c", "s", 10, 8)};
-  EXPECT_FALSE(lack_of_capacity("a", enough, {}));
-  EXPECT_TRUE(lack_of_capacity("a", enough, {"c"})) << "c is under maintenance itself";
+  EXPECT_FALSE(capacity_shortage("a", enough, {}));
+  EXPECT_TRUE(capacity_shortage("a", enough, {"c"})) << "c is under maintenance itself";
   std::vector<ZoneEntry> const full{entry("a", "s", 10, 4), entry("b", "s", 10, 7)};
-  EXPECT_TRUE(lack_of_capacity("a", full, {}));
+  EXPECT_TRUE(capacity_shortage("a", full, {}));
   std::vector<ZoneEntry> const overloaded{entry("a", "s", 10, 3), entry("b", "s", 10, 30), entry("c", "s", 10, 8)};
-  EXPECT_TRUE(lack_of_capacity("a", overloaded, {})) << "one zone's overload is no room in another";
+  EXPECT_TRUE(capacity_shortage("a", overloaded, {})) << "one zone's overload is no room in another";
   std::vector<ZoneEntry> const only_there{entry("a", "s", 10, 0), entry("b", "t", 10, 0)};
-  EXPECT_TRUE(lack_of_capacity("a", only_there, {}));
+  EXPECT_TRUE(capacity_shortage("a", only_there, {}));
 }
 
 TEST(MaintenanceCapacity, the_stores_elsewhere_must_make_a_quorum) {
   std::vector<RegistryEntry> const registries{{"a", "10.0.0.1:1", 0}, {"b", "10.0.0.2:1", 0}, {"c", "10.0.0.3:1", 0}};
   VoterSet const voters = initial_set({"10.0.0.1:2", "10.0.0.2:2", "10.0.0.3:2"}, 1);
-  EXPECT_FALSE(lack_of_quorum("a", voters, registries, {}));
-  EXPECT_TRUE(lack_of_quorum("a", voters, registries, {"b"}));
+  EXPECT_FALSE(quorum_shortage("a", voters, registries, {}));
+  EXPECT_TRUE(quorum_shortage("a", voters, registries, {"b"}));
   VoterSet const crowded = initial_set({"10.0.0.1:2", "10.0.0.1:3", "10.0.0.3:2"}, 1);
-  EXPECT_TRUE(lack_of_quorum("a", crowded, registries, {}));
-  EXPECT_FALSE(lack_of_quorum("b", crowded, registries, {}));
+  EXPECT_TRUE(quorum_shortage("a", crowded, registries, {}));
+  EXPECT_FALSE(quorum_shortage("b", crowded, registries, {}));
 }
 
 TEST(MaintenanceRemains, counts_what_is_announced_and_held_in_the_zone) {
@@ -103,20 +103,20 @@
   }
   keys.services.push_back(service);
   std::vector<ZoneEntry> const entries{entry("a", "s", 10, 3, 1), entry("b", "s", 10, 7)};
-  ZoneRemains const remains = remains_in("a", entries, keys);
-  EXPECT_EQ(remains.requests, 4u);
-  EXPECT_EQ(remains.backends, 1u);
-  EXPECT_EQ(remains.rows, 1u);
+  ZoneUsage const usage = zone_usage("a", entries, keys);
+  EXPECT_EQ(usage.requests, 4u);
+  EXPECT_EQ(usage.backends, 1u);
+  EXPECT_EQ(usage.rows, 1u);
   MaintenanceWindow window;
   window.phase = MaintenancePhase::draining;
-  EXPECT_TRUE(is_clear(window, ZoneRemains{}, 60s));
-  EXPECT_FALSE(is_clear(window, remains, 60s));
-  EXPECT_FALSE(is_clear(window, ZoneRemains{0, 0, 1}, 60s));
-  EXPECT_FALSE(is_clear(window, ZoneRemains{}, 2s)) << "too little was announced yet";
+  EXPECT_TRUE(is_clear(window, ZoneUsage{}, 60s));
+  EXPECT_FALSE(is_clear(window, usage, 60s));
+  EXPECT_FALSE(is_clear(window, ZoneUsage{0, 0, 1}, 60s));
+  EXPECT_FALSE(is_clear(window, ZoneUsage{}, 2s)) << "too little was announced yet";
   for (MaintenancePhase const phase :
        {MaintenancePhase::scheduled, MaintenancePhase::returning, MaintenancePhase::over}) {
     window.phase = phase;
-    EXPECT_FALSE(is_clear(window, ZoneRemains{}, 60s));
+    EXPECT_FALSE(is_clear(window, ZoneUsage{}, 60s));
   }
 }
 
