--- a/source/coordination/caller_side.hpp
+++ b/source/coordination/caller_side.hpp
@@ -154,7 +154,7 @@
       r = co_await beside_.execute(c);
     } else {
       ForwardCall stamped = c;
-      stamped.sender = n_.holder;
+      stamped.sender = n_.lease_holder_id;
       stamped.from = settings_.address;
       stamped.sent_us = std::chrono::duration_cast<std::chrono::microseconds>(env_.now().time_since_epoch()).count();
       Result<ForwardCallReply> got = co_await ask(env_, t.node, std::move(stamped), deadline + 20ms);
--- a/source/coordination/carried_side.hpp
+++ b/source/coordination/carried_side.hpp
@@ -17,7 +17,7 @@
   void start(Dispatcher& dispatcher) {
     dispatcher.on<ForwardCall>([this](ForwardCall q) { return carried(std::move(q)); });
     dispatcher.on<ClockRequest>([this](ClockRequest) -> Task<ClockReply> {
-      co_return ClockReply{n_.holder, clock_us()};
+      co_return ClockReply{n_.lease_holder_id, clock_us()};
     });
   }
 
@@ -46,7 +46,7 @@
   }
 
   Task<ForwardCallReply> carried(ForwardCall c) {
-    if (!n_.fresh) co_return not_run("admit", settings_.id, "node is not ready");
+    if (!n_.has_confirmed_values) co_return not_run("admit", settings_.id, "node is not ready");
     if (refusing()) co_return not_run("admit", settings_.id, "node is leaving");
     if (carried_in_flight_ >= 4096) co_return not_run("admit", settings_.id, "backlog full");
     ++carried_in_flight_;
--- a/source/coordination/node_state.hpp
+++ b/source/coordination/node_state.hpp
@@ -41,8 +41,8 @@
 template <Environment Env>
 class NodeState {
  public:
-  NodeState(Env& world, ProxySettings initial_settings)
-      : env(world),
+  NodeState(Env& environment, ProxySettings initial_settings)
+      : env(environment),
         settings(std::move(initial_settings)),
         incarnation(env.chance()()),
         lease_holder_id(settings.id + "#" + std::to_string(incarnation)),
@@ -54,19 +54,19 @@
 
   // The zones that have a backend of the service, by this view.
   std::set<std::string> offering(std::string const& service, Instant const now) const {
-    std::set<std::string> cells;
+    std::set<std::string> zones;
     for (auto it = view.backends.lower_bound({service, ""});
-         it != view.backends.end() && it->first.first == service && cells.empty(); ++it)
-      if (fit(it->second, now)) cells.insert(s.cell);
+         it != view.backends.end() && it->first.first == service && zones.empty(); ++it)
+      if (fit(it->second, now)) zones.insert(settings.zone);
     for (auto const& [name, c] : view.zones)
-      if (name != s.cell && !c.gateways.empty() &&
+      if (name != settings.zone && !c.gateways.empty() &&
           std::find(c.offers.begin(), c.offers.end(), service) != c.offers.end())
-        cells.insert(name);
-    return cells;
+        zones.insert(name);
+    return zones;
   }
 
   ZoneChoice choose(Rules const& rules, Index const service, std::uint32_t const slice) const {
-    return choose_zones(rules.layout, rules.catalogue, s.cell, service, slice,
+    return choose_zones(rules.layout, rules.catalogue, settings.zone, service, slice,
                         [&] { return offering(rules.layout.services[service].name, env.now()); });
   }
 
@@ -118,14 +118,14 @@
   std::uint64_t const incarnation;
   std::string const lease_holder_id;
   Instant const started;
-  ZoneFollower<Env> zone;
-  ZoneView const& view = zone.view();
+  ZoneFollower<Env> follower;
+  ZoneView const& view = follower.view();
   std::shared_ptr<Rules const> rules = std::make_shared<Rules>();
   std::map<std::pair<std::string, std::string>, LocalBackendState> local_backends;
   std::map<std::pair<std::string, std::string>, Instant> drained_until;
   // As the zone's follower last reported.
   std::vector<RegistryEntry> directory;
-  std::uint32_t cores = 0;
+  std::uint32_t registry_count = 0;
   RecentErrors mishaps;
   Instant left_at{};
   bool has_confirmed_values = false, has_view = false, leaving = false;
--- a/source/coordination/proxy_zone_follower.hpp
+++ b/source/coordination/proxy_zone_follower.hpp
@@ -43,8 +43,8 @@
 
   // Several values may have arrived at once; the first of their events handles all of them.
   void take_layouts() {
-    RegisterValue const& routing = n_.zone.held(Register::routing);
-    RegisterValue const& catalogue = n_.zone.held(Register::catalogue);
+    RegisterValue const& routing = n_.follower.held(Register::routing);
+    RegisterValue const& catalogue = n_.follower.held(Register::catalogue);
     std::pair<Revision, Revision> const now{routing.revision, catalogue.revision};
     if (now == taken_) return;
     taken_ = now;
--- a/source/coordination/zone_follower.hpp
+++ b/source/coordination/zone_follower.hpp
@@ -140,14 +140,14 @@
     directory_.learn_addresses(q.registries, env_.now());
     status_changed();
     RegistryExchangeReply reply;
-    reply.registries = directory_.told(env_.now());
+    reply.registries = directory_.entries_with_ages(env_.now());
     reply.cores = registry_count_;
     co_return reply;
   }
 
   Task<void> meet_one(Address const peer) {
     Instant const asked = env_.now();
-    RegistryExchange const request{directory_.told(asked)};
+    RegistryExchange const request{directory_.entries_with_ages(asked)};
     Result<RegistryExchangeReply> const r = co_await ask(env_, peer, request, asked + meet_timeout);
     if (!r) co_return;
     heard(peer);
@@ -357,9 +357,9 @@
       if (r) heard(from[i]);
     auto const confirming = std::find_if(replies.begin(), replies.end(), confirms);
     if (confirming == replies.end()) co_return false;
-    RegisterValuesReply const& told = *confirming->second;
-    if (!values_.is_behind(told.revisions)) {
-      accept_confirmed_reply(told, asked);
+    RegisterValuesReply const& reply = *confirming->second;
+    if (!values_.is_behind(reply.revisions)) {
+      accept_confirmed_reply(reply, asked);
       co_return true;
     }
     Address const newest = from[confirming->first];
--- a/source/programs/mesh_node.hpp
+++ b/source/programs/mesh_node.hpp
@@ -64,7 +64,7 @@
 
   /** Readiness: whether clients of this machine should send new requests here. */
   bool ready() const {
-    bool const informed = follower_.fresh() && follower_.has_view() && path_.router() && in_contact();
+    bool const informed = follower_.has_confirmed_values() && follower_.has_view() && path_.router() && in_contact();
     return !graceful_shutdown_.leaving() && informed && path_.lets_tenants_in();
   }
   bool idle() const { return pending_work().requests == 0; }
--- a/source/programs/proxy.hpp
+++ b/source/programs/proxy.hpp
@@ -73,8 +73,8 @@
     j["node"] = node_.settings.id;
     j["cell"] = node_.settings.cell;
     j["gateway"] = node_.settings.gateway;
-    j["epoch"] = follower_.at().epoch;
-    j["position"] = follower_.at().seq;
+    j["epoch"] = follower_.position().epoch;
+    j["position"] = follower_.position().seq;
     j["routing"] = node_.rules->routing;
     j["catalogue"] = node_.rules->catalogue_revision;
     j["ready"] = ready();
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -473,7 +473,7 @@
 
   Task<NoReply> beat(Heartbeat q) {
     std::shared_ptr<ZoneFeed<Env>> const feed = feed_of(q.zone);
-    if (feed) feed->beat(q);
+    if (feed) feed->on_heartbeat(q);
     co_return NoReply{};
   }
 
--- a/tests/coordination/zone_feed_test.cpp
+++ b/tests/coordination/zone_feed_test.cpp
@@ -37,7 +37,7 @@
     for (Instant const end = sim.now + d; sim.now < end;) {
       run_for(200ms);
       for (auto const& [id, m] : feed->view().members)
-        if (id != silent) feed->beat(Heartbeat{id, m.address, 1, Position{}, "a"});
+        if (id != silent) feed->on_heartbeat(Heartbeat{id, m.address, 1, Position{}, "a"});
       feed->watch();
     }
   }
