--- a/source/programs/operator_interface.hpp
+++ b/source/programs/operator_interface.hpp
@@ -24,19 +24,19 @@
 struct Verdict {
   Register reg{};
   std::uint16_t status = 0;
-  std::string word;  // acknowledged, refused, not-taken or unknown
+  std::string outcome;  // acknowledged, refused, not-taken or unknown
   Revision revision = 0;
   std::string request;
-  Error mishap;
+  Error error;
 
   Json json() const {
-    Json j = {{"register", register_name(reg)}, {"request", request}, {"verdict", word}};
+    Json j = {{"register", register_name(reg)}, {"request", request}, {"verdict", outcome}};
     if (revision > 0) j["revision"] = revision;
-    if (word == "acknowledged") return j;
-    j["step"] = mishap.step;
-    j[word == "refused" ? "pointer" : "peer"] = mishap.peer;
-    j["error"] = mishap.reason;
-    if (word == "unknown") j["advice"] = "ask with GET, or repeat with the same banktide-request";
+    if (outcome == "acknowledged") return j;
+    j["step"] = error.step;
+    j[outcome == "refused" ? "pointer" : "peer"] = error.peer;
+    j["error"] = error.reason;
+    if (outcome == "unknown") j["advice"] = "ask with GET, or repeat with the same banktide-request";
     return j;
   }
 };
@@ -129,8 +129,8 @@
       note("put_" + register_name(p.reg), done.error());
       bool const nothing = done.error().proof == Proof::not_run;
       v.status = nothing ? 503 : 504;
-      v.word = nothing ? "not-taken" : "unknown";
-      v.mishap = done.error();
+      v.outcome = nothing ? "not-taken" : "unknown";
+      v.error = done.error();
       co_return v;
     }
     registry_.announce(p.reg, *done);
@@ -138,7 +138,7 @@
     for (auto const& [id, revision] : done->requests)
       if (id == p.request) v.revision = revision;
     v.status = 200;
-    v.word = "acknowledged";
+    v.outcome = "acknowledged";
     log_info("revision_acknowledged",
              {{"register", register_name(p.reg)}, {"revision", std::to_string(v.revision)}, {"request", p.request}});
     co_return v;
@@ -241,8 +241,8 @@
 
   static Verdict refused(Verdict v, std::uint16_t const status, Error const& m) {
     v.status = status;
-    v.word = "refused";
-    v.mishap = m;
+    v.outcome = "refused";
+    v.error = m;
     return v;
   }
   Verdict bad_revision(Verdict v, Error const& m) {
@@ -252,8 +252,8 @@
   Verdict not_taken(Verdict v, Error const& m) {
     note("register", m);
     v.status = 503;
-    v.word = "not-taken";
-    v.mishap = m;
+    v.outcome = "not-taken";
+    v.error = m;
     return v;
   }
 
--- a/source/programs/operator_streams.hpp
+++ b/source/programs/operator_streams.hpp
@@ -53,21 +53,21 @@
     out += (out.empty() ? "" : ",") + node + ":" + std::to_string(p.epoch) + ":" + std::to_string(p.seq);
   return out;
 }
-inline Result<Positions> parse_positions(std::string const& word) {
+inline Result<Positions> parse_positions(std::string const& outcome) {
   Positions out;
-  std::stringstream in(word);
+  std::stringstream in(outcome);
   for (std::string part; std::getline(in, part, ',');) {
     std::size_t const a = part.find(':'), b = part.rfind(':');
-    std::string const life = a == b ? "" : part.substr(a + 1, b - a - 1),
+    std::string const incarnation = a == b ? "" : part.substr(a + 1, b - a - 1),
                       seq = b == std::string::npos ? "" : part.substr(b + 1);
     auto const number = [](std::string const& s) {
       return !s.empty() && s.size() <= 20 && s.find_first_not_of("0123456789") == std::string::npos;
     };
-    if (!number(life) || !number(seq) || out.size() > 1000)
+    if (!number(incarnation) || !number(seq) || out.size() > 1000)
       return make_error("read_position", part.substr(0, 40), "a position is node:life:number, several with commas",
                         Proof::not_run);
     out[part.substr(0, a)] =
-        Position{std::strtoull(life.c_str(), nullptr, 10), std::strtoull(seq.c_str(), nullptr, 10)};
+        Position{std::strtoull(incarnation.c_str(), nullptr, 10), std::strtoull(seq.c_str(), nullptr, 10)};
   }
   return out;
 }
@@ -99,7 +99,7 @@
     if (!s) co_return busy("too many streams");
     if (s->sending) co_return json_reply(409, {{"error", "this stream has a sender already"}, {"step", "open_stream"}});
     s->sending = true;
-    std::map<std::string, std::uint64_t> counted;
+    std::map<std::string, std::uint64_t> verdict_counts;
     while (!registry_.leaving()) {
       std::optional<std::string> const line = co_await in.next();
       if (!line) break;
@@ -109,17 +109,17 @@
       if (p) {
         v = co_await registry_.propose(std::move(*p));
       } else {
-        v.word = "refused";
-        v.mishap = p.error();
+        v.outcome = "refused";
+        v.error = p.error();
       }
-      ++counted[v.word];
+      ++verdict_counts[v.outcome];
       Json j = v.json();
       j["line"] = s->verdicts.last() + 1;
       s->verdicts.append(j.dump());
     }
     s->sending = false;
     s->ended = true;
-    co_return json_reply(200, {{"stream", name}, {"lines", s->verdicts.last()}, {"verdicts", counted}});
+    co_return json_reply(200, {{"stream", name}, {"lines", s->verdicts.last()}, {"verdicts", verdict_counts}});
   }
 
   // GET /verdicts?stream=NAME&after=LINE
@@ -134,7 +134,7 @@
     if (!s || *readers_ >= max_readers) co_return busy("too many streams or readers");
     Reader const reader(readers_);
     std::uint64_t at = std::min<std::uint64_t>(std::stoull(after), s->verdicts.last());
-    Instant told = env_.now();
+    Instant last_write_at = env_.now();
     while (!registry_.leaving()) {
       if (!out.full()) {
         std::optional<std::vector<std::string>> const lines = s->verdicts.since(at, 100);
@@ -146,11 +146,11 @@
         bool open = true;
         for (std::string const& line : *lines) open = open && out.write(line);
         at += lines->size();
-        if (!lines->empty()) told = env_.now();
+        if (!lines->empty()) last_write_at = env_.now();
         if (!open || (s->ended && !s->sending && at == s->verdicts.last())) break;
         if (!lines->empty()) continue;
-        if (env_.now() - told > 1s) {
-          told = env_.now();
+        if (env_.now() - last_write_at > 1s) {
+          last_write_at = env_.now();
           if (!out.write(Json{{"pulse", true}, {"after", at}}.dump())) break;
         }
       }
@@ -174,13 +174,13 @@
       co_return json_reply(400, {{"error", "decision is stay, cross or drop"}, {"step", "open_stream"}});
     if (*readers_ >= max_readers) co_return busy("too many readers");
     Reader const reader(readers_);
-    DecisionsRequest question{*at, at->empty(), DecisionFilter{query["service"], decision, query["cell"]}, 60};
-    Instant told{};
+    DecisionsRequest request{*at, at->empty(), DecisionFilter{query["service"], decision, query["cell"]}, 60};
+    Instant last_write_at{};
     while (!registry_.leaving()) {
       if (!out.full()) {
-        DecisionsReply const reply = co_await gather(question);
-        for (auto const& [node, p] : reply.next) question.after[node] = p;
-        if (!reply.next.empty()) question.from_now = false;
+        DecisionsReply const reply = co_await collect_decisions(request);
+        for (auto const& [node, p] : reply.next) request.after[node] = p;
+        if (!reply.next.empty()) request.from_now = false;
         bool open = true;
         for (Gap const& g : reply.gaps) {
           Json j = {{"gap", true}, {"node", g.node}};
@@ -192,9 +192,9 @@
         }
         for (CallEvent const& e : reply.events)
           if (e.state != "answered") open = open && out.write(event_json(e).dump());
-        if (open && env_.now() - told >= 1s) {
-          told = env_.now();
-          open = out.write(Json{{"pulse", true}, {"after", format_positions(question.after)}}.dump());
+        if (open && env_.now() - last_write_at >= 1s) {
+          last_write_at = env_.now();
+          open = out.write(Json{{"pulse", true}, {"after", format_positions(request.after)}}.dump());
         }
         if (!open) break;
       }
@@ -210,10 +210,10 @@
     std::uint64_t used = 0;
   };
   struct Reader {
-    explicit Reader(std::shared_ptr<std::size_t> n) : n_(std::move(n)) { ++*n_; }
+    explicit Reader(std::shared_ptr<std::size_t> n) : count_(std::move(n)) { ++*count_; }
     Reader(Reader const&) = delete;
-    ~Reader() { --*n_; }
-    std::shared_ptr<std::size_t> const n_;
+    ~Reader() { --*count_; }
+    std::shared_ptr<std::size_t> const count_;
   };
 
   static HttpReply busy(std::string const& why) {
@@ -271,7 +271,7 @@
     return p;
   }
 
-  Task<DecisionsReply> gather(DecisionsRequest q) {
+  Task<DecisionsReply> collect_decisions(DecisionsRequest q) {
     std::vector<Address> others;
     for (RegistryEntry const& e : registry_.directory())
       if (e.address != registry_.address()) others.push_back(e.address);
