--- a/source/programs/configuration_interface.hpp
+++ b/source/programs/configuration_interface.hpp
@@ -1,10 +1,10 @@
-// The operators' configuration: writing it under a number of their choice and reading
-// the newest. Neither answers without a round of a quorum that began after the call.
+// The operators' configuration: writes under a version of their choice, and reads of the
+// newest version. Each answer needs a quorum round that began after the request arrived.
 //
-// The highest number holds. A number that isn't above the one held changes nothing, and
-// is acknowledged unless other content was acknowledged under it before. The answer is
-// given by what the register holds after the round, never by what one voter held before:
-// a content that only some voters have accepted refuses nobody.
+// The highest version wins. A write with a version that isn't above the current one changes
+// nothing; it is acknowledged unless other content was acknowledged under that version
+// before. The answer follows from the register's value after the round, never from one
+// voter's earlier value: content that only some voters have accepted causes no refusal.
 #pragma once
 
 #include "programs/registry.hpp"
@@ -34,7 +34,7 @@
                                            {"reason", done.error().reason}});
       co_return http_reply(adapter_.unavailable_reply(done.error().reason));
     }
-    // Above nothing, it can't come into force and couldn't be read back.
+    // Version 0 isn't newer than an empty register: it can't become active and couldn't be read back.
     if (done->revision == 0) co_return http_reply(adapter_.conflict_reply("versions begin at 00000001"));
     registry_.announce(Register::routing, *done);
     VersionClaim const claim = find_claim(*done, operation.version, operation.bytes);
@@ -54,7 +54,7 @@
     if (!broken_on_purpose("shows_what_it_holds"))
       held = co_await registry_.registers().read(Register::routing, known, env_.now() + request_timeout);
     if (!held) co_return http_reply(adapter_.unavailable_reply(held.error().reason));
-    if (held->revision == 0) co_return http_reply(adapter_.unavailable_reply("no configuration was ever sent"));
+    if (held->revision == 0) co_return http_reply(adapter_.unavailable_reply("no configuration has been written yet"));
     Result<std::string> const text = decompress(held->bytes);
     if (!text) {
       log_warn("configuration_unreadable",
@@ -65,8 +65,8 @@
   }
 
  private:
-  // Callers go on to another registry after a second of silence.
-  static constexpr Duration request_timeout = 900ms;
+  // Callers try another registry after one second without an answer.
+  static constexpr Duration patience = 900ms;
 
   Env& env_;
   Registry<Env>& registry_;
--- a/source/programs/maintenance_command.cpp
+++ b/source/programs/maintenance_command.cpp
@@ -8,7 +8,7 @@
 
 tl::unexpected<std::string> usage() { return tl::unexpected<std::string>(maintenance_usage); }
 
-/** The name in the body of a flag that takes seconds; empty for another word. */
+/** The body field of a flag that takes seconds; empty for other words. */
 std::string field_of(std::string const& flag) {
   if (flag == "--opens-in") return "opens_in_s";
   if (flag == "--lasts") return "lasts_s";
--- a/source/programs/maintenance_command.hpp
+++ b/source/programs/maintenance_command.hpp
@@ -1,5 +1,5 @@
-// The shell's `maintenance` command: its words as a question to a registry, and
-// the answer as an exit code that scripts can wait for.
+// The shell's `maintenance` command: translates its arguments into a request to a
+// registry, and the reply into an exit code for scripts.
 #pragma once
 
 #include "protocol/http_words.hpp"
@@ -18,21 +18,21 @@
   HttpRequest request;
 };
 
-/** Answered, and for `status`: traffic is away, nothing is left where machines may be worked on. */
-inline constexpr int exit_ok = 0;
+/** The request succeeded; for `status`: traffic has moved away and nothing is left in the zones under maintenance. */
+inline constexpr int exit_good = 0;
 inline constexpr int exit_refused = 1;
 inline constexpr int exit_unknown_command = 2;
-/** `status` was answered, but no zone asked for is clear, or not all of them are. */
+/** `status` was answered, but not all zones asked for are clear, or none is under maintenance. */
 inline constexpr int exit_not_clear = 3;
 
 inline constexpr char const* maintenance_usage =
     "maintenance mark ZONE --opens-in SECONDS --lasts SECONDS [--lead SECONDS] [--allow-second] [--force], "
     "maintenance status [ZONE], or maintenance end ZONE";
 
-/** `words` begins with "maintenance". The error is what to tell the caller. */
-tl::expected<MaintenanceCommand, std::string> parse_maintenance_command(std::vector<std::string> const& words);
-/** Windows that the answer tells of, as far as they were asked for; none if it is no such answer. */
-Json windows_in_reply(MaintenanceCommand const& command, HttpReply const& reply);
+/** `words` begins with "maintenance". The error is the text to print. */
+tl::expected<MaintenanceCommand, std::string> read_maintenance_command(std::vector<std::string> const& words);
+/** The windows in the reply that the command asked for; none if the reply can't be parsed. */
+Json windows_of(MaintenanceCommand const& command, HttpReply const& reply);
 int maintenance_exit_code(MaintenanceCommand const& command, HttpReply const& reply);
 
 }  // namespace banktide
--- a/source/programs/maintenance_interface.cpp
+++ b/source/programs/maintenance_interface.cpp
@@ -5,8 +5,8 @@
 namespace {
 
 constexpr std::string_view path = "/maintenance";
-constexpr std::int64_t max_duration_s = 30L * 24 * 3600;
-constexpr Duration min_quiet_time = 8s;  // several announcements of each node's load
+constexpr std::int64_t longest_s = 30L * 24 * 3600;
+constexpr Duration quiet_enough = 8s;  // covers several load announcements of each node
 constexpr std::size_t body_limit = 4096;
 
 constexpr char const* schedule_schema = R"({
@@ -27,8 +27,8 @@
   return tl::unexpected<HttpReply>(maintenance_error(status, name, reason));
 }
 
-/** The name of what is wrong with a duration, and why; none if it can be. */
-std::optional<std::pair<std::string, std::string>> duration_error(Json const& body, std::string const& name) {
+/** The error name and the reason if a duration is invalid; none if it is valid. */
+std::optional<std::pair<std::string, std::string>> duration_fault(Json const& body, std::string const& name) {
   if (!body.contains(name)) return std::nullopt;
   Json const& value = body[name];
   if (value.is_number_unsigned() && value.get<std::uint64_t>() > static_cast<std::uint64_t>(max_duration_s))
@@ -106,10 +106,10 @@
   return std::nullopt;
 }
 
-// Stores listen on the machines of registries, whose zones are known.
-std::optional<std::string> quorum_shortage(std::string const& zone, VoterSet const& voters,
-                                           std::vector<RegistryEntry> const& registries,
-                                           std::set<std::string> const& withheld) {
+// Stores run on the registries' machines, and the zones of registries are known.
+std::optional<std::string> lack_of_quorum(std::string const& zone, VoterSet const& voters,
+                                          std::vector<RegistryEntry> const& registries,
+                                          std::set<std::string> const& withheld) {
   auto const machine_of = [](std::string const& address) { return address.substr(0, address.rfind(':')); };
   std::set<std::string> machines;
   for (RegistryEntry const& e : registries)
@@ -118,7 +118,7 @@
   for (VoterEntry const& v : voters.voters) elsewhere += !machines.contains(machine_of(v.address));
   if (elsewhere >= quorum_size(voters)) return std::nullopt;
   return std::to_string(elsewhere) + " of the " + std::to_string(voters.voters.size()) +
-         " stores stand elsewhere, needed are " + std::to_string(quorum_size(voters));
+         " stores are in other zones, the quorum is " + std::to_string(quorum_size(voters));
 }
 
 ZoneUsage zone_usage(std::string const& zone, std::vector<ZoneEntry> const& entries, KeyTable const& keys) {
--- a/source/programs/maintenance_interface.hpp
+++ b/source/programs/maintenance_interface.hpp
@@ -1,7 +1,6 @@
-// The operators' interface to maintenance windows, at `/maintenance` beside the
-// paths of the platform's adapter: a zone is marked, its windows are looked at,
-// and a window is ended. What is asked is read and judged here without waiting;
-// MaintenanceInterface has the register changed.
+// The operators' HTTP interface to maintenance windows, at `/maintenance` beside
+// the paths of the platform's adapter: schedules, lists and ends windows. The free
+// functions parse and validate requests; MaintenanceInterface changes the register.
 #pragma once
 
 #include "coordination/maintenance_keeper.hpp"
@@ -16,18 +15,18 @@
 namespace banktide {
 
 struct MaintenanceSettings {
-  /** How long before a window opens traffic moves, if the operator doesn't say. */
-  Duration default_lead = 60s;
-  /** The least that the operator may say: a draining backend and a hold on keys may take this long. */
-  Duration min_lead = 12s;
-  /** Over how long traffic comes back. */
+  /** The default lead: how long before a window opens traffic starts to move away. */
+  Duration standard_lead = 60s;
+  /** The shortest lead that an operator may set: the drain of a backend and a hold on keys may take this long. */
+  Duration least_lead = 12s;
+  /** The time over which traffic returns after a window. */
   Duration return_time = 30s;
 };
 
-/** A window that is asked for. */
-struct ScheduleWindow {
+/** A request to schedule a window. */
+struct MarkZone {
   MaintenanceWindowSpec mark;
-  /** Also if the other zones have too few free slots, or the time is too short. */
+  /** Schedule the window even if the other zones have too few free slots or the lead is too short. */
   bool force = false;
 };
 struct EndWindow {
@@ -36,42 +35,42 @@
 struct ListWindows {};
 using MaintenanceRequest = std::variant<ScheduleWindow, EndWindow, ListWindows>;
 
-/** Whether the interface to maintenance windows answers at this target. */
+/** Whether the target is a path of the maintenance interface. */
 bool is_maintenance_target(std::string_view target);
-/** What is asked for, or the reply that refuses it. */
-tl::expected<MaintenanceRequest, HttpReply> parse_maintenance_request(HttpRequest const& request,
-                                                                      MaintenanceSettings const& settings);
+/** Parses and validates a request; the error is the reply that refuses it. */
+tl::expected<MaintenanceRequest, HttpReply> read_maintenance_request(HttpRequest const& request,
+                                                                     MaintenanceSettings const& settings);
 HttpReply maintenance_error(std::uint16_t status, std::string const& name, std::string const& reason);
 
-/** Why the other zones could not carry a zone's load as it was last announced; none if they can. */
-std::optional<std::string> capacity_shortage(std::string const& zone, std::vector<ZoneEntry> const& entries,
-                                             std::set<std::string> const& withheld);
+/** Why the other zones can't take over a zone's load, by the latest announcements; none if they can. */
+std::optional<std::string> lack_of_capacity(std::string const& zone, std::vector<ZoneEntry> const& entries,
+                                            std::set<std::string> const& withheld);
 
-/** Why the stores outside a zone could not vouch for the registers, whatever else is withheld; none if they can. */
-std::optional<std::string> quorum_shortage(std::string const& zone, VoterSet const& voters,
-                                           std::vector<RegistryEntry> const& registries,
-                                           std::set<std::string> const& withheld);
+/** Why the stores outside a zone and outside the withheld zones are no quorum; none if they are. */
+std::optional<std::string> lack_of_quorum(std::string const& zone, VoterSet const& voters,
+                                          std::vector<RegistryEntry> const& registries,
+                                          std::set<std::string> const& withheld);
 
-/** What is still in a zone, as last announced. */
-struct ZoneUsage {
+/** The load and the keys that are still in a zone, by the latest announcements. */
+struct ZoneRemains {
   std::uint64_t requests = 0;
-  std::size_t backends = 0;  // that run or hold back requests
-  std::size_t rows = 0;      // of keys held there
+  std::size_t backends = 0;  // with running or waiting requests
+  std::size_t rows = 0;      // key rows held in the zone
 };
-ZoneUsage zone_usage(std::string const& zone, std::vector<ZoneEntry> const& entries, KeyTable const& keys);
-/** Nothing is left in the window's zone; `quiet_for`: for how long no load was announced there. A node tells its
-    load now and then, so that one look may miss requests. */
-bool is_clear(MaintenanceWindow const& window, ZoneUsage const& usage, Duration quiet_for);
-Json window_json(MaintenanceWindow const& window, ZoneUsage const& usage, bool clear);
+ZoneRemains remains_in(std::string const& zone, std::vector<ZoneEntry> const& entries, KeyTable const& keys);
+/** Whether the window's zone has no load and no keys left; `quiet_for`: the time since load was last announced there.
+    Nodes announce their load periodically, so a single announcement may miss requests. */
+bool is_clear(MaintenanceWindow const& window, ZoneRemains const& remains, Duration quiet_for);
+Json window_json(MaintenanceWindow const& window, ZoneRemains const& remains, bool clear);
 
-/** Of `Registry` are used: held, registers, directory, has_quorum_reading, zone_names and zone_entries. */
+/** `Registry` must provide held, registers, directory, has_quorum_reading, zone_names and zone_entries. */
 template <Environment Env, class Registry, class Keeper>
 class MaintenanceInterface {
  public:
   MaintenanceInterface(Env& env, Registry& registry, Keeper& keeper, MaintenanceSettings const& settings)
       : env_(env), registry_(registry), keeper_(keeper), settings_(settings) {}
 
-  /** Watches zones that traffic is kept away from, for as long as the process runs. */
+  /** Watches the load of withheld zones, as long as the process runs. */
   Task<void> run() {
     while (true) {
       co_await sleep_for(env_, poll_period);
@@ -174,7 +173,7 @@
   Registry& registry_;
   Keeper& keeper_;
   MaintenanceSettings const settings_;
-  std::map<std::string, Instant> last_busy_;  // of withheld zones; since they are, if never
+  std::map<std::string, Instant> last_busy_;  // of withheld zones; initially the time at which a zone became withheld
 };
 
 }  // namespace banktide
--- a/source/programs/mesh_registry.hpp
+++ b/source/programs/mesh_registry.hpp
@@ -47,7 +47,7 @@
     if (std::holds_alternative<ReadConfigurationOperation>(*operation)) co_return co_await configuration_.read();
     if (std::holds_alternative<ReadinessOperation>(*operation))
       co_return http_reply(adapter_.readiness_reply(registry_.has_quorum_reading()));
-    co_return http_reply(adapter_.unavailable_reply("backends beat to the node on their machine"));
+    co_return http_reply(adapter_.unavailable_reply("heartbeats go to the node on the backend's machine"));
   }
 
  private:
--- a/source/programs/operator_interface.hpp
+++ b/source/programs/operator_interface.hpp
@@ -1,5 +1,5 @@
-// The outside calls of operators at a registry: reading and proposing revisions
-// of the product's own layout and catalogue, and looking at the fleet.
+// The operators' HTTP interface of a registry: reads and proposes revisions of the
+// layout and the catalogue, and shows the state of the fleet.
 #pragma once
 
 #include "coordination/register_client.hpp"
@@ -17,7 +17,7 @@
 struct Proposal {
   Register reg{};
   std::string bytes;
-  std::optional<Json> change;  // to the newest catalogue, in place of bytes
+  std::optional<Json> change;  // of the newest catalogue, instead of `bytes`
   std::string match, request;
 };
 
@@ -47,8 +47,8 @@
   explicit OperatorInterface(Registry<Env>& registry)
       : registry_(registry), register_client_(registry.registers()), env_(registry.world()) {}
 
-  // What an operator proposes, through whichever door: whole bytes of a
-  // register, or a change to the newest catalogue.
+  // Handles a proposal from any interface: the complete bytes of a register, or a
+  // change to the newest catalogue.
   Task<Verdict> propose(Proposal p) {
     ++proposals_in_flight_;
     Verdict const v = co_await process_proposal(std::move(p));
@@ -144,9 +144,9 @@
     co_return v;
   }
 
-  // Every zone's state, from its own registry; a zone that doesn't answer is
-  // named as silent.
-  Task<Json> collect_fleet_state() {
+  // The state of all zones, each from its own registry; zones that don't answer
+  // are listed as silent.
+  Task<Json> whole_fleet() {
     std::vector<Address> others;
     std::set<std::string> silent;
     for (RegistryEntry const& e : registry_.directory())
@@ -169,7 +169,7 @@
     co_return j;
   }
 
-  // Where each slice is, where it should be, and what it waits for.
+  // For each slice that moves: its current and its target zone, and what it waits for.
   Task<Json> moves() {
     Json const fleet = co_await collect_fleet_state();
     Result<Layout> const layout = Layout::read(held(Register::routing).bytes);
@@ -180,7 +180,7 @@
     co_return slice_moves(fleet, *layout, catalogue ? *catalogue : Catalogue{});
   }
 
-  // The operator's interface.
+  // Routes an operator's HTTP request.
   Task<HttpReply> handle_operator_request(HttpRequest q) {
     std::string const path = q.target.substr(0, q.target.find('?'));
     if (path == "/live") co_return json_reply(200, {{"live", true}});
@@ -211,7 +211,7 @@
     Result<RegisterValue> h = co_await register_client_.read(r, held(r), env_.now() + 2s);
     if (!h) co_return no_quorum(h.error());
     registry_.take(r, *h);
-    if (h->revision == 0) co_return json_reply(404, {{"error", "nothing was ever put"}, {"revision", 0}});
+    if (h->revision == 0) co_return json_reply(404, {{"error", "no revision exists yet"}, {"revision", 0}});
     HttpReply reply;
     reply.status = 200;
     reply.headers = {{"Content-Type", "application/json"},
@@ -223,9 +223,10 @@
 
   HttpReply no_quorum(Error const& m) {
     note("register", m);
-    HttpReply reply = json_reply(
-        503,
-        {{"error", "no majority vouches for a reading"}, {"step", m.step}, {"peer", m.peer}, {"reason", m.reason}});
+    HttpReply reply = json_reply(503, {{"error", "no majority of the stores confirms a reading"},
+                                       {"step", m.step},
+                                       {"peer", m.peer},
+                                       {"reason", m.reason}});
     reply.headers.push_back({"Retry-After", "1"});
     return reply;
   }
--- a/source/programs/operator_streams.hpp
+++ b/source/programs/operator_streams.hpp
@@ -1,23 +1,24 @@
-// Operators' streams at a registry. Changes come in as lines of JSON over one
-// request, each taken up as it arrives; their verdicts go out, in order, over
-// another, as the library answers a request only once its body is over.
-// Decisions of the whole fleet go out line by line, from where a reader left
-// off. A slow reader costs nobody anything: it is given no more than it takes,
-// what it then misses is told as a gap, and the journals stay as long as ever.
+// Operators' streams at a registry. Changes arrive as JSON lines of one request
+// body and are processed one by one; their verdicts are sent, in order, over a
+// second request, because the HTTP library answers a request only after its body
+// has ended. Routing decisions of the whole fleet are sent line by line, from the
+// position where the reader left off. A slow reader uses no extra memory: lines
+// are written only as fast as it reads, the lines that it misses are reported as a
+// gap, and the journals have a fixed size.
 #pragma once
 
 #include "programs/registry.hpp"
 
 namespace banktide {
 
-// Lines of a request's body as they arrive; none when it is over.
+// Returns the lines of a request body as they arrive; nothing at the end of the body.
 template <class L>
 concept LineSource = requires(L& in) {
   { in.next() } -> std::same_as<Task<std::optional<std::string>>>;
 };
 
-// Lines to a reader: `write` says no when the reader is gone; `full` that it is
-// slower than what is written.
+// Writes lines to a reader: `write` returns false when the reader has disconnected;
+// `full` returns true while the reader is slower than the writer.
 template <class L>
 concept LineSink = requires(L& out, std::string s) {
   { out.write(s) } -> std::same_as<bool>;
@@ -46,8 +47,8 @@
   return out;
 }
 
-// Where a reader is, in one word that it can come back with.
-inline std::string format_positions(Positions const& positions) {
+// The reader's position as one word, with which it can resume.
+inline std::string word_of(Positions const& positions) {
   std::string out;
   for (auto const& [node, p] : positions)
     out += (out.empty() ? "" : ",") + node + ":" + std::to_string(p.epoch) + ":" + std::to_string(p.seq);
@@ -63,9 +64,9 @@
     auto const number = [](std::string const& s) {
       return !s.empty() && s.size() <= 20 && s.find_first_not_of("0123456789") == std::string::npos;
     };
-    if (!number(incarnation) || !number(seq) || out.size() > 1000)
-      return make_error("read_position", part.substr(0, 40), "a position is node:life:number, several with commas",
-                        Proof::not_run);
+    if (!number(life) || !number(seq) || out.size() > 1000)
+      return make_error("read_position", part.substr(0, 40),
+                        "a position is node:incarnation:number, several are separated by commas", Proof::not_run);
     out[part.substr(0, a)] =
         Position{std::strtoull(incarnation.c_str(), nullptr, 10), std::strtoull(seq.c_str(), nullptr, 10)};
   }
@@ -187,7 +188,7 @@
           if (g.lost > 0)
             j["lost"] = g.lost;
           else
-            j["reason"] = "the node has started again; what it had not told is gone";
+            j["reason"] = "the node has restarted; decisions that it had not sent yet are lost";
           open = open && out.write(j.dump());
         }
         for (CallEvent const& e : reply.events)
@@ -222,7 +223,7 @@
     return reply;
   }
 
-  // The named stream; the one unused for longest makes room.
+  // Returns the named stream, or creates it; if there are too many, evicts the least recently used one.
   std::shared_ptr<Stream> stream(std::string const& name) {
     if (!streams_.contains(name) && streams_.size() >= max_streams) {
       auto oldest = streams_.end();
@@ -286,7 +287,7 @@
   Registry<Env>& registry_;
   Env& env_;
   std::map<std::string, std::shared_ptr<Stream>> streams_;
-  std::shared_ptr<std::size_t> const readers_ = std::make_shared<std::size_t>(0);  // a reader may outlive this
+  std::shared_ptr<std::size_t> const readers_ = std::make_shared<std::size_t>(0);  // shared: readers may outlive this
   std::uint64_t uses_ = 0;
 };
 
--- a/tests/programs/maintenance_command_test.cpp
+++ b/tests/programs/maintenance_command_test.cpp
@@ -1,4 +1,4 @@
-// The shell's words for maintenance, and exit codes that a script may rely on.
+// The shell's maintenance command, and the exit codes that scripts rely on.
 #include "programs/maintenance_command.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/programs/maintenance_interface_test.cpp
+++ b/tests/programs/maintenance_interface_test.cpp
@@ -1,5 +1,5 @@
-// The operators' interface to maintenance windows: each refusal by its name, and
-// what is told of a zone.
+// The operators' interface to maintenance windows: the error name of each refusal,
+// and the state that is reported of a zone.
 #include "programs/maintenance_interface.hpp"
 
 #include <gtest/gtest.h>
@@ -120,7 +120,7 @@
   }
 }
 
-/** What the interface asks of a registry. */
+/** A fake registry with the members that the interface uses. */
 struct RegistryStandIn {
   struct Voters {
     VoterSet voters = initial_set({"10.0.0.1:2", "10.0.0.2:2", "10.0.0.3:2"}, 1);
@@ -207,7 +207,7 @@
   EXPECT_EQ(trial.outcome(HttpRequest{"DELETE", "/maintenance/b", {}, ""}), "404 no_window");
 }
 
-// A zone whose backends are used now and then shows no load at most looks.
+// A zone whose backends are used rarely shows no load in most announcements.
 TEST(MaintenanceInterface, a_zone_is_clear_only_after_no_load_was_announced_for_a_while) {
   InterfaceTrial trial;
   trial.registry.offers[0].services[0].running = 0;
--- a/tests/programs/maintenance_night_test.cpp
+++ b/tests/programs/maintenance_night_test.cpp
@@ -1,7 +1,7 @@
-// The night of a maintenance window, unwatched: a zone is marked, drained, loses
-// its power when the window opens, the registries restart in the middle, and in
-// the morning the ledger of the backends and the records of the clients are
-// compared. The same night without the mark shows that the comparison can fail.
+// A whole maintenance window: a window is scheduled for a zone, the zone drains and
+// loses power when the window opens, and the registries restart during the window.
+// Afterwards the backends' ledger is compared with the clients' records. The same
+// run without a scheduled window shows that the comparison detects harm.
 #include "programs/mesh_trial.hpp"
 
 namespace banktide {
@@ -10,20 +10,20 @@
 constexpr Duration opens_in = 40s;
 constexpr Duration lasts = 60s;
 constexpr Duration lead = 25s;
-constexpr Duration settle = 15s;  // for traffic and keys to be gone, from the start of the drain
+constexpr Duration settle = 15s;  // for traffic and keys to leave the zone, from the start of the drain
 
-/** What the morning shows. */
+/** The results of a run. */
 struct Morning {
-  std::size_t twice = 0;  // runs of what may not be repeated, beyond the first
-  std::size_t lost = 0;   // done for the client, but not in the ledger
+  std::size_t twice = 0;  // executions of a non-repeatable request after the first
+  std::size_t lost = 0;   // reported as done to the client, but not in the ledger
   std::size_t ran_though_refused = 0;
-  std::size_t unknown = 0;            // clients that live and were told neither
+  std::size_t unknown = 0;            // requests of live clients without a known outcome
   std::size_t repeatable_harmed = 0;  // failed, refused, or later than the aim
   Duration longest_payment{};
   Duration longest_keyed{};
   std::size_t records = 0;
   std::size_t runs_in_window = 0;
-  std::size_t keys_in_window = 0;  // most that the zone held
+  std::size_t keys_in_window = 0;  // the most that the zone held
   std::size_t fewest_keys_held = 65536;
   std::size_t fewest_keys_in_window = 65536;
   std::size_t outside_its_keys = 0;
@@ -102,7 +102,7 @@
     return j["windows"][window];
   }
 
-  // Till and charge records: each run against what its client was told.
+  // Compares each execution in the ledger with the outcome that its client was told.
   void compare(Morning& m, Instant const dark_at) {
     std::map<std::string, std::size_t> by_attempt, by_request;
     for (LedgerEntry const& e : mesh.ledger) {
@@ -113,7 +113,7 @@
       ++m.records;
       std::size_t const runs = by_request[r->request];
       bool const done = r->outcome == ClientOutcome::done;
-      // A client in the zone goes dark with its machine, and hears nothing any more.
+      // A client in the zone loses power with its machine and gets no answer.
       bool const went_dark = !done && r->zone == "a" && r->begun <= dark_at && r->begun > dark_at - 5s;
       m.lost += done && by_attempt[r->request + "/" + std::to_string(r->attempts)] == 0;
       if (r->service == "browse") {
@@ -139,7 +139,7 @@
 TEST_P(MaintenanceNight, leaves_ledger_and_clients_in_agreement_and_nobody_waits) {
   std::uint64_t const seed = GetParam();
   Night night(seed);
-  // Machines come back before the window closes, or after it.
+  // The machines come back before the window closes, or after it, by seed.
   Morning const m = night.play(true, seed % 2 == 0 ? 45s : 70s);
   EXPECT_GT(m.records, 3000u);
   EXPECT_EQ(m.twice, 0u);
@@ -166,14 +166,14 @@
   EXPECT_TRUE(m.harm());
   EXPECT_GT(m.runs_in_window, 0u);
   EXPECT_LT(m.fewest_keys_in_window, 65536u);
-  // Even so, nothing runs twice or is lost.
+  // Even without a window, nothing is executed twice or lost.
   EXPECT_EQ(m.twice, 0u);
   EXPECT_EQ(m.lost, 0u);
   EXPECT_EQ(m.ran_though_refused, 0u);
 }
 
-// Faults on top of a window: while any other zone is there the marked one stays
-// empty, and without any it is as if it had not been marked.
+// Faults during a window: the zone under maintenance stays empty while any other zone
+// is up; if no other zone is up, it is used as if there were no window.
 TEST(MaintenanceFaults, a_marked_zone_is_used_again_only_if_nothing_else_is_there) {
   MeshTrial mesh(5, {"a", "b", "c"});
   ASSERT_TRUE(mesh.form());
--- a/tests/programs/operator_streams_test.cpp
+++ b/tests/programs/operator_streams_test.cpp
@@ -8,7 +8,7 @@
 namespace banktide {
 namespace {
 
-// A reader that takes as many lines as it is told to.
+// A reader that is full after a given number of lines.
 struct SlowSink {
   std::vector<std::string> lines;
   std::size_t room = static_cast<std::size_t>(-1);
@@ -126,7 +126,7 @@
   t.watch("/decisions", slow);
   t.run(3s);
   slow.room = slow.lines.size();
-  t.run(1s);  // what nodes answer to the questions that are out is still written
+  t.run(1s);  // answers to requests in flight are still written
   std::size_t const held = slow.lines.size();
   t.run(150s);
   EXPECT_EQ(slow.lines.size(), held);
