--- a/source/programs/configuration_interface.hpp
+++ b/source/programs/configuration_interface.hpp
@@ -66,7 +66,7 @@
 
  private:
   // Callers try another registry after one second without an answer.
-  static constexpr Duration patience = 900ms;
+  static constexpr Duration request_timeout = 900ms;
 
   Env& env_;
   Registry<Env>& registry_;
--- a/source/programs/maintenance_command.hpp
+++ b/source/programs/maintenance_command.hpp
@@ -19,7 +19,7 @@
 };
 
 /** The request succeeded; for `status`: traffic has moved away and nothing is left in the zones under maintenance. */
-inline constexpr int exit_good = 0;
+inline constexpr int exit_ok = 0;
 inline constexpr int exit_refused = 1;
 inline constexpr int exit_unknown_command = 2;
 /** `status` was answered, but not all zones asked for are clear, or none is under maintenance. */
@@ -30,9 +30,9 @@
     "maintenance status [ZONE], or maintenance end ZONE";
 
 /** `words` begins with "maintenance". The error is the text to print. */
-tl::expected<MaintenanceCommand, std::string> read_maintenance_command(std::vector<std::string> const& words);
+tl::expected<MaintenanceCommand, std::string> parse_maintenance_command(std::vector<std::string> const& words);
 /** The windows in the reply that the command asked for; none if the reply can't be parsed. */
-Json windows_of(MaintenanceCommand const& command, HttpReply const& reply);
+Json windows_in_reply(MaintenanceCommand const& command, HttpReply const& reply);
 int maintenance_exit_code(MaintenanceCommand const& command, HttpReply const& reply);
 
 }  // namespace banktide
--- a/source/programs/maintenance_interface.cpp
+++ b/source/programs/maintenance_interface.cpp
@@ -5,8 +5,8 @@
 namespace {
 
 constexpr std::string_view path = "/maintenance";
-constexpr std::int64_t longest_s = 30L * 24 * 3600;
-constexpr Duration quiet_enough = 8s;  // covers several load announcements of each node
+constexpr std::int64_t max_duration_s = 30L * 24 * 3600;
+constexpr Duration min_quiet_time = 8s;  // covers several load announcements of each node
 constexpr std::size_t body_limit = 4096;
 
 constexpr char const* schedule_schema = R"({
@@ -28,7 +28,7 @@
 }
 
 /** The error name and the reason if a duration is invalid; none if it is valid. */
-std::optional<std::pair<std::string, std::string>> duration_fault(Json const& body, std::string const& name) {
+std::optional<std::pair<std::string, std::string>> duration_error(Json const& body, std::string const& name) {
   if (!body.contains(name)) return std::nullopt;
   Json const& value = body[name];
   if (value.is_number_unsigned() && value.get<std::uint64_t>() > static_cast<std::uint64_t>(max_duration_s))
@@ -37,29 +37,29 @@
   return std::nullopt;
 }
 
-Read read_mark(std::string const& zone, std::string const& bytes, MaintenanceSettings const& settings) {
+Read parse_schedule_request(std::string const& zone, std::string const& bytes, MaintenanceSettings const& settings) {
   Result<Json> const body = parse_json(bytes, body_limit);
   if (!body) return refused(400, "not_json", body.error().reason);
   Result<bool> const kept = check_schema(*body, schedule_schema);
   if (!kept) return refused(400, "wrong_body", kept.error().peer + ": " + kept.error().reason);
   for (std::string const name : {"opens_in_s", "lasts_s", "lead_s"})
     if (auto const fault = duration_error(*body, name)) return refused(400, fault->first, fault->second);
-  ScheduleWindow asked;
-  asked.mark.zone = zone;
-  asked.mark.opens_in = std::chrono::seconds(body->at("opens_in_s").get<std::int64_t>());
-  asked.mark.lasts = std::chrono::seconds(body->at("lasts_s").get<std::int64_t>());
-  asked.mark.lead = settings.default_lead;
-  if (body->contains("lead_s")) asked.mark.lead = std::chrono::seconds(body->at("lead_s").get<std::int64_t>());
-  asked.mark.return_time = settings.return_time;
-  asked.mark.allow_second = body->value("allow_second", false);
-  asked.force = body->value("force", false);
+  ScheduleWindow window_request;
+  window_request.spec.zone = zone;
+  window_request.spec.opens_in = std::chrono::seconds(body->at("opens_in_s").get<std::int64_t>());
+  window_request.spec.lasts = std::chrono::seconds(body->at("lasts_s").get<std::int64_t>());
+  window_request.spec.lead = settings.default_lead;
+  if (body->contains("lead_s")) window_request.spec.lead = std::chrono::seconds(body->at("lead_s").get<std::int64_t>());
+  window_request.spec.return_time = settings.return_time;
+  window_request.spec.allow_second = body->value("allow_second", false);
+  window_request.force = body->value("force", false);
   std::string const least = std::to_string(as_ms(settings.min_lead) / 1000);
-  if (asked.mark.lasts == Duration::zero()) return refused(400, "duration_zero", "lasts_s: at least 1");
-  if (asked.mark.lead < settings.min_lead && !asked.force)
+  if (window_request.spec.lasts == Duration::zero()) return refused(400, "duration_zero", "lasts_s: at least 1");
+  if (window_request.spec.lead < settings.min_lead && !window_request.force)
     return refused(400, "lead_too_short", "lead_s: at least " + least);
-  if (asked.mark.opens_in < settings.min_lead && !asked.force)
+  if (window_request.spec.opens_in < settings.min_lead && !window_request.force)
     return refused(400, "opens_too_soon", "opens_in_s: at least " + least + ", for traffic to move");
-  return MaintenanceRequest(asked);
+  return MaintenanceRequest(window_request);
 }
 
 }  // namespace
@@ -79,7 +79,7 @@
   bool const all = p == path;
   if (all && request.method == "GET") return MaintenanceRequest(ListWindows{});
   if (!all && zone.empty()) return refused(404, "unknown_zone", "no zone is named");
-  if (!all && request.method == "PUT") return read_mark(zone, request.body, settings);
+  if (!all && request.method == "PUT") return parse_schedule_request(zone, request.body, settings);
   if (!all && request.method == "DELETE") return MaintenanceRequest(EndWindow{zone});
   HttpReply reply = maintenance_error(405, "wrong_method", request.method);
   reply.headers.push_back({"Allow", all ? "GET" : "PUT, DELETE"});
@@ -107,9 +107,9 @@
 }
 
 // Stores run on the registries' machines, and the zones of registries are known.
-std::optional<std::string> lack_of_quorum(std::string const& zone, VoterSet const& voters,
-                                          std::vector<RegistryEntry> const& registries,
-                                          std::set<std::string> const& withheld) {
+std::optional<std::string> quorum_shortage(std::string const& zone, VoterSet const& voters,
+                                           std::vector<RegistryEntry> const& registries,
+                                           std::set<std::string> const& withheld) {
   auto const machine_of = [](std::string const& address) { return address.substr(0, address.rfind(':')); };
   std::set<std::string> machines;
   for (RegistryEntry const& e : registries)
--- a/source/programs/maintenance_interface.hpp
+++ b/source/programs/maintenance_interface.hpp
@@ -16,16 +16,16 @@
 
 struct MaintenanceSettings {
   /** The default lead: how long before a window opens traffic starts to move away. */
-  Duration standard_lead = 60s;
+  Duration default_lead = 60s;
   /** The shortest lead that an operator may set: the drain of a backend and a hold on keys may take this long. */
-  Duration least_lead = 12s;
+  Duration min_lead = 12s;
   /** The time over which traffic returns after a window. */
   Duration return_time = 30s;
 };
 
 /** A request to schedule a window. */
-struct MarkZone {
-  MaintenanceWindowSpec mark;
+struct ScheduleWindow {
+  MaintenanceWindowSpec spec;
   /** Schedule the window even if the other zones have too few free slots or the lead is too short. */
   bool force = false;
 };
@@ -38,30 +38,30 @@
 /** Whether the target is a path of the maintenance interface. */
 bool is_maintenance_target(std::string_view target);
 /** Parses and validates a request; the error is the reply that refuses it. */
-tl::expected<MaintenanceRequest, HttpReply> read_maintenance_request(HttpRequest const& request,
-                                                                     MaintenanceSettings const& settings);
+tl::expected<MaintenanceRequest, HttpReply> parse_maintenance_request(HttpRequest const& request,
+                                                                      MaintenanceSettings const& settings);
 HttpReply maintenance_error(std::uint16_t status, std::string const& name, std::string const& reason);
 
 /** Why the other zones can't take over a zone's load, by the latest announcements; none if they can. */
-std::optional<std::string> lack_of_capacity(std::string const& zone, std::vector<ZoneEntry> const& entries,
-                                            std::set<std::string> const& withheld);
+std::optional<std::string> capacity_shortage(std::string const& zone, std::vector<ZoneEntry> const& entries,
+                                             std::set<std::string> const& withheld);
 
 /** Why the stores outside a zone and outside the withheld zones are no quorum; none if they are. */
-std::optional<std::string> lack_of_quorum(std::string const& zone, VoterSet const& voters,
-                                          std::vector<RegistryEntry> const& registries,
-                                          std::set<std::string> const& withheld);
+std::optional<std::string> quorum_shortage(std::string const& zone, VoterSet const& voters,
+                                           std::vector<RegistryEntry> const& registries,
+                                           std::set<std::string> const& withheld);
 
 /** The load and the keys that are still in a zone, by the latest announcements. */
-struct ZoneRemains {
+struct ZoneUsage {
   std::uint64_t requests = 0;
   std::size_t backends = 0;  // with running or waiting requests
   std::size_t rows = 0;      // key rows held in the zone
 };
-ZoneRemains remains_in(std::string const& zone, std::vector<ZoneEntry> const& entries, KeyTable const& keys);
+ZoneUsage zone_usage(std::string const& zone, std::vector<ZoneEntry> const& entries, KeyTable const& keys);
 /** Whether the window's zone has no load and no keys left; `quiet_for`: the time since load was last announced there.
     Nodes announce their load periodically, so a single announcement may miss requests. */
-bool is_clear(MaintenanceWindow const& window, ZoneRemains const& remains, Duration quiet_for);
-Json window_json(MaintenanceWindow const& window, ZoneRemains const& remains, bool clear);
+bool is_clear(MaintenanceWindow const& window, ZoneUsage const& usage, Duration quiet_for);
+Json window_json(MaintenanceWindow const& window, ZoneUsage const& usage, bool clear);
 
 /** `Registry` must provide held, registers, directory, has_quorum_reading, zone_names and zone_entries. */
 template <Environment Env, class Registry, class Keeper>
@@ -79,11 +79,11 @@
   }
 
   Task<HttpReply> call(HttpRequest const request) {
-    tl::expected<MaintenanceRequest, HttpReply> asked = parse_maintenance_request(request, settings_);
-    if (!asked) co_return std::move(asked.error());
-    if (ScheduleWindow const* const mark = std::get_if<ScheduleWindow>(&*asked))
-      co_return co_await schedule_window(*mark);
-    if (EndWindow const* const end = std::get_if<EndWindow>(&*asked)) co_return co_await end_window(*end);
+    tl::expected<MaintenanceRequest, HttpReply> parsed = parse_maintenance_request(request, settings_);
+    if (!parsed) co_return std::move(parsed.error());
+    if (ScheduleWindow const* const schedule = std::get_if<ScheduleWindow>(&*parsed))
+      co_return co_await schedule_window(*schedule);
+    if (EndWindow const* const end = std::get_if<EndWindow>(&*parsed)) co_return co_await end_window(*end);
     co_return list();
   }
 
@@ -106,13 +106,13 @@
     return window_json(window, left, is_clear(window, left, quiet_for));
   }
 
-  Task<HttpReply> schedule_window(ScheduleWindow const asked) {
-    std::string const& zone = asked.mark.zone;
+  Task<HttpReply> schedule_window(ScheduleWindow const request) {
+    std::string const& zone = request.spec.zone;
     std::set<std::string> const zones = registry_.zone_names();
     if (!zones.contains(zone)) co_return maintenance_error(404, "unknown_zone", "no registry or node is in " + zone);
     MaintenancePlan tried = keeper_.plan();
-    bool const is_new = tried.schedule(asked.mark) == ScheduleOutcome::scheduled;
-    if (is_new && !asked.force) {
+    bool const is_new = tried.schedule(request.spec) == ScheduleOutcome::scheduled;
+    if (is_new && !request.force) {
       std::set<std::string> const withheld = keeper_.plan().withheld_zones();
       std::optional<std::string> lack = capacity_shortage(zone, registry_.zone_entries(), withheld);
       if (lack) co_return maintenance_error(409, "no_capacity", *lack);
@@ -121,7 +121,7 @@
     }
     ScheduleOutcome outcome = ScheduleOutcome::scheduled;
     MaintenanceEdit const edit = [&](MaintenancePlan& plan) -> Result<bool> {
-      outcome = plan.schedule(asked.mark);
+      outcome = plan.schedule(request.spec);
       return outcome == ScheduleOutcome::scheduled;
     };
     Result<MaintenancePlan> const done = co_await keeper_.change(edit);
@@ -133,16 +133,17 @@
     co_return newest_window_reply(*done, zone);
   }
 
-  Task<HttpReply> end_window(EndWindow const asked) {
+  Task<HttpReply> end_window(EndWindow const request) {
     EndOutcome outcome = EndOutcome::no_window;
     MaintenanceEdit const edit = [&](MaintenancePlan& plan) -> Result<bool> {
-      outcome = plan.end(asked.zone);
+      outcome = plan.end(request.zone);
       return outcome == EndOutcome::ended;
     };
     Result<MaintenancePlan> const done = co_await keeper_.change(edit);
     if (!done) co_return not_taken(done.error());
-    if (outcome == EndOutcome::no_window) co_return maintenance_error(404, "no_window", asked.zone + " has no window");
-    co_return newest_window_reply(*done, asked.zone);
+    if (outcome == EndOutcome::no_window)
+      co_return maintenance_error(404, "no_window", request.zone + " has no window");
+    co_return newest_window_reply(*done, request.zone);
   }
 
   static HttpReply not_taken(Error const& m) {
--- a/source/programs/operator_interface.hpp
+++ b/source/programs/operator_interface.hpp
@@ -126,7 +126,7 @@
     if (checked && done.error().step == "check_if_match") co_return refused(v, 412, done.error());
     if (checked) co_return bad_revision(v, done.error());
     if (!done) {
-      note("put_" + register_name(p.reg), done.error());
+      record_error("put_" + register_name(p.reg), done.error());
       bool const nothing = done.error().proof == Proof::not_run;
       v.status = nothing ? 503 : 504;
       v.outcome = nothing ? "not-taken" : "unknown";
@@ -146,7 +146,7 @@
 
   // The state of all zones, each from its own registry; zones that don't answer
   // are listed as silent.
-  Task<Json> whole_fleet() {
+  Task<Json> collect_fleet_state() {
     std::vector<Address> others;
     std::set<std::string> silent;
     for (RegistryEntry const& e : registry_.directory())
@@ -222,7 +222,7 @@
   }
 
   HttpReply no_quorum(Error const& m) {
-    note("register", m);
+    record_error("register", m);
     HttpReply reply = json_reply(503, {{"error", "no majority of the stores confirms a reading"},
                                        {"step", m.step},
                                        {"peer", m.peer},
@@ -247,11 +247,11 @@
     return v;
   }
   Verdict bad_revision(Verdict v, Error const& m) {
-    note("bad_revision", m);
+    record_error("bad_revision", m);
     return refused(std::move(v), m.step == "check_size" ? 413 : m.step == "parse_json" ? 400 : 422, m);
   }
   Verdict not_taken(Verdict v, Error const& m) {
-    note("register", m);
+    record_error("register", m);
     v.status = 503;
     v.outcome = "not-taken";
     v.error = m;
@@ -275,7 +275,7 @@
   }
 
   RegisterValue const& held(Register const r) const { return registry_.held(r); }
-  void note(std::string const& what, Error const& m) { registry_.note(what, m); }
+  void record_error(std::string const& what, Error const& m) { registry_.record_error(what, m); }
 
   Registry<Env>& registry_;
   RegisterClient<Env>& register_client_;
--- a/source/programs/operator_streams.hpp
+++ b/source/programs/operator_streams.hpp
@@ -48,15 +48,15 @@
 }
 
 // The reader's position as one word, with which it can resume.
-inline std::string word_of(Positions const& positions) {
+inline std::string format_positions(Positions const& positions) {
   std::string out;
   for (auto const& [node, p] : positions)
     out += (out.empty() ? "" : ",") + node + ":" + std::to_string(p.epoch) + ":" + std::to_string(p.seq);
   return out;
 }
-inline Result<Positions> parse_positions(std::string const& outcome) {
+inline Result<Positions> parse_positions(std::string const& text) {
   Positions out;
-  std::stringstream in(outcome);
+  std::stringstream in(text);
   for (std::string part; std::getline(in, part, ',');) {
     std::size_t const a = part.find(':'), b = part.rfind(':');
     std::string const incarnation = a == b ? "" : part.substr(a + 1, b - a - 1),
@@ -64,7 +64,7 @@
     auto const number = [](std::string const& s) {
       return !s.empty() && s.size() <= 20 && s.find_first_not_of("0123456789") == std::string::npos;
     };
-    if (!number(life) || !number(seq) || out.size() > 1000)
+    if (!number(incarnation) || !number(seq) || out.size() > 1000)
       return make_error("read_position", part.substr(0, 40),
                         "a position is node:incarnation:number, several are separated by commas", Proof::not_run);
     out[part.substr(0, a)] =
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -141,7 +141,7 @@
     }
   }
 
-  void note(std::string const& what, Error const& m) { recent_errors_.note(env_.now() - started_, what, m); }
+  void record_error(std::string const& what, Error const& m) { recent_errors_.note(env_.now() - started_, what, m); }
   RecentErrors const& recent_errors() const { return recent_errors_; }
 
   // ---- operator interface
--- a/tests/programs/maintenance_command_test.cpp
+++ b/tests/programs/maintenance_command_test.cpp
@@ -8,7 +8,7 @@
 
 using Words = std::vector<std::string>;
 
-TEST(MaintenanceCommand, words_become_one_question) {
+TEST(MaintenanceCommand, words_become_one_request) {
   auto const mark = parse_maintenance_command(
       {"maintenance", "mark", "a", "--opens-in", "3600", "--lasts", "7200", "--lead", "90", "--force"});
   ASSERT_TRUE(mark);
--- a/tests/programs/maintenance_interface_test.cpp
+++ b/tests/programs/maintenance_interface_test.cpp
@@ -23,7 +23,7 @@
   return read ? "taken" : error_of(read.error());
 }
 
-TEST(MaintenanceRequests, each_fault_has_its_name) {
+TEST(MaintenanceRequests, each_fault_has_its_error_name) {
   EXPECT_EQ(refusal_of(put("a", R"({"opens_in_s":100,"lasts_s":50})")), "taken");
   EXPECT_EQ(refusal_of(put("a", "")), "400 not_json");
   EXPECT_EQ(refusal_of(put("a", "{")), "400 not_json");
@@ -72,16 +72,16 @@
 TEST(MaintenanceCapacity, the_other_zones_must_have_as_many_free_slots_as_are_busy) {
   std::vector<ZoneEntry> const enough{entry("a", "s", 10, 4, 1), entry("b", "s", 10, 7), entry("c", "s", 10, 8)};
   EXPECT_FALSE(capacity_shortage("a", enough, {}));
-  EXPECT_TRUE(capacity_shortage("a", enough, {"c"})) << "c is under maintenance itself";
+  EXPECT_TRUE(capacity_shortage("a", enough, {"c"})) << "c is under maintenance too";
   std::vector<ZoneEntry> const full{entry("a", "s", 10, 4), entry("b", "s", 10, 7)};
   EXPECT_TRUE(capacity_shortage("a", full, {}));
   std::vector<ZoneEntry> const overloaded{entry("a", "s", 10, 3), entry("b", "s", 10, 30), entry("c", "s", 10, 8)};
-  EXPECT_TRUE(capacity_shortage("a", overloaded, {})) << "one zone's overload is no room in another";
+  EXPECT_TRUE(capacity_shortage("a", overloaded, {})) << "overload of one zone must not count as free slots of another";
   std::vector<ZoneEntry> const only_there{entry("a", "s", 10, 0), entry("b", "t", 10, 0)};
   EXPECT_TRUE(capacity_shortage("a", only_there, {}));
 }
 
-TEST(MaintenanceCapacity, the_stores_elsewhere_must_make_a_quorum) {
+TEST(MaintenanceCapacity, the_stores_in_other_zones_must_be_a_quorum) {
   std::vector<RegistryEntry> const registries{{"a", "10.0.0.1:1", 0}, {"b", "10.0.0.2:1", 0}, {"c", "10.0.0.3:1", 0}};
   VoterSet const voters = initial_set({"10.0.0.1:2", "10.0.0.2:2", "10.0.0.3:2"}, 1);
   EXPECT_FALSE(quorum_shortage("a", voters, registries, {}));
@@ -121,7 +121,7 @@
 }
 
 /** A fake registry with the members that the interface uses. */
-struct RegistryStandIn {
+struct FakeRegistry {
   struct Voters {
     VoterSet voters = initial_set({"10.0.0.1:2", "10.0.0.2:2", "10.0.0.3:2"}, 1);
     VoterSet const& set() const { return voters; }
@@ -144,9 +144,9 @@
   std::vector<ZoneEntry> offers{entry("a", "s", 10, 4), entry("b", "s", 10, 4), entry("c", "s", 10, 4)};
 };
 
-struct InterfaceTrial {
+struct MaintenanceInterfaceTrial {
   using Keeper = MaintenanceKeeper<SimProcess, RegisterStandIn>;
-  InterfaceTrial()
+  MaintenanceInterfaceTrial()
       : sim(1),
         net(sim),
         process(std::make_shared<SimProcess>(sim, net, "r", "r:1", 1)),
@@ -156,13 +156,13 @@
     spawn(*process, keeper.run());
     spawn(*process, interface.run());
   }
-  ~InterfaceTrial() {
+  ~MaintenanceInterfaceTrial() {
     process->kill();
     sim.clear();
   }
   HttpReply call(HttpRequest const& request) {
     HttpReply reply;
-    spawn(*process, [](InterfaceTrial& t, HttpRequest q, HttpReply& to) -> Task<void> {
+    spawn(*process, [](MaintenanceInterfaceTrial& t, HttpRequest q, HttpReply& to) -> Task<void> {
       to = co_await t.interface.call(std::move(q));
     }(*this, request, reply));
     sim.run_until(sim.now + 2s);
@@ -179,16 +179,16 @@
   OneRegister shared;
   std::shared_ptr<SimProcess> process;
   RegisterStandIn store;
-  RegistryStandIn registry;
+  FakeRegistry registry;
   Keeper keeper;
-  MaintenanceInterface<SimProcess, RegistryStandIn, Keeper> interface;
+  MaintenanceInterface<SimProcess, FakeRegistry, Keeper> interface;
 };
 
 constexpr char const* evening = R"({"opens_in_s":100,"lasts_s":50})";
 constexpr char const* forced = R"({"opens_in_s":100,"lasts_s":50,"force":true})";
 
-TEST(MaintenanceInterface, a_window_is_marked_once_listed_and_ended_once) {
-  InterfaceTrial trial;
+TEST(MaintenanceInterface, scheduling_and_ending_a_window_are_idempotent) {
+  MaintenanceInterfaceTrial trial;
   EXPECT_EQ(trial.outcome(put("a", evening)), "scheduled");
   RegisterValue const first = trial.shared.held;
   EXPECT_EQ(trial.outcome(put("a", evening)), "scheduled");
@@ -209,7 +209,7 @@
 
 // A zone whose backends are used rarely shows no load in most announcements.
 TEST(MaintenanceInterface, a_zone_is_clear_only_after_no_load_was_announced_for_a_while) {
-  InterfaceTrial trial;
+  MaintenanceInterfaceTrial trial;
   trial.registry.offers[0].services[0].running = 0;
   ASSERT_EQ(trial.outcome(put("a", R"({"opens_in_s":60,"lasts_s":50})")), "draining");
   auto const clear = [&] {
@@ -228,28 +228,28 @@
 }
 
 TEST(MaintenanceInterface, unknown_zones_and_second_zones_are_refused_by_name) {
-  InterfaceTrial trial;
+  MaintenanceInterfaceTrial trial;
   EXPECT_EQ(trial.outcome(put("nowhere", evening)), "404 unknown_zone");
   EXPECT_EQ(trial.outcome(put("a", evening)), "scheduled");
   EXPECT_EQ(trial.outcome(put("b", evening)), "409 other_zone");
   EXPECT_EQ(trial.outcome(put("b", R"({"opens_in_s":100,"lasts_s":50,"allow_second":true})")), "scheduled");
 }
 
-TEST(MaintenanceInterface, a_zone_that_the_others_cannot_stand_in_for_wants_force) {
-  InterfaceTrial trial;
+TEST(MaintenanceInterface, a_zone_that_the_others_cannot_replace_needs_force) {
+  MaintenanceInterfaceTrial trial;
   trial.registry.offers[1].services[0].running = 9;
   trial.registry.offers[2].services[0].running = 8;
   EXPECT_EQ(trial.outcome(put("a", evening)), "409 no_capacity");
   EXPECT_EQ(trial.outcome(put("a", forced)), "scheduled");
-  EXPECT_EQ(trial.outcome(put("a", evening)), "scheduled") << "a repeat is not judged again";
-  InterfaceTrial crowded;
+  EXPECT_EQ(trial.outcome(put("a", evening)), "scheduled") << "a repeat is not checked again";
+  MaintenanceInterfaceTrial crowded;
   crowded.registry.all.voters = initial_set({"10.0.0.1:2", "10.0.0.1:3", "10.0.0.3:2"}, 1);
   EXPECT_EQ(crowded.outcome(put("a", evening)), "409 no_quorum");
   EXPECT_EQ(crowded.outcome(put("a", forced)), "scheduled");
 }
 
-TEST(MaintenanceInterface, what_no_majority_has_taken_is_said_not_to_be_known) {
-  InterfaceTrial trial;
+TEST(MaintenanceInterface, a_change_without_a_majority_is_reported_as_not_known_to_be_taken) {
+  MaintenanceInterfaceTrial trial;
   trial.shared.reachable = false;
   EXPECT_EQ(trial.outcome(put("a", evening)), "503 not_known_to_be_taken");
   EXPECT_EQ(trial.outcome(HttpRequest{"DELETE", "/maintenance/a", {}, ""}), "503 not_known_to_be_taken");
--- a/tests/programs/maintenance_night_test.cpp
+++ b/tests/programs/maintenance_window_run_test.cpp
@@ -13,7 +13,7 @@
 constexpr Duration settle = 15s;  // for traffic and keys to leave the zone, from the start of the drain
 
 /** The results of a run. */
-struct Morning {
+struct RunResults {
   std::size_t twice = 0;  // executions of a non-repeatable request after the first
   std::size_t lost = 0;   // reported as done to the client, but not in the ledger
   std::size_t ran_though_refused = 0;
@@ -37,24 +37,24 @@
   }
 };
 
-struct Night {
-  explicit Night(std::uint64_t const seed) : mesh(seed, {"a", "b", "c"}) {}
+struct MaintenanceRun {
+  explicit MaintenanceRun(std::uint64_t const seed) : mesh(seed, {"a", "b", "c"}) {}
 
-  void look(Morning& m, bool const in_window) {
+  void look(RunResults& m, bool const in_window) {
     if (in_window) m.keys_in_window = std::max(m.keys_in_window, mesh.keys_held("a"));
     std::size_t const held = mesh.keys_held();
     m.fewest_keys_held = std::min(m.fewest_keys_held, held);
     if (in_window) m.fewest_keys_in_window = std::min(m.fewest_keys_in_window, held);
   }
-  void pass(Morning& m, Duration const d, bool const in_window = false) {
+  void pass(RunResults& m, Duration const d, bool const in_window = false) {
     for (Instant const end = mesh.sim.now + d; mesh.sim.now < end;) {
       mesh.run_for(100ms);
       look(m, in_window);
     }
   }
 
-  Morning play(bool const marked, Duration const dark_for) {
-    Morning m;
+  RunResults play(bool const marked, Duration const dark_for) {
+    RunResults m;
     EXPECT_TRUE(mesh.form());
     mesh.serving = true;
     pass(m, 10s);
@@ -103,7 +103,7 @@
   }
 
   // Compares each execution in the ledger with the outcome that its client was told.
-  void compare(Morning& m, Instant const dark_at) {
+  void compare(RunResults& m, Instant const dark_at) {
     std::map<std::string, std::size_t> by_attempt, by_request;
     for (LedgerEntry const& e : mesh.ledger) {
       ++by_attempt[e.request];
@@ -134,13 +134,13 @@
   MeshTrial mesh;
 };
 
-class MaintenanceNight : public testing::TestWithParam<std::uint64_t> {};
+class MaintenanceWindowRun : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(MaintenanceNight, leaves_ledger_and_clients_in_agreement_and_nobody_waits) {
+TEST_P(MaintenanceWindowRun, ledger_and_client_records_agree_and_no_request_is_delayed) {
   std::uint64_t const seed = GetParam();
-  Night night(seed);
+  MaintenanceRun run(seed);
   // The machines come back before the window closes, or after it, by seed.
-  Morning const m = night.play(true, seed % 2 == 0 ? 45s : 70s);
+  RunResults const m = run.play(true, seed % 2 == 0 ? 45s : 70s);
   EXPECT_GT(m.records, 3000u);
   EXPECT_EQ(m.twice, 0u);
   EXPECT_EQ(m.lost, 0u);
@@ -158,11 +158,11 @@
   EXPECT_EQ(m.phase, "over");
   EXPECT_GT(m.runs_after, 50u) << "traffic has not come back";
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, MaintenanceNight, testing::Values(1, 2, 3, 4));
+INSTANTIATE_TEST_SUITE_P(Seeds, MaintenanceWindowRun, testing::Values(1, 2, 3, 4));
 
-TEST(UnmarkedNight, without_the_mark_the_same_night_does_harm) {
-  Night night(1);
-  Morning const m = night.play(false, 70s);
+TEST(RunWithoutWindow, without_a_scheduled_window_requests_fail) {
+  MaintenanceRun run(1);
+  RunResults const m = run.play(false, 70s);
   EXPECT_TRUE(m.harm());
   EXPECT_GT(m.runs_in_window, 0u);
   EXPECT_LT(m.fewest_keys_in_window, 65536u);
@@ -174,7 +174,7 @@
 
 // Faults during a window: the zone under maintenance stays empty while any other zone
 // is up; if no other zone is up, it is used as if there were no window.
-TEST(MaintenanceFaults, a_marked_zone_is_used_again_only_if_nothing_else_is_there) {
+TEST(MaintenanceFaults, a_zone_under_maintenance_is_used_again_only_if_no_other_zone_is_up) {
   MeshTrial mesh(5, {"a", "b", "c"});
   ASSERT_TRUE(mesh.form());
   mesh.serving = true;
@@ -194,7 +194,7 @@
   EXPECT_GT(mesh.runs_in("a", none_left, mesh.sim.now), 100u);
 }
 
-TEST(MaintenanceFaults, ended_early_traffic_comes_back_little_by_little) {
+TEST(MaintenanceFaults, after_an_early_end_traffic_returns_gradually) {
   MeshTrial mesh(6, {"a", "b", "c"});
   ASSERT_TRUE(mesh.form());
   mesh.serving = true;
--- a/tests/programs/operator_streams_test.cpp
+++ b/tests/programs/operator_streams_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // A reader that is full after a given number of lines.
-struct SlowSink {
+struct SlowReader {
   std::vector<std::string> lines;
   std::size_t room = static_cast<std::size_t>(-1);
   bool gone = false;
@@ -21,7 +21,7 @@
   bool full() const { return lines.size() >= room; }
 };
 
-struct ScriptSource {
+struct ScriptedLines {
   SimProcess& p;
   std::vector<std::pair<Duration, std::string>> script;
   std::size_t at = 0;
@@ -48,15 +48,15 @@
   }
   void run(Duration const d) { sim_.run_until(sim_.now + d); }
   SimProcess& process() { return *controls_[2].process; }
-  void watch(std::string const& target, SlowSink& out) {
-    spawn(process(), [](OperatorStreams<SimProcess>& s, std::string t, SlowSink& o) -> Task<void> {
+  void watch(std::string const& target, SlowReader& out) {
+    spawn(process(), [](OperatorStreams<SimProcess>& s, std::string t, SlowReader& o) -> Task<void> {
       HttpRequest const q{"GET", t, {}, ""};
       std::optional<HttpReply> const no = co_await s.decisions(q, o);
       if (no) o.lines.push_back("status " + std::to_string(no->status));
     }(*streams, target, out));
   }
-  void watch_verdicts(std::string const& target, SlowSink& out) {
-    spawn(process(), [](OperatorStreams<SimProcess>& s, std::string t, SlowSink& o) -> Task<void> {
+  void watch_verdicts(std::string const& target, SlowReader& out) {
+    spawn(process(), [](OperatorStreams<SimProcess>& s, std::string t, SlowReader& o) -> Task<void> {
       HttpRequest const q{"GET", t, {}, ""};
       co_await s.verdicts(q, o);
       o.lines.push_back("over");
@@ -66,7 +66,7 @@
     spawn(process(),
           [](OperatorStreams<SimProcess>& s, SimProcess& p, std::vector<std::pair<Duration, std::string>> lines,
              HttpReply& r) -> Task<void> {
-            ScriptSource in{p, std::move(lines)};
+            ScriptedLines in{p, std::move(lines)};
             HttpRequest const q{"POST", "/changes?stream=op", {}, ""};
             r = co_await s.changes(q, in);
           }(*streams, process(), std::move(script), reply));
@@ -80,30 +80,30 @@
   std::unique_ptr<OperatorStreams<SimProcess>> streams;
 };
 
-TEST(OperatorStreams, decisions_of_every_cell_come_once_and_go_on_from_a_position) {
+TEST(OperatorStreams, decisions_of_every_zone_are_sent_once_and_resume_from_a_position) {
   StreamTrial t;
-  SlowSink first, second, dropped;
+  SlowReader first, second, dropped;
   t.watch("/decisions", first);
   t.watch("/decisions?decision=drop", dropped);
   t.run(5s);
   first.gone = true;
   t.run(1s);
   std::map<std::pair<std::string, std::uint64_t>, int> seen;
-  std::set<std::string> cells;
+  std::set<std::string> zones;
   std::string after;
-  auto const read = [&](SlowSink const& sink) {
+  auto const read = [&](SlowReader const& sink) {
     for (std::string const& line : sink.lines) {
       Json const j = Json::parse(line);
       EXPECT_FALSE(j.contains("gap")) << line;
       if (j.contains("pulse"))
         after = j["after"];
       else
-        ++seen[{j["node"], j["n"]}], cells.insert(j["cell"].get<std::string>());
+        ++seen[{j["node"], j["n"]}], zones.insert(j["cell"].get<std::string>());
     }
   };
   read(first);
   EXPECT_GT(seen.size(), 250u);
-  EXPECT_EQ(cells.size(), 4u);
+  EXPECT_EQ(zones.size(), 4u);
   std::size_t const lines_after_pulse = seen.size();
   seen.clear();
   t.watch("/decisions?after=" + after, second);
@@ -113,16 +113,16 @@
   EXPECT_GT(seen.size(), lines_after_pulse);
   for (std::string const& line : dropped.lines)
     EXPECT_TRUE(Json::parse(line).contains("pulse") || Json::parse(line)["decision"] == "drop") << line;
-  SlowSink bad;
+  SlowReader bad;
   t.watch("/decisions?after=node-1", bad);
   t.watch("/decisions?decision=perhaps", bad);
   t.run(1s);
   EXPECT_EQ(bad.lines, (std::vector<std::string>{"status 400", "status 400"}));
 }
 
-TEST(OperatorStreams, a_slow_reader_is_given_no_more_and_told_of_the_gap_and_a_restart) {
+TEST(OperatorStreams, a_slow_reader_gets_no_more_lines_and_is_told_of_gaps_and_restarts) {
   StreamTrial t;
-  SlowSink slow;
+  SlowReader slow;
   t.watch("/decisions", slow);
   t.run(3s);
   slow.room = slow.lines.size();
@@ -147,9 +147,9 @@
   EXPECT_EQ(again, 1u);
 }
 
-TEST(OperatorStreams, each_change_gets_its_verdict_in_order_as_it_falls) {
+TEST(OperatorStreams, each_change_gets_its_verdict_in_order_as_soon_as_it_is_known) {
   StreamTrial t;
-  SlowSink verdicts;
+  SlowReader verdicts;
   HttpReply reply;
   t.watch_verdicts("/verdicts?stream=op", verdicts);
   t.send({{100ms, R"({"change":"move","service":"deliveries","slices":[0,7],"to":"jnb-2","request":"m1"})"},
