--- a/source/state/zone_view.hpp
+++ b/source/state/zone_view.hpp
@@ -1,4 +1,4 @@
-// What is known of one cell, folded from changes in order: its members, its
+// What is known of one zone, folded from changes in order: its members, its
 // backends, and the other zones by their gateways and offers only.
 #pragma once
 
@@ -16,14 +16,14 @@
   std::map<std::pair<std::string, std::string>, BackendRecord> backends;
   std::map<std::string, ZoneEntry> zones;
 
-  /// Counts how often members came, went or changed their role or standing.
+  /// Counts how often members came, went or changed their role or liveness.
   std::uint64_t membership_version() const { return membership_version_; }
 
   void apply(Change const& c) {
     if (c.member) {
       auto const known = members.find(c.member->id);
       bool const dead = c.member->liveness == Liveness::dead;
-      if (known == members.end() ? !dead : dead || changes_role_or_standing(known->second, *c.member))
+      if (known == members.end() ? !dead : dead || changes_role_or_liveness(known->second, *c.member))
         ++membership_version_;
       if (dead) {
         members.erase(c.member->id);
@@ -68,7 +68,7 @@
   }
 
  private:
-  static bool changes_role_or_standing(Member const& before, Member const& after) {
+  static bool changes_role_or_liveness(Member const& before, Member const& after) {
     return before.role != after.role || before.liveness != after.liveness;
   }
   void apply_delta(ZoneEntryDelta const& delta) {
