--- a/tests/programs/maintenance_interface_test.cpp
+++ b/tests/programs/maintenance_interface_test.cpp
@@ -120,7 +120,7 @@
   }
 }
 
-/** A fake registry with the members that the interface uses. */
+/** What the interface asks of a registry. */
 struct FakeRegistry {
   struct Voters {
     VoterSet voters = initial_set({"10.0.0.1:2", "10.0.0.2:2", "10.0.0.3:2"}, 1);
@@ -187,7 +187,7 @@
 constexpr char const* evening = R"({"opens_in_s":100,"lasts_s":50})";
 constexpr char const* forced = R"({"opens_in_s":100,"lasts_s":50,"force":true})";
 
-TEST(MaintenanceInterface, scheduling_and_ending_a_window_are_idempotent) {
+TEST(MaintenanceInterface, a_window_is_marked_once_listed_and_ended_once) {
   MaintenanceInterfaceTrial trial;
   EXPECT_EQ(trial.outcome(put("a", evening)), "scheduled");
   RegisterValue const first = trial.shared.held;
@@ -235,20 +235,20 @@
   EXPECT_EQ(trial.outcome(put("b", R"({"opens_in_s":100,"lasts_s":50,"allow_second":true})")), "scheduled");
 }
 
-TEST(MaintenanceInterface, a_zone_that_the_others_cannot_replace_needs_force) {
+TEST(MaintenanceInterface, a_zone_that_the_others_cannot_stand_in_for_wants_force) {
   MaintenanceInterfaceTrial trial;
   trial.registry.offers[1].services[0].running = 9;
   trial.registry.offers[2].services[0].running = 8;
   EXPECT_EQ(trial.outcome(put("a", evening)), "409 no_capacity");
   EXPECT_EQ(trial.outcome(put("a", forced)), "scheduled");
-  EXPECT_EQ(trial.outcome(put("a", evening)), "scheduled") << "a repeat is not checked again";
+  EXPECT_EQ(trial.outcome(put("a", evening)), "scheduled") << "a repeat is not judged again";
   MaintenanceInterfaceTrial crowded;
   crowded.registry.all.voters = initial_set({"10.0.0.1:2", "10.0.0.1:3", "10.0.0.3:2"}, 1);
   EXPECT_EQ(crowded.outcome(put("a", evening)), "409 no_quorum");
   EXPECT_EQ(crowded.outcome(put("a", forced)), "scheduled");
 }
 
-TEST(MaintenanceInterface, a_change_without_a_majority_is_reported_as_not_known_to_be_taken) {
+TEST(MaintenanceInterface, what_no_majority_has_taken_is_said_not_to_be_known) {
   MaintenanceInterfaceTrial trial;
   trial.shared.reachable = false;
   EXPECT_EQ(trial.outcome(put("a", evening)), "503 not_known_to_be_taken");
