--- a/source/coordination/backend_side.hpp
+++ b/source/coordination/backend_side.hpp
@@ -1,6 +1,6 @@
-// The part of a node that stands beside the backends: it takes their beats,
-// watches their ports, spreads their drains, holds the leases of their slices,
-// and makes the call to one of them: one try, on what this node knows itself.
+// The part of a node that handles its local backends: it receives their heartbeats, probes their ports, announces
+// their drains, holds the leases of their slices, and executes calls on them, with one try each and only by the
+// node's own state.
 #pragma once
 
 #include "coordination/node_state.hpp"
@@ -9,8 +9,8 @@
 
 namespace banktide {
 
-// Makes the call to a backend on this machine: one fresh connection, no second
-// try, no redirect. The proof in its mishap says whether anything was sent.
+// Executes a call on a backend of this machine, over one new connection, without retries or redirects. The proof in
+// its error says whether the request can have run.
 template <class B>
 concept BackendEdge = requires(B& b, std::uint16_t port, HttpRequest q, Instant t) {
   { b.run(port, q, t) } -> std::same_as<Task<Result<HttpReply>>>;
@@ -54,7 +54,7 @@
     std::pair<std::string, std::string> const key{service, instance};
     std::uint16_t const port = (*j)["port"].get<std::uint16_t>();
     bool const leaving = j->value("leaving", false);
-    // A port speaks for one instance: the newest to beat from it.
+    // A port belongs to one instance: the last one that sent a heartbeat for it.
     std::erase_if(n_.local_backends,
                   [&](auto const& l) { return l.second.record.port == port && l.first != key && (n_.rejoin(), true); });
     auto it = n_.local_backends.find(key);
@@ -82,7 +82,7 @@
                       {{"known", true}, {"cell", settings_.zone}, {"node", settings_.id}, {"in_flight", l.in_flight}});
   }
 
-  // The part of the node beside the backend.
+  // Executes a call on a local backend, after checking that it may run here.
   Task<ForwardCallReply> execute(ForwardCall c) {
     notice_freeze();
     Instant const now = env_.now();
@@ -209,12 +209,11 @@
       if (l.refused) n_.rejoin();
   }
 
-  // A port at which nobody listens has lost its backend: nothing goes there
-  // until an instance beats from it again, so that whoever comes to the address
-  // next is not called in the old one's name.
-  // Each backend has a probe of its own, so that one that hangs delays no other.
-  // Who was frozen knows nothing of what its backends' ports have become. Until
-  // one beats again, and not with what lay unread meanwhile, nothing goes there.
+  // A port without a listener has lost its backend: no call goes there until an instance sends a heartbeat for it
+  // again, so that the next process at the address isn't called in place of the old one. Each backend is probed by
+  // itself, so that a hanging one delays no other. After a suspension this node doesn't know what has become of its
+  // backends' ports: no call goes to a backend until it sends another heartbeat, other than those that were buffered
+  // meanwhile.
   void notice_freeze() {
     if (env_.now() - tick_ > frozen_from) woke_ = env_.now();
     tick_ = env_.now();
--- a/source/coordination/caller_side.hpp
+++ b/source/coordination/caller_side.hpp
@@ -1,6 +1,5 @@
-// The part of a node that its callers meet: a call is admitted, its way found,
-// a target picked for each try, and the call carried there until it is answered
-// or given up. Each step lands in the journal of decisions.
+// The part of a node that serves local callers: it admits a call, finds its route, picks a target for each try, and
+// forwards the call until it is answered or given up. Each step is recorded in the decision log.
 #pragma once
 
 #include "coordination/backend_side.hpp"
@@ -142,7 +141,7 @@
       }
       if (!targets.empty()) return targets[pick(candidates, env_.chance())];
     }
-    // All that is left are ejected ones: better one of them than nothing.
+    // Only ejected targets are left: uses one of them rather than none.
     if (!ejected.empty() && tried.empty()) return ejected[env_.chance()() % ejected.size()];
     return std::nullopt;
   }
@@ -269,7 +268,7 @@
         maybe_ran = true;
         if (!repeatable && !broken_on_purpose("tries_unknown_again")) break;
       }
-      if (r.step == "lease") break;  // nobody else may have the slice either
+      if (r.step == "lease") break;  // no other node may hold the slice either
     }
     if (broken_on_purpose("calls_unknown_not_run")) maybe_ran = false;
     if (maybe_ran) last.proof = Proof::unknown;
--- a/source/coordination/carried_side.hpp
+++ b/source/coordination/carried_side.hpp
@@ -1,6 +1,5 @@
-// Calls that another node carried here: what came past its deadline doesn't
-// run, a call for a backend beside this node is made, and a gateway passes one
-// from another cell to a local backend or nowhere, once.
+// Handles calls forwarded by other nodes: a call that arrives after its deadline doesn't run, a call for a local
+// backend is executed, and a gateway forwards a call from another zone once, to a backend of its own zone only.
 #pragma once
 
 #include "coordination/caller_side.hpp"
@@ -24,16 +23,16 @@
   std::size_t in_flight() const { return carried_in_flight_; }
 
  private:
-  // After the news that this node leaves has had time to spread, calls carried
-  // here by late knowers are dropped as not run, so that the node empties.
+  // Once the nodes had time to learn that this node is leaving, calls that are still forwarded here are refused as
+  // not run, so that the node drains.
   bool refusing() const { return n_.leaving && env_.now() - n_.left_at > 2s; }
 
   std::int64_t clock_us() const {
     return std::chrono::duration_cast<std::chrono::microseconds>(env_.now().time_since_epoch()).count();
   }
 
-  // What the call lost on its way, in a frozen process or a held-up link; none
-  // if its sender can't be asked, or is no longer the process that sent it.
+  // How long the call was delayed on its way, in a suspended process or a stalled link; none if its sender can't be
+  // asked, or is no longer the process that sent the call.
   Task<std::optional<Duration>> late(ForwardCall const& c) {
     Instant const came = env_.now();
     std::optional<Duration> const known = transit_delay_.delay_of(c.sender, c.sent_us, came);
@@ -55,8 +54,7 @@
     co_return r;
   }
 
-  // What it lost on its way is gone from its time; past its deadline it doesn't
-  // run.
+  // Subtracts the delay from the call's remaining time; after its deadline it doesn't run.
   Task<ForwardCallReply> admitted(ForwardCall c) {
     if (!broken_on_purpose("runs_late")) {
       std::optional<Duration> const lost = co_await late(c);
@@ -70,7 +68,7 @@
     co_return co_await pass_on(std::move(c));
   }
 
-  // The gateway's part: to a local backend or nowhere, once.
+  // As a gateway, forwards the call once, to a backend of the own zone only.
   Task<ForwardCallReply> pass_on(ForwardCall c) {
     if (!settings_.gateway || !c.crossed) co_return not_run("gateway", settings_.id, "not a crossing for a gateway");
     std::shared_ptr<Rules const> const rules = n_.rules;
--- a/source/coordination/key_coordinator.hpp
+++ b/source/coordination/key_coordinator.hpp
@@ -1,6 +1,6 @@
-// In every registry: hears the nodes' reports about keys, and while it is the
-// acting coordinator, writes the tables that its planner makes. Two that act at
-// once do no harm: a table is written only over the one that it was made from.
+// Runs in every registry: receives the nodes' key reports and, while it is the acting coordinator, writes the key
+// tables that its planner makes. Two coordinators acting at once do no harm: a table only replaces the one that it
+// was made from.
 #pragma once
 
 #include "protocol/digest.hpp"
@@ -30,11 +30,11 @@
     });
   }
 
-  /// A chosen value of the register, learnt by other ways.
+  /// Takes in a chosen value of the register that was received elsewhere.
   void on_chosen(RegisterValue const& held) { accept(held); }
   /// Called with each table that this coordinator has written or read.
   std::function<void(RegisterValue const&)> on_table;
-  /// Zones whose backends are to hold no keys; may be left empty.
+  /// Returns the zones whose backends must not hold keys; may be left empty.
   std::function<std::set<std::string>()> withheld_zones;
 
   Task<void> run() {
@@ -91,7 +91,7 @@
     next.bytes = pack_key_table(*plan);
     next.digest = digest_of(next.bytes);
     auto const replace_previous = [next](RegisterValue const& newest) -> Result<RegisterValue> {
-      if (newest.revision + 1 != next.revision) return make_error("key table", "", "another table came first");
+      if (newest.revision + 1 != next.revision) return make_error("key table", "", "another table was written first");
       RegisterValue written = next;
       written.requests = newest.requests;
       return written;
@@ -103,7 +103,7 @@
       accept(*done);
     } else {
       log_info("key_table_not_written", {{"revision", std::to_string(next.revision)}, {"reason", done.error().reason}});
-      table_is_current_ = false;  // it may have been written all the same: read before the next plan
+      table_is_current_ = false;  // it may have been written nevertheless: read before the next plan
     }
   }
 
--- a/source/coordination/key_holder.cpp
+++ b/source/coordination/key_holder.cpp
@@ -1,6 +1,5 @@
-// Grants under a lease, and the proof that a row was let go: the backend names
-// it as released, or a later beat than the first whose answer left the row out
-// no longer shows it.
+// A row counts as released when the backend names it as released, or when a heartbeat after the first one whose reply
+// omitted the row no longer lists it.
 #include "coordination/key_holder.hpp"
 
 #include <algorithm>
@@ -12,11 +11,11 @@
 constexpr std::size_t released_limit = 256;
 constexpr std::size_t ended_limit = 8;
 constexpr std::size_t pending_leases_limit = 8;
-constexpr Duration suspension_gap = 1s;        // no report for longer than this: the process was frozen
-constexpr float hot_row_share = 0.15F;         // of the capacity, or else of the load: such a row's cuts are told
-constexpr float parts_of_coolest_hot_row = 4;  // into which such a row is cut
-constexpr float reported_parts = 64;           // of all hot rows together, about
-constexpr std::size_t cuts_limit = 96;         // ... and with those beside very hot keys
+constexpr Duration suspension_gap = 1s;        // no report for longer than this: the process was suspended
+constexpr float hot_row_share = 0.15F;         // of the capacity, or else of the load: the cuts of rows above it are reported
+constexpr float parts_of_coolest_hot_row = 4;  // the least hot of these rows is cut into this many parts
+constexpr float reported_parts = 64;           // approximate number for all hot rows together
+constexpr std::size_t cuts_limit = 96;         // including those next to very hot keys
 
 template <class A, class B>
 bool overlap(A const& a, B const& b) {
@@ -47,11 +46,11 @@
 void KeyGranter::start_instance(std::string const& instance) {
   if (!instance_.empty())
     await_end(PendingEnd{instance_, granted_until_, heartbeat_arrived_ + settings_.revoke_after,
-                         "another instance beats beside the same node"});
+                         "another instance sends heartbeats to the same node"});
   reset_instance();
   instance_ = instance;
   granted_until_ = previous_process_grants_end_;
-  // One that was taken for gone by mistake.
+  // This instance may have been replaced by mistake, and still hold what it was granted before.
   for (PendingEnd const& pending : pending_ends_)
     if (pending.instance == instance) granted_until_ = std::max(granted_until_, pending.held_until);
   std::erase_if(pending_ends_, [&](PendingEnd const& pending) { return pending.instance == instance; });
@@ -117,8 +116,8 @@
   detect_releases(heartbeat);
 }
 
-// Whether this process has been running for a while: right after a freeze, beats
-// of a former life may still be read after those of a later one.
+// Whether this process has been running for a while: right after a suspension, delayed heartbeats of a former
+// instance may be read after those of a later one.
 bool KeyGranter::runs_steadily(Instant const now) const {
   return now - last_report_ < suspension_gap && now - running_since_ > suspension_gap / 2;
 }
@@ -128,7 +127,7 @@
     std::erase_if(released_, [&](ReleasedToken const& known) { return overlap(known, range); });
     released_.push_back(ReleasedToken{range.from, range.to, 0, range.handover});
   }
-  // What it holds again is no longer released.
+  // Rows that it holds again are no longer released.
   std::erase_if(released_, [&](ReleasedToken const& known) {
     return std::any_of(held_.begin(), held_.end(), [&](HeldRange const& h) { return overlap(h, known); });
   });
@@ -136,7 +135,7 @@
   bind_releases_to_fences();
 }
 
-// A token is worth something only for the fence under which it was given.
+// A token is valid only for the fence under which it was issued.
 void KeyGranter::bind_releases_to_fences() {
   if (table_revision_ == 0) return;
   std::erase_if(released_, [&](ReleasedToken& known) {
@@ -155,8 +154,8 @@
   return "";
 }
 
-// A backend calls one beat after the other, so a beat shows the effect of every
-// answer before it: none of them can give the row back later.
+// A backend sends its heartbeats one after the other, so each one reflects all earlier replies: none of these can
+// grant the row again later.
 void KeyGranter::detect_releases(KeyHeartbeat const& heartbeat) {
   for (MovingRow& moving_away : moving_away_) {
     if (moving_away.released) continue;
@@ -174,8 +173,8 @@
 
 bool KeyGranter::leased(Instant const now) const { return lease_until_ && now < *lease_until_; }
 
-// The rows of this instance, without those on the move. Beyond the bound,
-// neighbours under one fence go as one row.
+// The rows of this instance, without those being moved. Beyond the limit, adjacent rows with the same fence are
+// merged into one.
 std::vector<KeyGrant> KeyGranter::rows_to_grant() const {
   std::vector<KeyGrant> rows;
   for (AssignedRow const& assigned : assigned_) {
@@ -205,7 +204,7 @@
   for (MovingRow& moving_away : moving_away_)
     if (moving_away.omitted_at == 0) moving_away.omitted_at = sequence;
   if (!leased(now)) return reply;
-  // Counted from the beat's arrival, which is no sooner than its sending.
+  // Counted from the heartbeat's arrival, which is never before its sending.
   Duration const within_lease =
       scaled(*lease_until_ - settings_.lease_margin - heartbeat_arrived_, 1 / (1 + settings_.clock_drift));
   Duration const hold = std::min(within_lease, settings_.hold_limit);
@@ -235,7 +234,7 @@
   });
 }
 
-// The counts of rows that stay are kept, also if they are cut or joined.
+// Keeps the load counts of rows that stay, also when rows are split or merged.
 void KeyGranter::update_served(std::vector<KeyGrant> const& rows, Instant const now) {
   std::vector<ServedRow> served;
   served.reserve(rows.size());
@@ -272,13 +271,13 @@
   start_pending_leases();
 }
 
-// One backend runs beside a node: an instance that the table still names here, while another one
-// beats, belongs to a life before it. One that this process knew has its hold awaited.
+// A node has one backend: an instance that the table still lists here while another one sends heartbeats has been
+// replaced. If this process knew it, its hold is waited for.
 void KeyGranter::end_instances_replaced_in_table() {
   if (instance_.empty()) return;
   for (AssignedRow const& assigned : assigned_)
     if (assigned.instance != instance_ && !is_pending(assigned.instance))
-      end_instance(assigned.instance, "another instance runs beside its node");
+      end_instance(assigned.instance, "another instance runs on its node");
 }
 
 void KeyGranter::update_moving_rows() {
@@ -323,7 +322,7 @@
   bool const may_hold_on = instance == instance_ && holder_state_ == KeyHolderState::serving && now < granted_until_;
   if (!may_hold_on) return end_instance(instance, "it signed off");
   signed_off_ = true;
-  holder_state_ = KeyHolderState::draining;  // so that others are chosen for its rows meanwhile
+  holder_state_ = KeyHolderState::draining;  // so that the coordinator chooses other holders for its rows meanwhile
   served_.clear();
   urgent_report_ = true;
 }
@@ -331,7 +330,7 @@
 void KeyGranter::end_expired_holds(Instant const now) {
   if (signed_off_ && now >= granted_until_) {
     std::string const instance = instance_;
-    end_instance(instance, "its hold has run out since it signed off");
+    end_instance(instance, "its hold has expired since it signed off");
   }
   std::vector<PendingEnd> const pending = pending_ends_;
   for (PendingEnd const& end : pending)
@@ -369,7 +368,7 @@
   for (ServedRow& row : served_) row.load.measure(now);
 }
 
-// The hottest rows' cuts, as far as a report has room for them.
+// The cuts of the hottest rows, as far as the report's limit allows.
 std::vector<KeyRowCuts> KeyGranter::cuts_of_hot_rows(float const capacity) const {
   std::vector<ServedRow const*> rows;
   float demand = 0;
--- a/source/coordination/key_holder.hpp
+++ b/source/coordination/key_holder.hpp
@@ -1,8 +1,7 @@
-// Beside a backend of a keyed service: which keys the backend may hold, for how
-// long, and whether a request may be sent to it. A node grants only under its
-// lease, which a reading of the table confirmed by a majority gives from when
-// the question was sent; every hold ends before that lease, even by a slow
-// clock. State only: the caller brings the time, the beats and the tables.
+// Grants key ranges to a node's local backend of a keyed service: which keys the backend may hold, for how long, and
+// whether a request may be sent to it. A node grants only under its lease. The lease starts when the request for a
+// reading of the key table was sent, once a majority has confirmed that reading; every hold ends before the lease
+// does, even by a slow clock. Contains no I/O: the caller passes in the time, the heartbeats and the tables.
 #pragma once
 
 #include "coordination/key_load.hpp"
@@ -25,13 +24,13 @@
   std::string handover;
 };
 
-// A backend's heartbeat, as far as it's about keys.
+// The part of a backend's heartbeat that concerns keys.
 struct KeyHeartbeat {
   std::string instance;
-  std::uint64_t sequence = 0;  // rises with each beat of an instance
+  std::uint64_t sequence = 0;  // increases with each heartbeat of an instance
   KeyHolderState state = KeyHolderState::serving;
   std::uint32_t slots = 1;
-  std::vector<HeldRange> held;  // holds or still works on
+  std::vector<HeldRange> held;  // rows that it holds or still works on
   std::vector<ReleasedRange> released;
 };
 
@@ -43,7 +42,7 @@
   bool operator==(KeyGrant const&) const = default;
 };
 
-// The answer to a beat. Without `renews` it says nothing of keys.
+// The reply to a heartbeat. Without `renews` it contains no grant.
 struct KeyHeartbeatReply {
   bool renews = false;
   std::vector<KeyGrant> rows;
@@ -52,56 +51,56 @@
 
 class KeyGranter {
  public:
-  /// `started`: of this process. What a process before it granted may be held for a whole term after that.
+  /// `started` is when this process started. What its predecessor granted may be held for a whole term after that.
   KeyGranter(std::string service, std::string node, std::string address, std::string zone, KeySettings settings,
              Instant started);
 
-  /// Takes a beat in when it arrives. The answer may be given later, when
-  /// `answer_may_wait` says that nothing new is to be told. The caller decides which instance counts
-  /// here; of the one before, which may run on all the same, the end is told once its hold has run out, or
-  /// it has been silent for as long as makes a holder revoked while the other went on beating.
+  /// Takes in a heartbeat when it arrives. The reply may be delayed while `reply_may_wait` says that it would change
+  /// nothing. The caller decides which instance is the current one. The previous instance may still be running; its
+  /// end is reported once its hold has expired, or once it has been silent for `revoke_after` while the current one
+  /// kept sending heartbeats.
   void take_heartbeat(Instant now, KeyHeartbeat const& heartbeat);
-  /// The answer to the beat with that number, which must be the last taken in.
+  /// The reply to the heartbeat with this sequence number, which must be the last one taken in.
   KeyHeartbeatReply reply(Instant now, std::string const& instance, std::uint64_t sequence);
-  /// Both at once.
+  /// Takes in a heartbeat and returns its reply.
   KeyHeartbeatReply handle_heartbeat(Instant now, KeyHeartbeat const& heartbeat);
-  /// Whether the answer to the last beat would change nothing at the backend.
+  /// Whether the reply to the last heartbeat would change nothing at the backend.
   bool reply_may_wait(Instant now) const;
 
-  /// A chosen table, from whomever; older ones change nothing.
+  /// Takes in a chosen table from any source; older tables are ignored.
   void on_table(KeyTable const& table);
-  /// A majority confirmed that no newer table was chosen when the question was sent, at `sent`.
-  /// The lease starts once a table of at least that revision is here; one that is running
-  /// goes on meanwhile, as its own reading still holds.
+  /// A majority confirmed that no newer table had been chosen when the request was sent, at `sent`. The lease starts
+  /// once a table of at least that revision has arrived; a running lease continues meanwhile, because its own reading
+  /// is still valid.
   void on_confirmed(Revision revision, Instant sent);
-  /// The process of an instance is proved to have ended, or left in order.
+  /// The process of an instance is proved to have ended, or has shut down gracefully.
   void on_instance_ended(std::string const& instance, std::string const& reason);
-  /// An instance has signed off, but its process may serve on for a while: it gets nothing
-  /// more to run, and its end is told once the hold that it was given last has run out.
-  /// One that was draining before ends as it signs off.
+  /// An instance has signed off, but its process may keep serving for a while: it gets no more requests, and its end
+  /// is reported once its last hold has expired. An instance that was draining before ends at once.
   void on_instance_signed_off(std::string const& instance, Instant now);
 
-  /// Whether a request on a key may be sent to the backend now: the fence of
-  /// its row, if work of the expected length ends within the hold.
+  /// The fence of the key's row if a request may be sent to the backend now, that is, if work of the expected length
+  /// ends within the hold; else none.
   std::optional<std::uint32_t> may_run(std::uint16_t key, Instant now, Duration expected) const;
-  /// Whether the newest table gives the key to this backend for good: if it may not run yet, it will soon.
+  /// Whether the newest table assigns the key to this backend, without a move or revocation; if a request may not run
+  /// yet, it will be allowed soon.
   bool is_assigned(std::uint16_t key) const;
-  /// A request on a key has come: it counts for the load of its row, run or not.
+  /// Counts an arrived request on a key for the load of its row, whether it runs or not.
   void count(std::uint16_t key);
 
-  /// What the coordinators are to know; takes the count of requests since the last.
+  /// The report for the coordinators; includes the requests counted since the last report.
   KeyReport report(Instant now, float busy, float capacity = 0);
-  /// Whether there is news that a report should carry at once.
+  /// Whether something has changed that should be reported at once.
   bool has_urgent_report() const { return urgent_report_; }
 
   std::string const& instance() const { return instance_; }
-  /// Whether the last answer gave the backend no row.
+  /// Whether the last reply granted the backend no row.
   bool grants_nothing() const { return served_.empty(); }
   Revision table_revision() const { return table_revision_; }
   bool leased(Instant now) const;
 
  private:
-  // A row that the table gives to this node's instance, or to one that ended here.
+  // A row that the table assigns to this node's instance, or to a former instance here.
   struct AssignedRow {
     KeyRow row;
     std::string instance;
@@ -116,23 +115,23 @@
     std::uint32_t fence = 0;  // 0: not known yet
     std::string handover;
   };
-  // A row in a planned move away from here.
+  // A row that is being moved away by plan.
   struct MovingRow {
     KeyRow row;
-    std::uint64_t omitted_at = 0;  // the first beat whose answer left it out
+    std::uint64_t omitted_at = 0;  // the first heartbeat whose reply omitted it
     bool released = false;
     std::string handover;
   };
 
-  // An instance that gets nothing more, and what it was granted last.
+  // An instance that gets no more grants, and the end of its last one.
   struct PendingEnd {
     std::string instance;
     Instant held_until{};
-    Instant silent_until{};  // if it is, while another one beats on, its process has ended
+    Instant silent_until{};  // if it is silent until then while another one sends heartbeats, its process has ended
     std::string reason;
   };
 
-  // A confirmed reading whose table isn't here yet.
+  // A confirmed reading whose table hasn't arrived yet.
   struct PendingLease {
     Revision revision = 0;
     Instant until{};
@@ -162,20 +161,20 @@
 
   std::string const service_, node_, address_, zone_;
   KeySettings const settings_;
-  Instant const previous_process_grants_end_;  // the last end of a hold that a process before this one gave
+  Instant const previous_process_grants_end_;  // when the last hold granted by the previous process ends at the latest
 
   std::string instance_;
-  std::uint64_t sequence_ = 0;  // of the last beat
-  std::size_t heartbeats_ = 0;  // of this life, heard here
+  std::uint64_t sequence_ = 0;  // of the last heartbeat
+  std::size_t heartbeats_ = 0;  // received from this instance
   Instant heartbeat_arrived_{};
   KeyHolderState holder_state_ = KeyHolderState::serving;
   std::uint32_t slots_ = 1;
-  std::vector<HeldRange> held_;          // by the last beat
-  std::vector<ReleasedToken> released_;  // tokens of what was let go and not granted again
-  std::vector<ServedRow> served_;        // by the last answer that renewed
+  std::vector<HeldRange> held_;          // by the last heartbeat
+  std::vector<ReleasedToken> released_;  // tokens of rows that were released and not granted again
+  std::vector<ServedRow> served_;        // by the last reply that renewed
   Instant hold_end_{};
-  Instant granted_until_{};  // by the slowest clock that a backend may have
-  bool signed_off_ = false;  // the instance: it ends at `granted_until_`
+  Instant granted_until_{};  // by the slowest allowed backend clock
+  bool signed_off_ = false;  // the current instance has signed off; it ends at `granted_until_`
   std::vector<MovingRow> moving_away_;
   std::vector<PendingEnd> pending_ends_;
   std::vector<KeyEnd> ended_;
--- a/source/coordination/key_load.cpp
+++ b/source/coordination/key_load.cpp
@@ -1,4 +1,4 @@
-// Means that are quick at first and steady later.
+// Rates whose mean converges quickly at first and is smooth later.
 #include "coordination/key_load.hpp"
 
 #include <algorithm>
@@ -12,8 +12,8 @@
 
 constexpr double min_measured_seconds = 0.4;
 constexpr double max_measured_seconds = 10;
-constexpr double significant_deviation = 5;  // standard deviations from which a count is no chance
-constexpr double weight_decay_seconds = 4;   // in which a key's former requests lose most of their weight
+constexpr double significant_deviation = 5;  // standard deviations above which a count counts as a change of load
+constexpr double weight_decay_seconds = 4;   // time constant of the decay of a key's weight
 
 }  // namespace
 
@@ -32,8 +32,8 @@
   return std::accumulate(weights_.begin() + (from - from_), weights_.begin() + (to - from_) + 1, 0.0F) / all;
 }
 
-// A part of a known row is known at once; a row joined from parts is as well known
-// as the least known of them.
+// A part of a measured row counts as measured at once; a row merged from parts has the shortest measuring time among
+// them.
 void KeyLoad::inherit(KeyLoad const& other) {
   std::uint16_t const from = std::max(from_, other.from_), to = std::min(to_, other.to_);
   for (std::uint32_t key = from; key <= to; ++key) {
--- a/source/coordination/key_load.hpp
+++ b/source/coordination/key_load.hpp
@@ -1,7 +1,6 @@
-// The load of a row of keys that a backend serves: requests a second on the
-// whole, and how they are spread over its keys, so that a hot row can be cut
-// where its load is. A row's mean counts from when it came, over 10 s at most; it
-// begins anew when the latest count can't be chance any more.
+// The load of a row of keys that a backend serves: its requests per second, and how they are distributed over the
+// keys, so that a hot row can be split where its load is. The mean covers the time since the row was granted, at most
+// 10 s; it restarts when the latest count deviates by more than chance explains.
 #pragma once
 
 #include "protocol/key_messages.hpp"
@@ -13,15 +12,15 @@
   KeyLoad(std::uint16_t from, std::uint16_t to, Instant since);
 
   void count(std::uint16_t key);
-  /// Takes what another row's load tells of the keys that both have.
+  /// Takes over the counts of another row's load for the keys that both contain.
   void inherit(KeyLoad const& other);
-  /// Takes the counts into the rates, if enough time has passed.
+  /// Updates the rate from the counts, if enough time has passed.
   void measure(Instant now);
 
-  /// Requests a second; below 0 until measured.
+  /// Requests per second; negative until measured.
   float rate() const { return measured_ ? rate_ : -1; }
   float seconds() const { return static_cast<float>(seconds_); }
-  /// Cuts into parts of about the given rate; a key above it is a part by itself.
+  /// Cuts that split the row into parts of about the given rate; a hotter key becomes a part by itself.
   std::vector<KeyCut> cuts(float part, std::size_t limit) const;
 
  private:
@@ -35,7 +34,7 @@
   float rate_ = 0;
   double seconds_ = 0;
   std::vector<std::uint16_t> counts_;  // of each key, since the last measurement
-  std::vector<float> weights_;         // of each key, decayed counts
+  std::vector<float> weights_;         // decayed count of each key
 };
 
 }  // namespace banktide
--- a/source/coordination/slice_leases.hpp
+++ b/source/coordination/slice_leases.hpp
@@ -1,7 +1,6 @@
-// The node's side of the key-slice leases. It counts a term from before it
-// asked, admits a call only if the call's deadline ends inside the term, and
-// lets a slice go only when nothing of it is in flight; a call of unknown
-// outcome stays in flight until its deadline.
+// The node's side of the key-slice leases. A term counts from before the request was sent, a call is admitted only if
+// its deadline is within the term, and a slice is released only when none of its calls is in flight; a call with an
+// unknown outcome counts as in flight until its deadline.
 #pragma once
 
 #include "coordination/lease_voter.hpp"
@@ -25,7 +24,7 @@
     bool wanted = false;
   };
 
-  // Admits a call for the slice, if the lease outlasts the deadline.
+  // Admits a call for the slice if the lease ends after the call's deadline; returns the lease's epoch.
   Result<std::uint64_t> admit(Slice const& s, std::string const& instance, Instant const deadline) {
     auto const it = held_.find(s);
     if (broken_on_purpose("no_lease")) return std::uint64_t{1};
@@ -40,7 +39,7 @@
     return l.epoch;
   }
 
-  // `until`: when the call is surely over; its deadline if the outcome is unknown.
+  // Ends a call. `until` is when it is certainly over: its deadline if the outcome is unknown.
   void done(Slice const& s, Instant const until) {
     auto const it = held_.find(s);
     if (it == held_.end()) return;
@@ -48,8 +47,8 @@
     it->second.busy_until = std::max(it->second.busy_until, until);
   }
 
-  // One round: claims what this node should serve, renews, and releases what
-  // it should not and has emptied.
+  // One round: claims the slices that this node should serve, renews its leases, and releases the slices that it
+  // should no longer serve and that have no calls in flight.
   Task<void> round(std::string const holder, std::map<Slice, std::string> const wanted,
                    std::vector<Address> const registries, std::size_t const majority) {
     Instant const start = env_.now();
