--- a/source/coordination/backend_side.hpp
+++ b/source/coordination/backend_handler.hpp
@@ -21,13 +21,13 @@
 class BackendHandler {
  public:
   BackendHandler(NodeState<Env>& n, B& edge)
-      : n_(n), env_(n.env), settings_(n.settings), edge_(edge), leases_(n.env), tick_(n.env.now()) {}
+      : n_(n), env_(n.env), settings_(n.settings), edge_(edge), leases_(n.env), last_tick_(n.env.now()) {}
 
   void start(Dispatcher& dispatcher) {
     dispatcher.on<Drain>([this](Drain q) { return drain(std::move(q)); });
-    spawn(env_, keep_leases());
-    spawn(env_, keep_probing());
-    spawn(env_, keep_expiring());
+    spawn(env_, lease_loop());
+    spawn(env_, probe_loop());
+    spawn(env_, expiry_loop());
   }
 
   SliceLeases<Env> const& leases() const { return leases_; }
@@ -41,8 +41,8 @@
       "burden": {"type": "integer", "minimum": 0, "maximum": 1000000},
       "leaving": {"type": "boolean"}}})";
 
-  HttpReply beat(std::string const& body) {
-    notice_freeze();
+  HttpReply on_heartbeat(std::string const& body) {
+    detect_suspension();
     Result<Json> j = parse_json(body, 4096);
     Result<bool> const fits = j ? check_schema(*j, heartbeat_schema) : Result<bool>(tl::unexpected<Error>(j.error()));
     if (!fits) {
@@ -60,7 +60,7 @@
     auto it = n_.local_backends.find(key);
     if (it == n_.local_backends.end()) {
       if (n_.local_backends.size() >= 256)
-        return json_reply(503, {{"error", "256 backends beat here already"}, {"step", "beat"}});
+        return json_reply(503, {{"error", "256 backends are registered here already"}, {"step", "beat"}});
       it = n_.local_backends.emplace(key, LocalBackendState{}).first;
       it->second.record = BackendRecord{service, instance, settings_.id, port, 0, Liveness::alive};
       n_.rejoin();
@@ -71,7 +71,7 @@
     if (liveness != l.record.liveness || port != l.record.port || running / 4 != l.record.running / 4) n_.rejoin();
     if (liveness == Liveness::leaving && l.record.liveness != Liveness::leaving) {
       l.record.liveness = liveness;
-      spawn(env_, spread_drain(l.record));
+      spawn(env_, broadcast_drain(l.record));
     }
     l.record.liveness = liveness;
     l.record.port = port;
@@ -84,32 +84,32 @@
 
   // Executes a call on a local backend, after checking that it may run here.
   Task<ForwardCallReply> execute(ForwardCall c) {
-    notice_freeze();
+    detect_suspension();
     Instant const now = env_.now();
     Instant const deadline = now + std::chrono::milliseconds(c.budget_ms);
     std::pair<std::string, std::string> const key{c.service, c.instance};
     Index const s = n_.rules->layout.service_names.find(c.service);
-    if (s == no_index) co_return not_run("backend", settings_.id, "service is in no layout here");
+    if (s == no_index) co_return not_run("backend", settings_.id, "the service is not in this node's layout");
     Service const& service = n_.rules->layout.services[s];
     std::string const named = service.keyed() ? header_of(c.request, service.key_header) : "";
     if (service.keyed() != c.keyed || (c.keyed && (named.empty() || service.slice_of(named) != c.slice)))
-      co_return not_run("slice", settings_.id, "layouts differ on the key's slice");
+      co_return not_run("slice", settings_.id, "the layouts disagree about the key's slice");
     ZoneChoice const choice = n_.choose(*n_.rules, s, c.slice);
     if (!choice.in_own_zone && !choice.by_home && !broken_on_purpose("old_catalogue"))
-      co_return not_run("catalogue", settings_.id, "the catalogue here has it elsewhere");
+      co_return not_run("catalogue", settings_.id, "this node's catalogue places the slice in another zone");
     auto const it = n_.local_backends.find(key);
     if (it == n_.local_backends.end() || !n_.usable(it->second, now))
-      co_return not_run("backend", settings_.id, "backend is gone, leaving or silent");
-    if (it->second.last_heartbeat < woke_ + settling && !broken_on_purpose("trusts_thawed"))
-      co_return not_run("backend", settings_.id, "backend has not beaten since this node was frozen");
+      co_return not_run("backend", settings_.id, "the backend is gone, leaving or silent");
+    if (it->second.last_heartbeat < resumed_at_ + resume_settling_time && !broken_on_purpose("trusts_thawed"))
+      co_return not_run("backend", settings_.id, "no heartbeat from the backend since this node was suspended");
     if (it->second.in_flight >= settings_.backend_limit)
-      co_return not_run("backlog", settings_.id, "backend has its fill");
+      co_return not_run("backlog", settings_.id, "the backend's limit of concurrent calls is reached");
     Slice const slice{c.service, service.mapping(), c.slice};
     std::uint64_t epoch = 0;
     if (c.keyed) {
       auto const lease = leases_.held().find(slice);
       if (lease != leases_.held().end() && lease->second.in_flight >= settings_.slice_limit)
-        co_return not_run("backlog", settings_.id, "slice has its fill");
+        co_return not_run("backlog", settings_.id, "the slice's limit of concurrent calls is reached");
       Result<std::uint64_t> const admitted = leases_.admit(slice, c.instance, deadline);
       if (!admitted) co_return not_run(admitted.error().step, settings_.id, admitted.error().reason);
       epoch = *admitted;
@@ -138,7 +138,7 @@
           unknown ? Outcome::unknown : Outcome::not_run, {}, reply.error().step, settings_.id, reply.error().reason};
     bool const marked = std::any_of(reply->headers.begin(), reply->headers.end(),
                                     [](Header const& h) { return h.name == "banktide-not-run"; });
-    if (marked) co_return not_run("backend_said", settings_.id, "backend says it did not run");
+    if (marked) co_return not_run("backend_said", settings_.id, "the backend reports that the call did not run");
     strip_hop(reply->headers, false);
     co_return ForwardCallReply{Outcome::answered, std::move(*reply), "", "", ""};
   }
@@ -173,7 +173,7 @@
   }
 
  private:
-  Task<void> spread_drain(BackendRecord const b) {
+  Task<void> broadcast_drain(BackendRecord const b) {
     log_info("drain", {{"service", b.service}, {"instance", b.instance}});
     std::pair<std::string, std::string> const key{b.service, b.instance};
     for (int i = 0; i < 60 && n_.local_backends.contains(key) && !broken_on_purpose("drain_unheard"); ++i) {
@@ -188,7 +188,7 @@
     co_return NoReply{};
   }
 
-  Task<void> keep_expiring() {
+  Task<void> expiry_loop() {
     while (true) {
       co_await sleep_for(env_, 200ms);
       expire(env_.now());
@@ -214,15 +214,15 @@
   // itself, so that a hanging one delays no other. After a suspension this node doesn't know what has become of its
   // backends' ports: no call goes to a backend until it sends another heartbeat, other than those that were buffered
   // meanwhile.
-  void notice_freeze() {
-    if (env_.now() - tick_ > frozen_from) woke_ = env_.now();
-    tick_ = env_.now();
+  void detect_suspension() {
+    if (env_.now() - last_tick_ > suspension_threshold) resumed_at_ = env_.now();
+    last_tick_ = env_.now();
   }
 
-  Task<void> keep_probing() {
+  Task<void> probe_loop() {
     while (true) {
       co_await sleep_for(env_, 100ms);
-      notice_freeze();
+      detect_suspension();
       for (auto& [key, l] : n_.local_backends) {
         if (l.refused || l.probing || broken_on_purpose("no_probe")) continue;
         l.probing = true;
@@ -243,7 +243,7 @@
     n_.rejoin();
   }
 
-  Task<void> keep_leases() {
+  Task<void> lease_loop() {
     while (true) {
       co_await sleep_for(env_, 400ms);
       if (!n_.has_confirmed_values) continue;
@@ -271,8 +271,8 @@
   ProxySettings& settings_;
   B& edge_;
   SliceLeases<Env> leases_;
-  static constexpr Duration frozen_from = 300ms, settling = 100ms;
-  Instant tick_, woke_{};
+  static constexpr Duration suspension_threshold = 300ms, resume_settling_time = 100ms;
+  Instant last_tick_, resumed_at_{};
 };
 
 }  // namespace banktide
--- a/source/coordination/caller_side.hpp
+++ b/source/coordination/call_handler.hpp
@@ -2,7 +2,7 @@
 // forwards the call until it is answered or given up. Each step is recorded in the decision log.
 #pragma once
 
-#include "coordination/backend_side.hpp"
+#include "coordination/backend_handler.hpp"
 #include "protocol/call.hpp"
 #include "state/decision_log.hpp"
 #include "state/pick.hpp"
@@ -14,17 +14,17 @@
   Address node;
   std::string instance;  // empty: a gateway
   std::string cell;
-  std::string mark;
+  std::string history_key;
 };
 
 template <Environment Env, BackendEdge B>
 class CallHandler {
  public:
-  CallHandler(NodeState<Env>& n, BackendHandler<Env, B>& beside)
+  CallHandler(NodeState<Env>& n, BackendHandler<Env, B>& backend_handler)
       : n_(n),
         env_(n.env),
         settings_(n.settings),
-        beside_(beside),
+        backend_handler_(backend_handler),
         journal_(n.settings.id, n.incarnation, n.settings.decisions_kept) {}
 
   void start(Dispatcher& dispatcher) {
@@ -44,15 +44,15 @@
     Instant const start = env_.now();
     std::shared_ptr<Rules const> const rules = n_.rules;
     if (!n_.ready())
-      co_return dropped(
+      co_return drop_call(
           chart, id, *rules, "", 503,
           Error{"admit", settings_.id, n_.leaving ? "node is leaving" : "node is not ready", Proof::not_run});
     if (calls_in_flight_ >= 4096)
-      co_return dropped(chart, id, *rules, "", 503, Error{"admit", settings_.id, "backlog full", Proof::not_run});
+      co_return drop_call(chart, id, *rules, "", 503, Error{"admit", settings_.id, "backlog full", Proof::not_run});
     Index const s = rules->layout.service_of_path(q.target);
     if (s == no_index)
-      co_return dropped(chart, id, *rules, "", 404,
-                        Error{"find_way", settings_.id, "no way for this path", Proof::not_run});
+      co_return drop_call(chart, id, *rules, "", 404,
+                          Error{"find_way", settings_.id, "no route for this path", Proof::not_run});
     Service const& service = rules->layout.services[s];
     ForwardCall carry;
     carry.service = service.name;
@@ -60,31 +60,32 @@
     if (service.keyed()) {
       std::string const key = header_of(q, service.key_header);
       if (key.empty())
-        co_return dropped(chart, id, *rules, service.name, 400,
-                          Error{"find_key", settings_.id, "no key in header " + service.key_header, Proof::not_run});
+        co_return drop_call(chart, id, *rules, service.name, 400,
+                            Error{"find_key", settings_.id, "no key in header " + service.key_header, Proof::not_run});
       carry.keyed = true;
       carry.slice = service.slice_of(key);
     }
-    Duration patience = service.timeout;
+    Duration time_limit = service.timeout;
     std::string const asked = header_of(q, "banktide-timeout-ms");
     if (!asked.empty()) {
       if (asked.size() > 5 || asked.find_first_not_of("0123456789") != std::string::npos || std::stoul(asked) < 1)
-        co_return dropped(chart, id, *rules, service.name, 400,
-                          Error{"find_deadline", settings_.id, "banktide-timeout-ms must be 1..99999", Proof::not_run});
-      patience = std::min<Duration>(patience, std::chrono::milliseconds(std::stoul(asked)));
+        co_return drop_call(
+            chart, id, *rules, service.name, 400,
+            Error{"find_deadline", settings_.id, "banktide-timeout-ms must be 1..99999", Proof::not_run});
+      time_limit = std::min<Duration>(time_limit, std::chrono::milliseconds(std::stoul(asked)));
     }
     ZoneChoice const choice = n_.choose(*rules, s, carry.slice);
     if (broken_on_purpose("drops_all"))
-      co_return dropped(chart, id, *rules, service.name, 503, Error{"decide", settings_.id, "", Proof::not_run});
+      co_return drop_call(chart, id, *rules, service.name, 503, Error{"decide", settings_.id, "", Proof::not_run});
     if (!choice.refusal.empty())
-      co_return dropped(chart, id, *rules, service.name, 503,
-                        Error{"decide", settings_.id, choice.refusal, Proof::not_run}, &carry);
+      co_return drop_call(chart, id, *rules, service.name, 503,
+                          Error{"decide", settings_.id, choice.refusal, Proof::not_run}, &carry);
     bool const repeatable = service.may_repeat(q.method);
     carry.request = std::move(q);
     strip_hop(carry.request.headers, true);
     chart.step(CallState::admitted);
     ++calls_in_flight_;
-    HttpReply reply = co_await tries(chart, id, *rules, choice, std::move(carry), repeatable, start + patience);
+    HttpReply reply = co_await run_tries(chart, id, *rules, choice, std::move(carry), repeatable, start + time_limit);
     --calls_in_flight_;
     co_return reply;
   }
@@ -99,7 +100,7 @@
       BackendRecord const* const owner = n_.owner_of(service, slice, now);
       if (owner == nullptr) return std::nullopt;
       Target t = to_backend(*owner);
-      if (tried.contains(t.mark)) return std::nullopt;
+      if (tried.contains(t.history_key)) return std::nullopt;
       return t;
     }
     if (choice.in_own_zone && !(broken_on_purpose("crosses_first") && may_cross && !n_.view.zones.empty())) {
@@ -108,13 +109,13 @@
         BackendRecord const& b = it->second;
         if (!n_.fit(b, now)) continue;
         Target t = to_backend(b);
-        if (tried.contains(t.mark)) continue;
-        if (marks_.ejected(t.mark, now) || marks_.ejected("n:" + t.node, now)) {
+        if (tried.contains(t.history_key)) continue;
+        if (histories_.ejected(t.history_key, now) || histories_.ejected("n:" + t.node, now)) {
           ejected.push_back(std::move(t));
           continue;
         }
-        candidates.push_back(Candidate{static_cast<double>(b.running) + marks_.at(t.mark, now).in_flight,
-                                       marks_.slow_start_share(t.mark, now)});
+        candidates.push_back(Candidate{static_cast<double>(b.running) + histories_.at(t.history_key, now).in_flight,
+                                       histories_.slow_start_share(t.history_key, now)});
         targets.push_back(std::move(t));
       }
       if (!targets.empty()) return targets[pick(candidates, env_.chance())];
@@ -126,16 +127,16 @@
           continue;
         if (name == settings_.zone || std::find(cell.offers.begin(), cell.offers.end(), service) == cell.offers.end())
           continue;
-        if (tried.contains("c:" + name) || marks_.ejected("c:" + name + "/" + service, now)) continue;
+        if (tried.contains("c:" + name) || histories_.ejected("c:" + name + "/" + service, now)) continue;
         for (Member const& g : cell.gateways) {
           Target t{g.address, "", name, "g:" + g.address};
-          if (tried.contains(t.mark)) continue;
-          if (marks_.ejected(t.mark, now) || marks_.ejected("n:" + g.address, now)) {
+          if (tried.contains(t.history_key)) continue;
+          if (histories_.ejected(t.history_key, now) || histories_.ejected("n:" + g.address, now)) {
             ejected.push_back(std::move(t));
             continue;
           }
-          candidates.push_back(
-              Candidate{static_cast<double>(marks_.at(t.mark, now).in_flight), marks_.slow_start_share(t.mark, now)});
+          candidates.push_back(Candidate{static_cast<double>(histories_.at(t.history_key, now).in_flight),
+                                         histories_.slow_start_share(t.history_key, now)});
           targets.push_back(std::move(t));
         }
       }
@@ -147,10 +148,10 @@
   }
 
   Task<ForwardCallReply> forward_to(Target const& t, ForwardCall const& c, Instant const deadline) {
-    ++marks_.at(t.mark, env_.now()).in_flight;
+    ++histories_.at(t.history_key, env_.now()).in_flight;
     ForwardCallReply r;
     if (t.node == settings_.address && !t.instance.empty()) {
-      r = co_await beside_.execute(c);
+      r = co_await backend_handler_.execute(c);
     } else {
       ForwardCall stamped = c;
       stamped.sender = n_.lease_holder_id;
@@ -164,26 +165,26 @@
         r.step = got.error().step;
         r.peer = t.node;
         r.reason = got.error().reason;
-        spoil("n:" + t.node, got.error().step == "connect");
+        penalize("n:" + t.node, got.error().step == "connect");
       }
     }
     Instant const now = env_.now();
-    TargetHistory& m = marks_.at(t.mark, now);
+    TargetHistory& m = histories_.at(t.history_key, now);
     if (m.in_flight > 0) --m.in_flight;
     if (r.outcome == Outcome::answered) {
-      marks_.record_success(t.mark, now);
-      marks_.record_success("n:" + t.node, now);
+      histories_.record_success(t.history_key, now);
+      histories_.record_success("n:" + t.node, now);
     } else if (!c.keyed) {
       bool const refused = r.step == "connect" || r.step == "backend";
-      spoil(t.mark, refused);
-      if (t.instance.empty() && r.step == "pick") spoil("c:" + t.cell + "/" + c.service, true);
+      penalize(t.history_key, refused);
+      if (t.instance.empty() && r.step == "pick") penalize("c:" + t.cell + "/" + c.service, true);
     }
     co_return r;
   }
 
  private:
-  HttpReply dropped(CallStateMachine& chart, std::uint64_t const id, Rules const& rules, std::string const& service,
-                    std::uint16_t const status, Error const& m, ForwardCall const* const c = nullptr) {
+  HttpReply drop_call(CallStateMachine& chart, std::uint64_t const id, Rules const& rules, std::string const& service,
+                      std::uint16_t const status, Error const& m, ForwardCall const* const c = nullptr) {
     chart.step(CallState::dropped);
     bool const unknown = m.proof == Proof::unknown;
     record(id, chart, "drop", service, m, rules, c);
@@ -216,11 +217,12 @@
     journal_.append(std::move(e));
   }
 
-  Task<HttpReply> tries(CallStateMachine& chart, std::uint64_t const id, Rules const& rules, ZoneChoice const& choice,
-                        ForwardCall carry, bool const repeatable, Instant const deadline) {
+  Task<HttpReply> run_tries(CallStateMachine& chart, std::uint64_t const id, Rules const& rules,
+                            ZoneChoice const& choice, ForwardCall carry, bool const repeatable,
+                            Instant const deadline) {
     std::set<std::string> tried;
     Error last{"pick", settings_.zone, "no usable backend", Proof::not_run};
-    bool maybe_ran = false;
+    bool may_have_run = false;
     for (int n = 0; n < 4; ++n) {
       chart.step(CallState::picking);
       std::optional<Target> const t = pick_target(carry.service, carry.keyed, carry.slice, choice, tried, true);
@@ -237,7 +239,7 @@
       } else {
         ++extra_tries_;
       }
-      tried.insert(t->mark);
+      tried.insert(t->history_key);
       carry.instance = t->instance;
       carry.crossed = t->instance.empty();
       carry.budget_ms = static_cast<std::uint32_t>(left);
@@ -245,9 +247,9 @@
       record(id, chart, carry.crossed ? "cross" : "stay", carry.service,
              Error{"carry", t->node,
                    n > 0            ? "after a failed try"
-                   : choice.by_home ? "home of the slice"
+                   : choice.by_home ? "home zone of the slice"
                    : choice.decided ? "catalogue"
-                   : carry.crossed  ? "no usable backend here"
+                   : carry.crossed  ? "no usable backend in this zone"
                                     : "local first",
                    Proof::unknown},
              rules, &carry, t->cell);
@@ -265,18 +267,18 @@
                    r.outcome == Outcome::not_run ? Proof::not_run : Proof::unknown};
       n_.note("carry", last);
       if (r.outcome == Outcome::unknown) {
-        maybe_ran = true;
+        may_have_run = true;
         if (!repeatable && !broken_on_purpose("tries_unknown_again")) break;
       }
       if (r.step == "lease") break;  // no other node may hold the slice either
     }
-    if (broken_on_purpose("calls_unknown_not_run")) maybe_ran = false;
-    if (maybe_ran) last.proof = Proof::unknown;
-    co_return dropped(chart, id, rules, carry.service, maybe_ran ? 504 : 503, last, &carry);
+    if (broken_on_purpose("calls_unknown_not_run")) may_have_run = false;
+    if (may_have_run) last.proof = Proof::unknown;
+    co_return drop_call(chart, id, rules, carry.service, may_have_run ? 504 : 503, last, &carry);
   }
 
-  void spoil(std::string const& mark, bool const at_once) {
-    if (marks_.record_failure(mark, env_.now(), at_once)) log_info("ejected", {{"target", mark}});
+  void penalize(std::string const& history_key, bool const at_once) {
+    if (histories_.record_failure(history_key, env_.now(), at_once)) log_info("ejected", {{"target", history_key}});
   }
 
   Target to_backend(BackendRecord const& b) const {
@@ -287,8 +289,8 @@
   NodeState<Env>& n_;
   Env& env_;
   ProxySettings& settings_;
-  BackendHandler<Env, B>& beside_;
-  TargetHistories marks_;
+  BackendHandler<Env, B>& backend_handler_;
+  TargetHistories histories_;
   RetryBudget budget_;
   DecisionLog journal_;
   std::string swapped_;
--- a/source/coordination/key_holder.cpp
+++ b/source/coordination/key_granter.cpp
@@ -1,6 +1,6 @@
 // A row counts as released when the backend names it as released, or when a heartbeat after the first one whose reply
 // omitted the row no longer lists it.
-#include "coordination/key_holder.hpp"
+#include "coordination/key_granter.hpp"
 
 #include <algorithm>
 
@@ -11,8 +11,8 @@
 constexpr std::size_t released_limit = 256;
 constexpr std::size_t ended_limit = 8;
 constexpr std::size_t pending_leases_limit = 8;
-constexpr Duration suspension_gap = 1s;        // no report for longer than this: the process was suspended
-constexpr float hot_row_share = 0.15F;         // of the capacity, or else of the load: the cuts of rows above it are reported
+constexpr Duration suspension_gap = 1s;  // no report for longer than this: the process was suspended
+constexpr float hot_row_share = 0.15F;   // of the capacity, or else of the load: the cuts of rows above it are reported
 constexpr float parts_of_coolest_hot_row = 4;  // the least hot of these rows is cut into this many parts
 constexpr float reported_parts = 64;           // approximate number for all hot rows together
 constexpr std::size_t cuts_limit = 96;         // including those next to very hot keys
--- a/source/data_path/local_backend.hpp
+++ b/source/data_path/local_backend.hpp
@@ -8,7 +8,7 @@
 // that its outcome is known.
 #pragma once
 
-#include "coordination/key_holder.hpp"
+#include "coordination/key_granter.hpp"
 #include "data_path/backend_queue.hpp"
 #include "data_path/failure_share.hpp"
 #include "protocol/backend_heartbeat.hpp"
--- a/source/programs/proxy.hpp
+++ b/source/programs/proxy.hpp
@@ -6,7 +6,7 @@
 // further. This class joins the parts and answers the platform's requests.
 #pragma once
 
-#include "coordination/carried_side.hpp"
+#include "coordination/forwarded_call_handler.hpp"
 #include "coordination/proxy_zone_follower.hpp"
 #include "state/view_json.hpp"
 
@@ -48,7 +48,7 @@
   Rules const& rules() const { return *node_.rules; }
 
   Task<HttpReply> call(HttpRequest q) { return caller_side_.call(std::move(q)); }
-  HttpReply beat(std::string const& body) { return backend_side_.beat(body); }
+  HttpReply beat(std::string const& body) { return backend_side_.on_heartbeat(body); }
 
   HttpReply handle_platform_request(HttpRequest const& q) {
     std::string const path = q.target.substr(0, q.target.find('?'));
--- a/tests/coordination/key_balance_test.cpp
+++ b/tests/coordination/key_balance_test.cpp
@@ -1,7 +1,7 @@
 // The load of keys evened out by real nodes' reports and a coordinator's plans, in
 // a model of a fleet on virtual time: requests come by chance, busy keys lie near
 // each other, and a row on the move is held by nobody until its holder let it go.
-#include "coordination/key_holder.hpp"
+#include "coordination/key_granter.hpp"
 #include "state/key_planner.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/coordination/key_holder_test.cpp
+++ b/tests/coordination/key_granter_test.cpp
@@ -1,6 +1,6 @@
 // The node's side by itself: holds within the lease, proofs of letting go, ends
 // of lives, and which requests may run.
-#include "coordination/key_holder.hpp"
+#include "coordination/key_granter.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/coordination/key_trial_test.cpp
+++ b/tests/coordination/key_trial_test.cpp
@@ -1,7 +1,7 @@
 // Backends, nodes and two coordinators in virtual time, over a register that is
 // linearizable but slow and lossy. Backends keep to their protocol with clocks
 // 2 % slow; whatever is killed, frozen or cut, no two of them may hold one key.
-#include "coordination/key_holder.hpp"
+#include "coordination/key_granter.hpp"
 #include "state/key_planner.hpp"
 
 #include <gtest/gtest.h>
