--- a/source/coordination/acceptor.hpp
+++ b/source/coordination/acceptor.hpp
@@ -1,8 +1,8 @@
-// One voter of the register. It answers only from what its disk has kept: a
-// promise or an acceptance is synced before it is said. A blank disk never
-// votes: a founding needs every configured voter blank, and a voter that lost
-// its disk later votes again only after enough of the others have completed a
-// round at a new ballot, which it then holds.
+// The acceptor: one voter of the register. A promise or an acceptance is synced
+// to disk before it is answered. A voter with an empty disk never votes: the
+// register can only be founded while every configured voter is empty, and a voter
+// that lost its disk votes again only after a recovery quorum of the others has
+// completed a round at a new ballot whose result it has stored.
 #pragma once
 
 #include "coordination/voter_set.hpp"
@@ -13,17 +13,17 @@
 
 namespace banktide {
 
-/// What a voter keeps on its disk. It votes in `set` if its slots are those of
-/// that epoch (`active_epoch`); in between it has left one set and isn't yet in
-/// the next.
+/// The state a voter stores on disk. It votes in `set` only if its slots belong to
+/// that epoch (`active_epoch`). Otherwise it has been sealed in the previous epoch
+/// and isn't active in the new one yet.
 struct VoterRecord {
   Phase phase = Phase::blank;
   std::uint64_t bootstrap_id = 0;
   RegisterSlots slots;
   VoterSet set;
   std::uint64_t active_epoch = 0;
-  std::uint64_t disk = 0;  // a name for this disk, made when it was empty
-  BANKTIDE_FIELDS(phase, bootstrap_id, slots, set, active_epoch, disk)
+  std::uint64_t disk = 0;  // random identifier, assigned while the disk was empty
+  BANKTIDE_FIELDS(phase, founding, slots, set, active_epoch, disk)
 };
 
 template <class D>
@@ -35,10 +35,10 @@
 template <Environment Env, Disk D>
 class Acceptor {
  public:
-  /// A voter of a fixed list: the set of epoch 0, for good.
-  Acceptor(Env& env, D& d, std::vector<Address> voters, std::size_t const own_address)
-      : env_(env), disk_(d), fixed_(std::move(voters)), own_address_(fixed_.at(own_address)), turn_(env) {}
-  /// A store whose set is on its disk, or is still to be founded or joined.
+  /// A voter of a fixed list, which stays the set of epoch 0.
+  Acceptor(Env& env, D& d, std::vector<Address> voters, std::size_t const own_index)
+      : env_(env), disk_(d), fixed_(std::move(voters)), own_address_(fixed_.at(own_index)), turn_(env) {}
+  /// A store whose voter set is on its disk, or that has yet to found or join one.
   Acceptor(Env& env, D& d, Address own_address)
       : env_(env), disk_(d), own_address_(std::move(own_address)), turn_(env) {}
 
@@ -53,10 +53,10 @@
   void attach(Dispatcher& dispatcher) {
     dispatcher.on<Prepare>([this](Prepare request) { return prepare(std::move(request)); });
     dispatcher.on<Accept>([this](Accept request) { return accept(std::move(request)); });
-    dispatcher.on<ReadRegister>([this](ReadRegister request) { return peek(std::move(request)); });
-    dispatcher.on<ReadRevisions>([this](ReadRevisions request) { return peek_revisions(request); });
-    dispatcher.on<Bootstrap>([this](Bootstrap request) { return found(request); });
-    dispatcher.on<VotersRequest>([this](VotersRequest request) { return voters(std::move(request)); });
+    dispatcher.on<Peek>([this](Peek request) { return peek(std::move(request)); });
+    dispatcher.on<PeekRevisions>([this](PeekRevisions request) { return peek_revisions(request); });
+    dispatcher.on<Found>([this](Found request) { return found(request); });
+    dispatcher.on<VotersAsk>([this](VotersAsk request) { return voters(std::move(request)); });
     dispatcher.on<Seal>([this](Seal request) { return seal(std::move(request)); });
     dispatcher.on<Activate>([this](Activate request) { return activate(std::move(request)); });
   }
@@ -67,13 +67,13 @@
   std::uint64_t disk_id() const { return record_.disk; }
   Address const& own_address() const { return own_address_; }
   bool voting() const { return votes(record_); }
-  /// The last other store that asked for the set: a voter that this one may not know.
+  /// The store that last requested the voter set. It may be a voter unknown to this one.
   Address const& last_requester() const { return last_requester_; }
-  /// Someone has asked in a newer epoch than this voter's.
+  /// Whether a request has arrived for a newer epoch than this voter's.
   bool behind() const { return highest_seen_epoch_ > record_.set.epoch; }
 
-  // Runs until this voter of a fixed list votes.
-  Task<void> settle() {
+  // For a voter of a fixed list: returns once it votes.
+  Task<void> run_until_voting() {
     while (!voting()) {
       co_await found_or_rejoin();
       if (!voting()) co_await sleep_for(env_, 200ms + std::chrono::milliseconds(env_.chance()() % 100));
@@ -83,12 +83,12 @@
                         {"catalogue", std::to_string(slot(Register::catalogue).held.revision)}});
   }
 
-  /// One try to found the set that the record names, or to join it again.
+  /// Makes one attempt to found the recorded set or to rejoin it.
   Task<void> found_or_rejoin() {
     std::vector<Address> const others = other_voters(record_.set);
-    Bootstrap request{Phase::blank, record_.bootstrap_id};
+    Found request{Phase::blank, record_.founding};
     auto const replies =
-        co_await ask_all<Bootstrap>(env_, others, request, env_.now() + 1s, [](auto const&) { return false; });
+        co_await ask_all<Found>(env_, others, request, env_.now() + 1s, [](auto const&) { return false; });
     std::size_t heard = 0, voting = 0, same = 0;
     for (auto const& [i, r] : replies) {
       if (!r) continue;
@@ -113,18 +113,18 @@
     }
   }
 
-  /// Names an empty disk, and keeps the set that is to be founded, if any.
-  Task<bool> begin(VoterSet const founders) {
-    std::uint64_t const name = env_.chance()() | 1;
+  /// Assigns an identifier to an empty disk and records the set to be founded if this store is a founder.
+  Task<bool> initialize(VoterSet const founders) {
+    std::uint64_t const id = env_.chance()() | 1;
     co_return co_await change([&](VoterRecord& r) {
       if (r.disk != 0) return false;
-      r.disk = name;
+      r.disk = id;
       if (find_entry(founders, own_address_) != nullptr) r.set = founders;
       return true;
     });
   }
 
-  /// Forgets everything: a store that was removed joins like a new one.
+  /// Discards all state under a new disk identifier, so that a removed store joins like a new one.
   Task<bool> reset_record() {
     VoterRecord empty;
     empty.disk = env_.chance()() | 1;
@@ -134,12 +134,12 @@
     });
   }
 
-  // A voter of `set` that lost its disk: every register has enough of the
-  // others complete a round at a new ballot, whose value is then held here.
-  // The register of voters tells if the set has been replaced: then this
-  // voter must not vote in it, as others may have stopped already.
-  // Of the others no more are waited for than are needed: one that is dark would
-  // hold up each round. Returns the newer set if one of them tells it.
+  // Recovers a voter of `set` that lost its disk: for every register, a recovery
+  // quorum of the others completes a round at a new ballot, and the result is
+  // stored here. If the register of voters shows that the set has been replaced,
+  // this voter must not vote in it, as others may have stopped already.
+  // Each round ends as soon as enough voters have answered, since an unreachable
+  // one would delay it. Returns the newer set if a voter reports one.
   Task<std::optional<VoterSet>> rejoin(VoterSet const set) {
     std::vector<Address> const others = other_voters(set);
     std::size_t const enough = recovery_quorum_size(set);
@@ -148,10 +148,10 @@
     next.bootstrap_id = co_await agreed_founding(others, enough);
     if (next.bootstrap_id == 0) co_return std::nullopt;
     std::optional<VoterSet> newer;
-    for (Register const reg : stored_registers) {
-      std::optional<RegisterSlot> const promises = co_await recover(reg, set, others, enough, nonce, newer);
-      if (!promises) co_return newer;
-      next.slots[static_cast<std::size_t>(reg)] = *promises;
+    for (Register const reg : kept_registers) {
+      std::optional<Slot> const recovered = co_await recover(reg, set, others, enough, nonce, newer);
+      if (!recovered) co_return newer;
+      next.slots[static_cast<std::size_t>(reg)] = *recovered;
     }
     if (next.slots[static_cast<std::size_t>(Register::voters)].held.revision > set.epoch) co_return std::nullopt;
     next.phase = Phase::voting;
@@ -173,8 +173,8 @@
 
   static bool votes(VoterRecord const& r) { return r.phase == Phase::voting && r.active_epoch == r.set.epoch; }
 
-  // One change at a time: the disk's sync may take long, and what is said must
-  // be what was kept. `f` says whether it changed anything.
+  // Applies changes one at a time: syncing the disk may take long, and answers may
+  // only contain state that has been synced. `f` returns whether it changed anything.
   template <class F>
   Task<bool> change(F f) {
     if (turn_.waiting() >= 64) co_return false;
@@ -210,10 +210,10 @@
   }
 
   static bool is_known_register(Register const reg) { return static_cast<std::size_t>(reg) < register_count; }
-  static RegisterSlot& slot_of(VoterRecord& r, Register const reg) { return r.slots[static_cast<std::size_t>(reg)]; }
+  static Slot& slot_of(VoterRecord& r, Register const reg) { return r.slots[static_cast<std::size_t>(reg)]; }
 
-  // Whether a question of that epoch may be answered by a vote now. A newer set
-  // is told only by who has been a voter of it or of the one before.
+  // Whether a request for that epoch may be answered with a vote. Only a store that
+  // has voted in the newer set or in the one before reports the newer set.
   bool may_vote(std::uint64_t const epoch, std::optional<VoterSet>& newer) {
     highest_seen_epoch_ = std::max(highest_seen_epoch_, epoch);
     if (record_.phase == Phase::voting && record_.set.epoch > epoch) newer = record_.set;
@@ -224,11 +224,11 @@
     PrepareReply reply;
     if (!is_known_register(request.reg) || !may_vote(request.ballot.epoch, reply.newer)) co_return reply;
     bool ok = false, votes_in_epoch = false;
-    RegisterSlot seen;
+    Slot seen;
     bool const kept = co_await change([&](VoterRecord& r) {
       votes_in_epoch = votes(r) && r.set.epoch == request.ballot.epoch;
       if (!votes_in_epoch) return false;
-      RegisterSlot& s = slot_of(r, request.reg);
+      Slot& s = slot_of(r, request.reg);
       ok = request.ballot.may_follow(s.promised);
       if (ok) s.promised = request.ballot;
       seen = s;
@@ -248,7 +248,7 @@
     bool const kept = co_await change([&](VoterRecord& r) {
       votes_in_epoch = votes(r) && r.set.epoch == request.ballot.epoch;
       if (!votes_in_epoch) return false;
-      RegisterSlot& s = slot_of(r, request.reg);
+      Slot& s = slot_of(r, request.reg);
       ok = request.ballot == s.promised || request.ballot.may_follow(s.promised);
       if (ok) {
         s.promised = request.ballot;
@@ -264,10 +264,10 @@
     co_return reply;
   }
 
-  Task<ReadRegisterReply> peek(ReadRegister request) {
-    ReadRegisterReply reply;
+  Task<PeekReply> peek(Peek request) {
+    PeekReply reply;
     if (!is_known_register(request.reg) || !may_vote(request.epoch, reply.newer)) co_return reply;
-    RegisterSlot const& s = slot(request.reg);
+    Slot const& s = slot(request.reg);
     reply.voting = true;
     reply.accepted = s.accepted;
     reply.revision = s.held.revision;
@@ -275,15 +275,15 @@
     co_return reply;
   }
 
-  Task<ReadRevisionsReply> peek_revisions(ReadRevisions request) {
-    ReadRevisionsReply reply;
+  Task<PeekRevisionsReply> peek_revisions(PeekRevisions request) {
+    PeekRevisionsReply reply;
     if (!may_vote(request.epoch, reply.newer)) co_return reply;
     reply.voting = true;
     for (std::size_t i = 0; i < register_count; ++i) reply.revisions[i] = record_.slots[i].held.revision;
     co_return reply;
   }
 
-  Task<VotersReply> voters(VotersRequest request) {
+  Task<VotersReply> voters(VotersAsk request) {
     VotersReply reply;
     if (!request.from.empty()) last_requester_ = request.from;
     reply.member = record_.phase == Phase::voting;
@@ -292,8 +292,8 @@
     co_return reply;
   }
 
-  // A voter that slept through earlier changes passes over the epochs between: it
-  // never voted in them, so no value acknowledged there counts on it.
+  // A voter that was down during earlier changes skips the epochs in between: it
+  // never voted in them, so no value acknowledged there depends on it.
   Task<SealReply> seal(Seal request) {
     SealReply reply;
     bool const kept = co_await change([&](VoterRecord& r) {
@@ -313,8 +313,8 @@
     co_return kept ? reply : none;
   }
 
-  // A voter of the set before goes on with what it holds; an empty disk is taken
-  // only if it is the very one that was added: it has never voted.
+  // A voter of an earlier set continues with its own slots. An empty disk is accepted
+  // only if it is the one that was added, because that disk has never voted.
   Task<ActivateReply> activate(Activate request) {
     ActivateReply reply;
     bool const kept = co_await change([&](VoterRecord& r) {
@@ -328,7 +328,7 @@
       if (reply.active || own_entry == nullptr || !(continuing || added)) return false;
       for (std::size_t i = 0; i < register_count; ++i) merge_newer(r.slots[i], request.slots[i]);
       r.phase = Phase::voting;
-      r.bootstrap_id = request.bootstrap_id;
+      r.founding = request.founding;
       r.set = request.set;
       r.active_epoch = request.set.epoch;
       reply.active = true;
@@ -338,19 +338,18 @@
     co_return reply;
   }
 
-  Task<BootstrapReply> found(Bootstrap request) {
+  Task<FoundReply> found(Found request) {
     if (request.want == Phase::prepared && record_.phase != Phase::voting && !is_founder() &&
         find_entry(record_.set, own_address_) != nullptr)
       co_await change([&](VoterRecord& r) {
         if (r.phase == Phase::voting || find_entry(r.set, own_address_) == nullptr) return false;
         r.phase = Phase::prepared;
-        r.bootstrap_id = request.bootstrap_id;
+        r.founding = request.founding;
         return true;
       });
-    if (request.want == Phase::voting && record_.phase == Phase::prepared &&
-        record_.bootstrap_id == request.bootstrap_id)
+    if (request.want == Phase::voting && record_.phase == Phase::prepared && record_.founding == request.founding)
       co_await change([&](VoterRecord& r) {
-        if (r.phase != Phase::prepared || r.bootstrap_id != request.bootstrap_id) return false;
+        if (r.phase != Phase::prepared || r.founding != request.founding) return false;
         r.phase = Phase::voting;
         return true;
       });
@@ -380,7 +379,7 @@
     co_await ask_all<Bootstrap>(env_, others, open, env_.now() + 2s, [](auto const&) { return false; });
   }
 
-  /// The founding that `enough` of these voters name; none: 0.
+  /// The founding identifier that at least `enough` of these voters report; 0 if there is none.
   Task<std::uint64_t> agreed_founding(std::vector<Address> const others, std::size_t const enough) {
     auto const most_frequent = [](auto const& replies) {
       std::map<std::uint64_t, std::size_t> named;
@@ -392,18 +391,18 @@
       }
       return most;
     };
-    Bootstrap const request{};
-    auto const replies = co_await ask_all<Bootstrap>(
+    Found const request{};
+    auto const replies = co_await ask_all<Found>(
         env_, others, request, env_.now() + 1s,
         [enough, most_frequent](auto const& heard) { return most_frequent(heard).second >= enough; });
     std::pair<std::uint64_t, std::size_t> const most = most_frequent(replies);
     co_return most.second >= enough ? most.first : 0;
   }
 
-  // One register's part of `rejoin`: the round, and what it left here.
-  Task<std::optional<RegisterSlot>> recover(Register const reg, VoterSet const& set, std::vector<Address> const& others,
-                                            std::size_t const enough, std::uint64_t const nonce,
-                                            std::optional<VoterSet>& newer) {
+  // Recovers one register for `rejoin` and returns the slot to store.
+  Task<std::optional<Slot>> recover(Register const reg, VoterSet const& set, std::vector<Address> const& others,
+                                    std::size_t const enough, std::uint64_t const nonce,
+                                    std::optional<VoterSet>& newer) {
     Ballot ballot{set.epoch, 1, nonce};
     for (int attempt = 0; attempt < recovery_attempts; ++attempt) {
       Prepare const asked{reg, ballot};
@@ -417,7 +416,7 @@
       std::size_t promised = 0;
       Ballot best;
       std::uint64_t top_round = ballot.round;
-      RegisterValue held;
+      Held held;
       for (auto const& [i, r] : promises) {
         if (r && r->newer) {
           newer = r->newer;
@@ -441,7 +440,7 @@
             });
         std::size_t accepted = 0;
         for (auto const& [i, r] : acceptances) accepted += r && r->accepted;
-        if (accepted >= enough) co_return RegisterSlot{ballot, ballot, held};
+        if (accepted >= enough) co_return Slot{ballot, ballot, held};
       }
       ballot.round = top_round + 1;
       co_await sleep_for(env_, std::chrono::milliseconds(5 + env_.chance()() % 50));
--- a/source/coordination/lease_voter.hpp
+++ b/source/coordination/lease_voter.hpp
@@ -1,9 +1,10 @@
-// One registry's vote on who may act on which key slice. Memory only: after a
-// start it abstains for one whole term, so that no grant it has forgotten can
-// still be in force, and until it has a floor for epochs from the register, so
-// that they rise even when every registry has forgotten them. Epochs rise with
-// every change of holder. Slices of one service under another mapping of its
-// keys are granted only when no grant of the former mapping is left.
+// One registry's votes on the leases of key slices. Grants are kept in memory only:
+// after a start the voter abstains for a full lease term, so that no forgotten grant
+// can still be in force, and until it has a floor for epochs from the register, so
+// that epochs increase even if every registry has forgotten them. The epoch of a slice
+// increases with every change of holder. When a service's keys are mapped to slices
+// differently, slices of the new mapping are granted only after every grant of the
+// previous mapping has expired.
 #pragma once
 
 #include "protocol/messages.hpp"
@@ -14,7 +15,7 @@
 namespace banktide {
 
 inline constexpr Duration lease_term = 4s;
-// The holder stops this much earlier, as clocks differ in speed.
+// A holder stops this much before the end of its lease, to allow for clock drift.
 inline constexpr Duration lease_margin = 200ms;
 
 template <Clock Env>
@@ -25,7 +26,7 @@
   void set_floor(std::uint64_t const epoch) { floor_ = epoch; }
   bool has_floor() const { return floor_ > 0; }
 
-  LeaseReply ask(LeaseRequest const& request) {
+  LeaseReply ask(LeaseAsk const& request) {
     Instant const now = env_.now();
     LeaseReply reply;
     for (SliceClaim const& c : request.release) {
@@ -87,8 +88,8 @@
   std::uint64_t floor_ = 0;
   std::map<Slice, Grant> grants_;
   struct Mapping {
-    Instant last_expiry{};            // latest end of its grants
-    std::uint64_t highest_epoch = 0;  // greatest epoch granted
+    Instant last_expiry{};            // latest expiry of its grants
+    std::uint64_t highest_epoch = 0;  // highest epoch granted
   };
   std::map<std::pair<std::string, std::uint64_t>, Mapping> mappings_;
 };
--- a/source/coordination/maintenance_keeper.hpp
+++ b/source/coordination/maintenance_keeper.hpp
@@ -1,7 +1,7 @@
-// In every registry: counts maintenance windows down, and while it is the acting
-// one, writes the remaining times back every few seconds and at each change of
-// phase, so that they outlive a restart of all. Two that act at once do no harm:
-// a count is written only over the value that it was made from.
+// Runs in every registry and counts maintenance windows down. The acting registry
+// writes the remaining times back every few seconds and at each change of phase, so
+// that they survive a restart of all registries. Two acting registries at once are
+// harmless: a countdown is only written over the revision it was computed from.
 #pragma once
 
 #include "coordination/maintenance_view.hpp"
@@ -11,20 +11,20 @@
 
 namespace banktide {
 
-/** Changes a plan and says whether there is anything to write, or why it can't be done. */
+/** Edits a plan and returns whether there is anything to write, or an error if the edit isn't possible. */
 using MaintenanceEdit = std::function<Result<bool>(MaintenancePlan&)>;
 
-/** `Store` changes the register, as RegisterClient does. */
+/** `Store` changes the register; it has the interface of RegisterClient. */
 template <Environment Env, class Store>
 class MaintenanceKeeper {
  public:
   MaintenanceKeeper(Env& env, Store& store, std::function<bool()> acting)
       : env_(env), store_(store), acting_(std::move(acting)) {}
 
-  /** The newest value that the registry knows. */
-  std::function<RegisterValue()> known;
-  /** Called with each value that was written here. */
-  std::function<void(RegisterValue const&)> on_written;
+  /** Returns the newest value known to the registry. */
+  std::function<Held()> known;
+  /** Called with each value that this keeper has written. */
+  std::function<void(Held const&)> on_written;
 
   MaintenancePlan plan() const { return view_.at(env_.now()); }
 
@@ -37,20 +37,20 @@
     }
   }
 
-  /** Has an edit made over the newest plan; it may run more than once. */
+  /** Applies an edit to the newest plan; `edit` may be called more than once. */
   Task<Result<MaintenancePlan>> change(MaintenanceEdit const edit) {
     Instant counted_at{};
-    auto const edit_newest = [&](RegisterValue const& newest) -> Result<RegisterValue> {
+    auto const edit_newest = [&](Held const& newest) -> Result<Held> {
       Result<MaintenancePlan> plan = unpack_maintenance(newest.bytes);
       if (!plan) return tl::unexpected<Error>(plan.error());
       counted_at = env_.now();
-      // A newer value than ours was counted down by another registry a moment ago.
+      // A newer revision than ours has just been counted down by another registry.
       if (newest.revision == view_.revision()) plan->advance(counted_at - view_.counted_at());
       Result<bool> const changed = edit(*plan);
       if (!changed) return tl::unexpected<Error>(changed.error());
       return *changed ? next_value(newest, *plan) : newest;
     };
-    Result<RegisterValue> const done =
+    Result<Held> const done =
         co_await store_.change(Register::maintenance, "", env_.now() + register_timeout, edit_newest);
     if (!done) co_return tl::unexpected<Error>(done.error());
     adopt_written(*done, counted_at);
@@ -73,11 +73,11 @@
     Revision const revision = view_.revision();
     Instant const counted_at = env_.now();
     MaintenancePlan const plan = view_.at(counted_at);
-    auto const write_over_own = [&](RegisterValue const& newest) -> Result<RegisterValue> {
-      if (newest.revision != revision) return make_error("maintenance", "", "another change came first");
+    auto const write_over_own = [&](Held const& newest) -> Result<Held> {
+      if (newest.revision != revision) return make_error("maintenance", "", "a concurrent change was written first");
       return next_value(newest, plan);
     };
-    Result<RegisterValue> const done =
+    Result<Held> const done =
         co_await store_.change(Register::maintenance, "", env_.now() + register_timeout, write_over_own);
     if (done) adopt_written(*done, counted_at);
   }
@@ -90,7 +90,7 @@
     return next;
   }
 
-  void adopt_written(RegisterValue const& held, Instant const counted_at) {
+  void adopt_written(Held const& held, Instant const counted_at) {
     view_.take(held, counted_at);
     view_.log_phases(env_.now());
     if (on_written) on_written(held);
--- a/source/coordination/maintenance_view.hpp
+++ b/source/coordination/maintenance_view.hpp
@@ -1,7 +1,7 @@
-// The maintenance plan as one process knows it: the newest value of its register,
-// counted down on this process's steady clock. So nodes and registries go from
-// phase to phase at nearly the same moment, also while they hear nothing: never
-// sooner than whoever wrote the value, and later by the time it took to come.
+// A process's view of the maintenance plan: the newest value of its register,
+// counted down with this process's steady clock. Nodes and registries thus change
+// phase at nearly the same time, even while they receive no updates: never earlier
+// than the writer of the value, and later by the time the value took to arrive.
 #pragma once
 
 #include "state/maintenance.hpp"
@@ -12,8 +12,9 @@
 
 class MaintenanceView {
  public:
-  /** Takes a newer value; its remaining times are those of `counted_at`. False: it isn't newer, or can't be read. */
-  bool take(RegisterValue const& held, Instant const counted_at) {
+  /** Adopts a newer value, whose remaining times are those at `counted_at`. Returns false if it isn't newer or can't be
+   * parsed. */
+  bool take(Held const& held, Instant const counted_at) {
     if (held.revision <= revision_) return false;
     Result<MaintenancePlan> read = unpack_maintenance(held.bytes);
     if (!read) {
@@ -28,7 +29,7 @@
 
   Revision revision() const { return revision_; }
   Instant counted_at() const { return counted_at_; }
-  /** The plan as it was written, at `counted_at`. */
+  /** The plan as written, with the remaining times at `counted_at`. */
   MaintenancePlan const& written() const { return plan_; }
   MaintenancePlan at(Instant const now) const {
     MaintenancePlan plan = plan_;
@@ -36,7 +37,7 @@
     return plan;
   }
 
-  /** One line for each window whose phase is another than when this was last called. */
+  /** Logs each window whose phase has changed since the last call. */
   void log_phases(Instant const now) {
     for (MaintenanceWindow const& window : at(now).windows) {
       MaintenancePhase& known = logged_.try_emplace(window.id, MaintenancePhase::cancelled).first->second;
--- a/source/coordination/membership.hpp
+++ b/source/coordination/membership.hpp
@@ -1,27 +1,27 @@
-// A store's part in the set of voters: it founds the first set with the other
-// seeds, asks to be added, joins again after it lost its disk, watches the other
-// voters, and drives the changes of the set that others ask for or have left half
-// done (voter_set_change.hpp).
+// A store's membership in the voter set: it founds the first set with the other
+// seeds, requests to be added, rejoins after losing its disk, probes the other
+// voters, and drives the set changes that others request or have left incomplete
+// (voter_set_change.hpp).
 //
-// A newcomer takes the place of a voter that has been silent, in one change, so
-// that a replaced machine costs the set nothing for longer than it takes to notice.
-// With nobody silent the set grows by the newcomer. A silent voter without a
-// successor is removed after a while, and one that leaves is removed as it goes, if
-// what is left bears as many losses as it should.
+// A newcomer replaces an unresponsive voter in a single change, so that a replaced
+// machine weakens the set only until its failure is detected. If every voter
+// responds, the set grows by the newcomer. An unresponsive voter without a
+// replacement is removed after a while, and a voter that shuts down is removed then,
+// if the remaining set tolerates the configured number of losses.
 #pragma once
 
 #include "coordination/acceptor.hpp"
 #include "coordination/voter_set_change.hpp"
-#include "coordination/voter_watch.hpp"
+#include "coordination/voter_monitor.hpp"
 
 namespace banktide {
 
-/// What a store is told about the others.
+/// A store's settings for its membership.
 struct MembershipSettings {
   std::vector<Address> seeds;
-  bool initial_start = false;  // the seeds have empty disks and found the register
+  bool initial_start = false;  // the seeds have empty disks and are to found the register
   std::uint32_t losses = 1;    // how many stores may lose their disks at once
-  Duration remove_after = 6s;  // of silence
+  Duration remove_after = 6s;  // without an answer
 };
 
 template <Environment Env, Disk D>
@@ -41,7 +41,7 @@
     dispatcher.on<RemoveVoter>([this](RemoveVoter request) { return remove(std::move(request)); });
   }
 
-  /// Runs for as long as the process.
+  /// Runs until the store leaves.
   Task<void> run() {
     for (std::uint64_t tick = 0; !leaving_; ++tick) {
       bool const was = acceptor_.voting();
@@ -61,8 +61,8 @@
     }
   }
 
-  /// This store goes, perhaps for good: it has itself removed if the set bears too few
-  /// losses with a voter that is gone. It votes until then.
+  /// Shuts this store down, perhaps permanently: it requests its own removal if the set
+  /// would tolerate too few losses with a failed member. It votes until it is removed.
   Task<void> leave(Duration const timeout) {
     leaving_ = true;
     Instant const deadline = env_.now() + timeout;
@@ -73,10 +73,10 @@
     }
     left_ = true;
   }
-  /// `leave` has done what it could.
+  /// Whether `leave` has finished, whether or not the store was removed.
   bool left() const { return left_; }
 
-  /// By the latest look at the others.
+  /// The health of the set according to the latest probe.
   VoterSetHealth const& health() const { return health_; }
 
  private:
@@ -88,16 +88,16 @@
   static constexpr Duration change_timeout = 3s;
   static constexpr std::uint64_t ticks_per_probe = 1;
   static constexpr Duration probe_interval = tick_interval * ticks_per_probe;
-  // In a row: who misses so many may be replaced by a newcomer.
+  // A voter that misses this many probes in a row may be replaced by a newcomer.
   static constexpr std::uint64_t missed_probes_before_replacement = 3;
 
-  // ---- on the way to a vote
+  // ---- becoming a voter
 
   Task<void> try_to_become_voter() {
     if (acceptor_.disk_id() == 0) {
       std::vector<Address> seeds = settings_.initial_start ? settings_.seeds : std::vector<Address>{};
       std::sort(seeds.begin(), seeds.end());
-      bool const begun = co_await acceptor_.begin(initial_set(seeds, settings_.losses));
+      bool const begun = co_await acceptor_.initialize(initial_set(seeds, settings_.losses));
       if (!begun) co_return;
     }
     bool const heard = co_await discover_newest_set();
@@ -120,8 +120,8 @@
     }
   }
 
-  // Only a set that a voter tells counts; what this store's own disk says is of
-  // no use while nobody votes. Who told an old one is corrected by the voters asked next.
+  // Only a set reported by a voter counts; the set on this store's own disk is of no
+  // use while nobody votes. An outdated set is corrected by the voters contacted next.
   Task<bool> discover_newest_set() {
     if (acceptor_.phase() == Phase::voting) client_.adopt_if_newer(acceptor_.set());
     if (!acceptor_.last_requester().empty()) client_.add_contacts({acceptor_.last_requester()});
@@ -132,14 +132,14 @@
     std::vector<Address> const active = co_await active_voters(set);
     if (active.size() < quorum_size(set)) co_return;
     if (acceptor_.phase() == Phase::voting) {
-      // What this store holds was needed until the set without it votes.
+      // The slots on this disk were needed until the set without this store is active.
       bool const empty = co_await acceptor_.reset_record();
       if (!empty) co_return;
     }
     AddVoter request;
     request.entry = VoterEntry{acceptor_.own_address(), acceptor_.disk_id()};
     Address const peer = pick_random(active);
-    Result<VoterSetReply> const reply = co_await ask<AddVoter>(env_, peer, request, env_.now() + change_timeout);
+    Result<SetReply> const reply = co_await ask<AddVoter>(env_, peer, request, env_.now() + change_timeout);
     if (!reply) co_return;
     client_.adopt_if_newer(reply->set);
     if (reply->done) log_info("added", {{"epoch", std::to_string(reply->set.epoch)}, {"by", peer}});
@@ -153,19 +153,19 @@
     RemoveVoter request;
     request.address = acceptor_.own_address();
     Address const peer = pick_random(others);
-    Result<VoterSetReply> const reply = co_await ask<RemoveVoter>(env_, peer, request, deadline);
+    Result<SetReply> const reply = co_await ask<RemoveVoter>(env_, peer, request, deadline);
     if (reply && reply->done) log_info("removed_itself", {{"epoch", std::to_string(reply->set.epoch)}, {"by", peer}});
     co_return reply && reply->done;
   }
 
-  // Those of a set who vote in it, as far as they are needed for a quorum.
+  // The voters of a set that are active in it; stops waiting once they form a quorum.
   Task<std::vector<Address>> active_voters(VoterSet const set) {
     std::vector<Address> const voters = addresses_of(set);
     std::size_t const needed = quorum_size(set);
     auto const votes_in_set = [&set](Result<VotersReply> const& r) { return r && r->active && r->set == set; };
-    VotersRequest const request{};
+    VotersAsk const request{};
     auto const replies =
-        co_await ask_all<VotersRequest>(env_, voters, request, env_.now() + probe_timeout, [&](auto const& heard) {
+        co_await ask_all<VotersAsk>(env_, voters, request, env_.now() + probe_timeout, [&](auto const& heard) {
           std::size_t n = 0;
           for (auto const& [at, r] : heard) n += votes_in_set(r);
           return n >= needed;
@@ -180,23 +180,23 @@
 
   Address pick_random(std::vector<Address> const& peers) { return peers[env_.chance()() % peers.size()]; }
 
-  // ---- changes that others ask for
+  // ---- changes requested by other stores
 
-  Task<VoterSetReply> add(AddVoter request) {
+  Task<SetReply> add(AddVoter request) {
     VoterSet const now = acceptor_.set();
     if (acceptor_.voting() && find_entry(now, request.entry.address) == nullptr) {
       co_await probe_others();
       std::optional<VoterSet> const next = set_for_newcomer(now, request.entry);
       if (next && acceptor_.set() == now) co_await change_.run(now, *next);
     }
-    VoterSetReply reply = current_set_reply();
+    SetReply reply = current_set_reply();
     VoterEntry const* const entry = find_entry(reply.set, request.entry.address);
     reply.done = entry != nullptr && *entry == request.entry;
     co_return reply;
   }
 
-  // While it isn't sure that a voter which doesn't answer is gone, there is none: the
-  // newcomer asks again in a moment. To be added beside it, the set would bear less.
+  // Returns nullopt while an unresponsive voter might still be alive; the newcomer then
+  // retries. A set with both of them would tolerate fewer losses.
   std::optional<VoterSet> set_for_newcomer(VoterSet const& now, VoterEntry const& newcomer) const {
     if (!last_probe_finished_ || env_.now() - *last_probe_finished_ > probe_validity) return std::nullopt;
     std::optional<Address> const silent = monitor_.least_responsive();
@@ -205,25 +205,25 @@
     return with_voter_replaced(now, *silent, newcomer);
   }
 
-  Task<VoterSetReply> remove(RemoveVoter request) {
+  Task<SetReply> remove(RemoveVoter request) {
     VoterSet const now = acceptor_.set();
     bool const possible = can_remove_voter(now) && request.address != acceptor_.own_address();
     if (acceptor_.voting() && possible && find_entry(now, request.address) != nullptr)
       co_await change_.run(now, with_voter_removed(now, request.address));
-    VoterSetReply reply = current_set_reply();
+    SetReply reply = current_set_reply();
     reply.done = !reply.set.voters.empty() && find_entry(reply.set, request.address) == nullptr;
     co_return reply;
   }
 
-  VoterSetReply current_set_reply() const {
-    VoterSetReply reply;
+  SetReply current_set_reply() const {
+    SetReply reply;
     if (acceptor_.phase() == Phase::voting) reply.set = acceptor_.set();
     return reply;
   }
 
-  // ---- what a voter sees of the others
+  // ---- monitoring of the other voters
 
-  // A newer set is taken up; who has been silent for too long is removed.
+  // Probes the other voters, adopts a newer set, and removes a voter that has been silent for too long.
   Task<void> maintain_voter_set() {
     VoterSet const now = acceptor_.set();
     VoterSet const newest = co_await probe_others();
@@ -244,7 +244,7 @@
     if (reply.done) log_info("removed", {{"voter", gone.address}, {"epoch", std::to_string(reply.set.epoch)}});
   }
 
-  // The newest set that any of them tells.
+  // Returns the newest set that any of the other voters reports.
   Task<VoterSet> probe_others() {
     VoterSet newest = acceptor_.set();
     if (last_probe_started_ && env_.now() - *last_probe_started_ < min_probe_interval) co_return newest;
@@ -253,12 +253,12 @@
     std::vector<Address> monitored = addresses_of(now);
     std::erase(monitored, acceptor_.own_address());
     std::vector<Address> peers = monitored;
-    // It may be a voter of a newer set none of whose other voters is known here.
+    // The last requester may belong to a newer set whose other voters are all unknown here.
     if (!acceptor_.last_requester().empty() && find_entry(now, acceptor_.last_requester()) == nullptr)
       peers.push_back(acceptor_.last_requester());
-    VotersRequest const request{acceptor_.own_address()};
-    auto const replies = co_await ask_all<VotersRequest>(env_, peers, request, env_.now() + probe_timeout,
-                                                         [](auto const&) { return false; });
+    VotersAsk const request{acceptor_.own_address()};
+    auto const replies = co_await ask_all<VotersAsk>(env_, peers, request, env_.now() + probe_timeout,
+                                                     [](auto const&) { return false; });
     std::vector<bool> answered(monitored.size(), false);
     std::size_t voting = acceptor_.voting() ? 1 : 0;
     for (auto const& [at, r] : replies) {
--- a/source/coordination/register_client.hpp
+++ b/source/coordination/register_client.hpp
@@ -1,13 +1,13 @@
-// The coordinating side of the register, in the registry: each change is a
-// prepare and an accept round with a majority of the voters, made from the
-// newest value that the majority holds, so changes are ordered with no log and
-// no leader; their numbers are what the caller sets. A reading is vouched for by
-// a majority that holds the same ballot; otherwise a round writes back what it
-// found. Of a quorum that doesn't agree, the highest revision still bounds every
-// value chosen before the question: who knows a chosen value of at least that
-// revision has a current reading without any agreement, also while rounds are
-// under way. "Majority" is the quorum of coordination/voter_set.hpp, in a set of
-// voters that a voter has told, or that is fixed; newer sets are followed.
+// The proposer of the register, used by registries: each change is a prepare and an
+// accept round with a majority of the voters, based on the newest value that the
+// majority holds. Changes are thus ordered without a log or a leader; the caller
+// sets their revisions. A read is confirmed by a majority that holds the same
+// ballot; otherwise a round writes back the value it found. When a quorum doesn't
+// agree, its highest revision is still an upper bound for every value chosen before
+// the request: a caller that knows a chosen value of at least that revision is
+// current without agreement, even while rounds are in progress. "Majority" means the
+// quorum of coordination/voter_set.hpp in a voter set that is fixed or was reported
+// by a voter; newer sets are adopted as they are reported.
 #pragma once
 
 #include "coordination/voter_set.hpp"
@@ -22,27 +22,27 @@
 
 inline constexpr std::size_t max_remembered_requests = 128;
 
-/// Stores to ask for the set of voters.
+/// Stores from which the voter set is discovered.
 struct StoreSeeds {
   std::vector<Address> addresses;
 };
 
-/// The stores on the machines of these registries, all of which listen at one port.
+/// The stores on the same hosts as these registries; all of them listen on `port`.
 inline std::vector<Address> colocated_stores(std::vector<Address> const& registries, std::uint16_t const port) {
   std::vector<Address> stores;
   for (Address const& a : registries) stores.push_back(a.substr(0, a.rfind(':') + 1) + std::to_string(port));
   return stores;
 }
 
-/// A reading, and when its question was sent: it holds every change that was
-/// completed before that.
+/// A confirmed value and the time at which it was requested. It includes every
+/// change that was completed before that time.
 struct ConfirmedValue {
-  RegisterValue held;
+  Held held;
   Instant as_of{};
 };
 
-/// The same without the value: no greater revision was chosen before `asked`.
-/// It may itself belong to a round that is still under way.
+/// A confirmed revision without the value: no greater revision was chosen before
+/// `as_of`. The revision itself may belong to a round that is still in progress.
 struct ConfirmedRevision {
   Revision revision = 0;
   Instant as_of{};
@@ -51,22 +51,22 @@
 template <Environment Env>
 class RegisterClient {
  public:
-  /// Of a fixed list of voters: epoch 0, for good.
+  /// Uses a fixed list of voters, which stays the set of epoch 0.
   RegisterClient(Env& env, std::vector<Address> voters)
       : env_(env), set_(initial_set(voters, 0)), set_known_(true), nonce_(env.chance()()) {}
-  /// Learns the voters from the stores named here and by `learn`.
+  /// Discovers the voters from the stores given here and to `add_contacts`.
   RegisterClient(Env& env, StoreSeeds seeds) : env_(env), nonce_(env.chance()()) {
     add_contacts(std::move(seeds.addresses));
   }
 
-  /// Further stores to ask for the set of voters.
+  /// Adds stores from which the voter set may be discovered.
   void add_contacts(std::vector<Address> const& stores) {
     for (Address const& a : stores)
       if (contacts_.size() < max_contacts && std::find(contacts_.begin(), contacts_.end(), a) == contacts_.end())
         contacts_.push_back(a);
   }
 
-  /// Takes up a set that a voter has told, if it is newer.
+  /// Adopts a set reported by a voter if it is newer.
   void adopt_if_newer(VoterSet const& reported) {
     if (reported.voters.empty() || (set_known_ && reported.epoch <= set_.epoch)) return;
     set_ = reported;
@@ -75,47 +75,48 @@
   VoterSet const& set() const { return set_; }
   bool knows_voters() const { return set_known_; }
 
-  /// Asks the contacts and the voters known which set is the newest. True if one
-  /// is known then.
-  /// With `first_will_do` it returns at the first voter's answer: a newer set is
-  /// told by whoever is asked next in an older one.
+  /// Requests the voter set from the contacts and the known voters and adopts the
+  /// newest. Returns whether a set is known.
+  /// With `stop_at_first_voter` it returns at the first voter's answer. That is enough,
+  /// as later requests in an outdated epoch are answered with the newer set.
   Task<bool> discover(Instant const deadline, bool const stop_at_first_voter = false) {
     std::vector<Address> peers = contacts_;
     for (VoterEntry const& e : set_.voters)
       if (std::find(peers.begin(), peers.end(), e.address) == peers.end()) peers.push_back(e.address);
-    VotersRequest const query{};
-    auto const replies = co_await ask_all<VotersRequest>(
-        env_, peers, query, std::min(deadline, env_.now() + round_timeout), [stop_at_first_voter](auto const& heard) {
-          bool reported = false;
-          for (auto const& [at, r] : heard) reported = reported || (r && r->member);
-          return stop_at_first_voter && reported;
-        });
+    VotersAsk const query{};
+    auto const replies = co_await ask_all<VotersAsk>(env_, peers, query, std::min(deadline, env_.now() + round_timeout),
+                                                     [stop_at_first_voter](auto const& heard) {
+                                                       bool reported = false;
+                                                       for (auto const& [at, r] : heard)
+                                                         reported = reported || (r && r->member);
+                                                       return stop_at_first_voter && reported;
+                                                     });
     for (auto const& [i, r] : replies)
       if (r && r->member) adopt_if_newer(r->set);
     co_return set_known_;
   }
 
-  // `step` sees the newest value and changes it, or says why not (its mishap
-  // is handed on untouched). A mishap of a round is `unknown` once any voter
-  // may hold the new value.
+  // Runs rounds until `edit`'s change of the newest value is accepted by a majority.
+  // An error of `edit` is returned with its text unchanged. Errors have the proof
+  // `unknown` once any voter may hold the new value. `round` receives the ballot's round.
   template <class F>
-  Task<Result<RegisterValue>> change(Register const reg, std::string request, Instant const deadline, F edit,
-                                     std::uint64_t* const round = nullptr) {
+  Task<Result<Held>> change(Register const reg, std::string request, Instant const deadline, F edit,
+                            std::uint64_t* const round = nullptr) {
     bool proposed = false;
     std::string last_failure = "no majority";
     for (std::uint64_t attempt = 0; env_.now() < deadline; ++attempt) {
       if (attempt > 0) co_await sleep_for(env_, backoff_before(attempt));
       bool const known = co_await find_voters(attempt, deadline);
       if (!known) {
-        last_failure = "no voter has told the set of voters";
+        last_failure = "no voter has reported the voter set";
         continue;
       }
       std::vector<Address> const voters = addresses_of(set_);
       std::size_t const needed = quorum_size(set_);
       Ballot const ballot{set_.epoch, ++round_, nonce_};
-      Prepare const first{reg, ballot};
+      Prepare const prepare_request{reg, ballot};
       auto const prepared = co_await ask_all<Prepare>(
-          env_, voters, first, std::min(deadline, env_.now() + round_timeout), [needed](auto const& replies) {
+          env_, voters, prepare_request, std::min(deadline, env_.now() + round_timeout), [needed](auto const& replies) {
             return count(replies, &PrepareReply::promised) >= needed || newer_set_reported(replies);
           });
       adopt_newer_sets(prepared);
@@ -130,13 +131,13 @@
         }
       }
       if (count(prepared, &PrepareReply::promised) < needed) {
-        last_failure = "prepare had no majority";
+        last_failure = "no majority promised the ballot";
         continue;
       }
       bool const repeat = !request.empty() && std::any_of(held.requests.begin(), held.requests.end(),
                                                           [&](auto const& p) { return p.first == request; });
       if (!repeat) {
-        Result<RegisterValue> next = edit(held);
+        Result<Held> next = edit(held);
         if (!next) {
           next.error().proof = proposed ? Proof::unknown : Proof::not_run;
           co_return next;
@@ -148,9 +149,9 @@
         }
       }
       proposed = true;
-      Accept const second{reg, ballot, held};
+      Accept const accept_request{reg, ballot, held};
       auto const accepted = co_await ask_all<Accept>(
-          env_, voters, second, std::min(deadline, env_.now() + round_timeout), [needed](auto const& replies) {
+          env_, voters, accept_request, std::min(deadline, env_.now() + round_timeout), [needed](auto const& replies) {
             return count(replies, &AcceptReply::accepted) >= needed || newer_set_reported(replies);
           });
       adopt_newer_sets(accepted);
@@ -160,13 +161,13 @@
         if (round != nullptr) *round = ballot.round;
         co_return held;
       }
-      last_failure = "accept had no majority";
+      last_failure = "no majority accepted the value";
     }
     co_return make_error("register", register_name(reg), last_failure, proposed ? Proof::unknown : Proof::not_run);
   }
 
-  // The newest chosen value, vouched for by a majority as of this call.
-  Task<Result<RegisterValue>> read(Register const reg, RegisterValue const known, Instant const deadline) {
+  // Returns the newest chosen value, confirmed by a majority after the start of this call.
+  Task<Result<Held>> read(Register const reg, Held const known, Instant const deadline) {
     bool const ready = co_await find_voters(0, deadline);
     if (ready) {
       std::optional<RegisterValue> const agreed = co_await peek(reg, known, deadline);
@@ -175,14 +176,14 @@
     co_return co_await change(reg, "", deadline, [](RegisterValue const& h) -> Result<RegisterValue> { return h; });
   }
 
-  /// Of each register a revision above which nothing was chosen before this call, as a quorum says: who has that
-  /// value of a register needn't read it. Nothing if there is no quorum.
+  /// For each register, a quorum's upper bound of the revisions chosen before this call. A caller that has a
+  /// register's value of that revision needn't read it. Returns nullopt without a quorum.
   Task<std::optional<std::array<Revision, register_count>>> newest_revisions(Instant const deadline) {
     bool const ready = co_await find_voters(0, deadline);
     if (!ready) co_return std::nullopt;
     std::size_t const needed = quorum_size(set_);
-    ReadRevisions const query{set_.epoch};
-    auto const replies = co_await ask_all<ReadRevisions>(
+    PeekRevisions const query{set_.epoch};
+    auto const replies = co_await ask_all<PeekRevisions>(
         env_, addresses_of(set_), query, std::min(deadline, env_.now() + round_timeout),
         [needed](auto const& heard) { return voting(heard) >= needed || newer_set_reported(heard); });
     adopt_newer_sets(replies);
@@ -195,15 +196,15 @@
     co_return newest;
   }
 
-  /// A reading that a majority agrees on, with nothing written back: asked again
+  /// Reads a value on which a majority agrees, without writing back, and retries
   /// until the deadline. Each change must have a greater revision than the one
-  /// before, as `known` is taken to be current if the revision is the same.
-  Task<Result<ConfirmedValue>> confirm(Register const reg, RegisterValue const known, Instant const deadline) {
+  /// before, as `known` is considered current if its revision is the same.
+  Task<Result<ConfirmedValue>> confirm(Register const reg, Held const known, Instant const deadline) {
     for (std::uint64_t attempt = 0; env_.now() < deadline; ++attempt) {
       bool const ready = co_await begin_attempt(attempt, deadline);
       if (!ready) continue;
       Instant const as_of = env_.now();
-      std::optional<RegisterValue> agreed = co_await peek(reg, known, deadline);
+      std::optional<Held> agreed = co_await peek(reg, known, deadline);
       if (!agreed) continue;
       ConfirmedValue out;
       out.held = std::move(*agreed);
@@ -213,8 +214,8 @@
     co_return not_confirmed(reg);
   }
 
-  /// The same for those who get the value by other ways: it doesn't travel. `have`
-  /// is the revision of the chosen value that the caller knows.
+  /// Like `confirm` for callers that receive the value by another path: the value isn't
+  /// transferred. `have` is the revision of the chosen value that the caller knows.
   Task<Result<ConfirmedRevision>> confirm_revision(Register const reg, Revision const have, Instant const deadline) {
     for (std::uint64_t attempt = 0; env_.now() < deadline; ++attempt) {
       bool const ready = co_await begin_attempt(attempt, deadline);
@@ -226,15 +227,15 @@
     co_return not_confirmed(reg);
   }
 
-  // A number greater than every one that this has given before, to anyone.
+  // Returns a number greater than every number that any client has received from this register.
   Task<Result<std::uint64_t>> next_number(Register const reg, Instant const deadline) {
     bool const ready = co_await find_voters(0, deadline);
     std::size_t heard = 0;
     if (ready) {
-      ReadRegister const query{reg, std::numeric_limits<Revision>::max(), set_.epoch};
-      auto const replies = co_await ask_all<ReadRegister>(env_, addresses_of(set_), query,
-                                                          std::min(deadline, env_.now() + round_timeout),
-                                                          [](auto const&) { return false; });
+      Peek const query{reg, std::numeric_limits<Revision>::max(), set_.epoch};
+      auto const replies =
+          co_await ask_all<Peek>(env_, addresses_of(set_), query, std::min(deadline, env_.now() + round_timeout),
+                                 [](auto const&) { return false; });
       adopt_newer_sets(replies);
       for (auto const& [i, r] : replies) {
         if (!r || !r->voting) continue;
@@ -268,8 +269,8 @@
     return n;
   }
 
-  // A newer set makes it useless to wait for more answers: a voter of the older one
-  // that is gone never gives any.
+  // Once a newer set is reported, waiting for more answers is useless: a removed voter
+  // of the older set may never answer.
   template <class Replies>
   static bool newer_set_reported(Replies const& replies) {
     return std::any_of(replies.begin(), replies.end(), [](auto const& r) { return r.second && r.second->newer; });
@@ -280,7 +281,7 @@
       if (r && r->newer) adopt_if_newer(*r->newer);
   }
 
-  // Asks when no set is known, and again when rounds keep failing.
+  // Discovers the voters if no set is known, and again if rounds keep failing.
   Task<bool> find_voters(std::uint64_t const attempt, Instant const deadline) {
     bool const again = attempt > 0 && attempt % attempts_before_rediscovery == 0 && !contacts_.empty();
     if (set_known_ && !again) co_return true;
@@ -291,8 +292,8 @@
     if (attempt > 0) co_await sleep_for(env_, backoff_before(attempt));
     co_return co_await find_voters(attempt, deadline);
   }
-  // Pauses double: many clients that ask again at once would keep the voters too busy
-  // to complete the very round that they wait for.
+  // Exponential backoff with jitter: many clients that retry at once would keep the
+  // voters too busy to complete the round that the clients wait for.
   Duration backoff_before(std::uint64_t const attempt) {
     std::uint64_t const longest_ms = initial_backoff_ms << std::min(attempt, max_backoff_doublings);
     return std::chrono::milliseconds(2 + env_.chance()() % longest_ms);
@@ -302,30 +303,30 @@
                       Proof::not_run);
   }
 
-  // A ballot that a majority has accepted, and who said so, the first to answer first.
+  // A ballot that a majority has accepted, and the voters that reported it, in order of their answers.
   struct Agreement {
     Ballot accepted;
     Revision revision = 0;
     std::vector<Address> voters;
   };
 
-  // What a quorum says of a register's revisions.
+  // What a quorum reports about a register's revisions.
   struct QuorumReading {
-    // No greater revision was chosen before the question: each chosen value is held by
-    // one of any quorum, or was taken up by every voter as it became active in this epoch.
+    // No greater revision was chosen before the request: each chosen value is held by a
+    // member of every quorum, or was adopted by every voter when it was activated in this epoch.
     Revision bound = 0;
     std::optional<Agreement> agreed;
   };
 
-  // What a majority agrees on, or `known` if nothing newer can have been chosen. A
-  // ballot of an older epoch is no agreement: it may have been copied here from less
-  // than a majority.
-  Task<std::optional<RegisterValue>> peek(Register const reg, RegisterValue const known, Instant const deadline) {
+  // The value on which a majority agrees, or `known` if nothing newer can have been
+  // chosen. A ballot of an older epoch doesn't count as agreement: the voters may have
+  // copied it from fewer than a majority.
+  Task<std::optional<Held>> peek(Register const reg, Held const known, Instant const deadline) {
     if (value_is_large(reg)) co_return co_await peek_and_fetch(reg, known, deadline);
     std::uint64_t const epoch = set_.epoch;
     std::size_t const needed = quorum_size(set_);
-    ReadRegister const query{reg, known.revision, epoch};
-    auto const replies = co_await ask_all<ReadRegister>(
+    Peek const query{reg, known.revision, epoch};
+    auto const replies = co_await ask_all<Peek>(
         env_, addresses_of(set_), query, std::min(deadline, env_.now() + round_timeout),
         [epoch, needed, &known](auto const& r) {
           return agreeing(r, epoch).second >= needed || none_newer(r, needed, known.revision) || newer_set_reported(r);
@@ -338,15 +339,15 @@
     co_return r.revision > known.revision ? r.held : known;
   }
 
-  // Only one voter's answer is to carry such a value.
+  // A large value is fetched from one voter only, not sent by every voter.
   static bool value_is_large(Register const reg) { return reg == Register::keys; }
 
   Task<std::optional<QuorumReading>> read_revision(Register const reg, Revision const have, Instant const deadline) {
     std::uint64_t const epoch = set_.epoch;
     std::size_t const needed = quorum_size(set_);
     std::vector<Address> const voters = addresses_of(set_);
-    ReadRegister const query{reg, 0, epoch, false};
-    auto const replies = co_await ask_all<ReadRegister>(
+    Peek const query{reg, 0, epoch, false};
+    auto const replies = co_await ask_all<Peek>(
         env_, voters, query, std::min(deadline, env_.now() + round_timeout), [epoch, needed, have](auto const& r) {
           return agreeing(r, epoch).second >= needed || none_newer(r, needed, have) || newer_set_reported(r);
         });
@@ -365,10 +366,9 @@
     co_return reading;
   }
 
-  // A voter that has accepted another ballot meanwhile may hold what is never
-  // chosen, so only a value under the ballot of the agreement counts.
-  Task<std::optional<RegisterValue>> peek_and_fetch(Register const reg, RegisterValue const known,
-                                                    Instant const deadline) {
+  // A voter that has accepted another ballot meanwhile may hold a value that is never
+  // chosen, so only a value with the agreed ballot counts.
+  Task<std::optional<Held>> peek_and_fetch(Register const reg, Held const known, Instant const deadline) {
     std::uint64_t const epoch = set_.epoch;
     std::optional<QuorumReading> const reading = co_await read_revision(reg, known.revision, deadline);
     if (!reading) co_return std::nullopt;
@@ -377,9 +377,8 @@
     if (!agreed) co_return std::nullopt;
     if (agreed->revision <= known.revision) co_return known;
     for (Address const& voter : agreed->voters) {
-      ReadRegister const query{reg, known.revision, epoch};
-      Result<ReadRegisterReply> const r =
-          co_await ask(env_, voter, query, std::min(deadline, env_.now() + fetch_timeout));
+      Peek const query{reg, known.revision, epoch};
+      Result<PeekReply> const r = co_await ask(env_, voter, query, std::min(deadline, env_.now() + fetch_timeout));
       if (r && r->voting && r->accepted == agreed->accepted) co_return r->held;
     }
     co_return std::nullopt;
--- a/source/coordination/shared_reading.hpp
+++ b/source/coordination/shared_reading.hpp
@@ -1,7 +1,7 @@
-// One reading for many askers. A process that reads something at a distance, by
-// itself every now and then and whenever it is asked for a fresh reading, would
-// read once for each asker; here all who ask while a reading is under way share the
-// next one, so the number of readings is bounded however many ask.
+// Coalesces remote reads. The value is read periodically and whenever a caller needs
+// a read that begins after its call. All callers that arrive while a read is in
+// progress share the next one, so the read rate is bounded regardless of the number
+// of callers.
 #pragma once
 
 #include "transport/environment.hpp"
@@ -14,18 +14,18 @@
 namespace banktide {
 
 struct SharedReadingSettings {
-  Duration interval = 200ms;  // from one reading's end to the next, while nobody asks
-  Duration min_pause = 10ms;  // the same, while somebody asks
+  Duration interval = 200ms;  // from the end of a read to the next one, without waiting callers
+  Duration min_pause = 10ms;  // the same, with waiting callers
 };
 
 template <Environment Env>
 class SharedReading {
  public:
-  /// `read` reads once and says whether that succeeded.
+  /// `read` performs one read and returns whether it succeeded.
   SharedReading(Env& env, SharedReadingSettings settings, std::function<Task<bool>()> read)
       : env_(env), settings_(settings), read_(std::move(read)), requested_(env) {}
 
-  /// Reads for as long as the process runs.
+  /// Runs the read loop until the process ends.
   Task<void> run() {
     while (true) {
       Instant const started_at = env_.now();
@@ -37,8 +37,8 @@
     }
   }
 
-  /// Waits for a successful reading that began after this call; false if there was
-  /// none until the deadline.
+  /// Waits for a successful read that begins after this call. Returns false if there is
+  /// none before the deadline.
   Task<bool> read_fresh(Instant const deadline) {
     Instant const called_at = env_.now();
     Waiter waiter(env_, waiters_);
@@ -47,13 +47,13 @@
     co_return started_since(called_at);
   }
 
-  /// When the newest successful reading began, if there was one.
+  /// The start of the latest successful read, if there was one.
   std::optional<Instant> latest_start() const { return latest_start_; }
 
  private:
-  using Alarms = std::vector<typename Env::Alarm*>;  // in the order of asking
+  using Alarms = std::vector<typename Env::Alarm*>;  // in the order of the calls
 
-  // Takes its alarm off the list also when its coroutine is destroyed.
+  // Removes its alarm from the list even if the waiting coroutine is destroyed.
   struct Waiter {
     Waiter(Env& env, std::shared_ptr<Alarms> all) : alarm(env), list(std::move(all)) { list->push_back(&alarm); }
     ~Waiter() { std::erase(*list, &alarm); }
--- a/source/coordination/voter_watch.cpp
+++ b/source/coordination/voter_monitor.cpp
@@ -1,5 +1,5 @@
-// Counts of missed looks, and what a set can still bear.
-#include "coordination/voter_watch.hpp"
+// Counts missed probes and computes how many losses a set tolerates.
+#include "coordination/voter_monitor.hpp"
 
 #include <algorithm>
 
@@ -27,11 +27,11 @@
 
 bool should_remove_leaver(VoterSet const& s) {
   std::size_t const others = s.voters.size() - 1;
-  bool const bears_another_loss = others >= s.losses + quorum_size(s);
-  return !bears_another_loss && can_remove_voter(s);
+  bool const tolerates_another_loss = others >= s.losses + quorum_size(s);
+  return !tolerates_another_loss && can_remove_voter(s);
 }
 
-void VoterMonitor::note(std::vector<std::string> const& peers, std::vector<bool> const& answered) {
+void VoterMonitor::record_probe(std::vector<std::string> const& peers, std::vector<bool> const& answered) {
   std::map<std::string, std::uint64_t> missed;
   for (std::size_t i = 0; i < peers.size(); ++i) missed[peers[i]] = answered[i] ? 0 : missed_[peers[i]] + 1;
   missed_ = std::move(missed);
--- a/source/coordination/voter_set.cpp
+++ b/source/coordination/voter_set.cpp
@@ -1,4 +1,4 @@
-// The arithmetic of quorums, and the steps from one set of voters to the next.
+// Quorum sizes, and derivation of the next voter set.
 #include "coordination/voter_set.hpp"
 
 #include <algorithm>
@@ -71,11 +71,11 @@
   return next;
 }
 
-void merge_newer(RegisterSlot& mine, RegisterSlot const& told) {
-  mine.promised = std::max(mine.promised, told.promised);
-  if (told.accepted <= mine.accepted) return;
-  mine.accepted = told.accepted;
-  mine.held = told.held;
+void merge_newer(Slot& local, Slot const& received) {
+  local.promised = std::max(local.promised, received.promised);
+  if (received.accepted <= local.accepted) return;
+  local.accepted = received.accepted;
+  local.held = received.held;
 }
 
 }  // namespace banktide
--- a/source/coordination/voter_set_change.hpp
+++ b/source/coordination/voter_set_change.hpp
@@ -1,22 +1,22 @@
-// The steps from one set of voters to the next, as any voter may drive them.
+// Reconfiguration from one voter set to the next. Any voter may drive it.
 //
 // A change from epoch e to e + 1:
-//   1. A round of the voters of e puts the new set into Register::voters. Once a
-//      set of e + 1 is there it is only ever written again: the set is decided.
-//   2. `Seal`: so many voters of e vote there no more that no quorum of e can
-//      form, and that each value acknowledged in e is with one of them.
-//   3. `Activate`: the voters of e + 1 take up the newest of what these hold, and
-//      vote in e + 1. Clients count quorums of e + 1 only among such.
-//   4. Each register is written once in e + 1, so that readings agree again.
-// Each step may be repeated by anyone, at any time: two drivers do no harm, and
-// who finds a change half done completes it. Ballots carry their epoch, so that
-// what was left behind in e never wins over what was written in e + 1.
+//   1. A round of the voters of e writes the new set into Register::voters. Once it
+//      holds a set of e + 1, only that value is written again: the set is decided.
+//   2. `Seal`: enough voters of e stop voting in e that no quorum of e can form any
+//      more, and that every value acknowledged in e is held by one of them.
+//   3. `Activate`: the voters of e + 1 adopt the newest slots of the sealed voters and
+//      vote in e + 1. Clients count quorums of e + 1 among activated voters only.
+//   4. Each register is written once in e + 1, so that reads find agreement again.
+// All steps are idempotent and may be run by any voter at any time: concurrent
+// drivers are harmless, and a change found incomplete is completed. Ballots carry
+// their epoch, so that a value left in e never wins over one written in e + 1.
 //
-// No step needs a voter that is gone. Step 1 needs a quorum of e. Step 2 needs a
-// recovery quorum of e (voter_set.hpp), and a voter that never voted in e may be
-// part of it: whatever was acknowledged in e is with a quorum that did, and the two
-// have a voter in common. Where a voter of e + 1 is active already its word alone
-// will do for the next one: it holds all that was acknowledged before e + 1.
+// No step needs a failed voter. Step 1 needs a quorum of e. Step 2 needs a recovery
+// quorum of e (voter_set.hpp), which may include a voter that never voted in e:
+// every value acknowledged in e is held by a quorum that did, and the two intersect.
+// If a voter of e + 1 is active already, its answer alone is enough to activate the
+// next one: it holds everything that was acknowledged before e + 1.
 #pragma once
 
 #include "coordination/register_client.hpp"
@@ -28,8 +28,8 @@
  public:
   VoterSetChange(Env& env, RegisterClient<Env>& client) : env_(env), client_(client) {}
 
-  /// Changes the set from `now` to `next`, unless another change was decided first:
-  /// then that one is completed. Does nothing while a change is driven here.
+  /// Changes the set from `now` to `next`. If another change was decided first, completes
+  /// that one instead. Does nothing while this object already runs a change.
   Task<void> run(VoterSet const now, VoterSet const next) {
     if (running_) co_return;
     running_ = true;
@@ -39,10 +39,10 @@
     running_ = false;
   }
 
-  /// Completes the change that may have been decided in the epoch of `now`.
+  /// Completes the change, if any, that was decided in the epoch of `now`.
   Task<void> complete(VoterSet const now) { co_await run(now, now); }
 
-  /// Steps 2 to 4 for a set that is decided.
+  /// Runs steps 2 to 4 for a decided set.
   Task<void> finish(VoterSet const set) {
     std::optional<Activate> const next = co_await seal(set);
     if (!next) co_return;
@@ -53,8 +53,8 @@
     adopt_newer_sets(replies);
     if (count_active(replies) < needed) co_return;
     client_.adopt_if_newer(set);
-    for (Register const reg : stored_registers) {
-      RegisterValue const none{};
+    for (Register const reg : kept_registers) {
+      Held const none{};
       co_await client_.read(reg, none, env_.now() + step_timeout);
     }
   }
@@ -64,10 +64,11 @@
   static constexpr Duration step_timeout = 1s;
 
   Task<Result<VoterSet>> decide(VoterSet const now, VoterSet const next) {
-    Result<RegisterValue> const held = co_await client_.change(
-        Register::voters, "", env_.now() + decide_timeout, [&](RegisterValue const& h) -> Result<RegisterValue> {
-          if (client_.set().epoch != now.epoch) return make_error("decide_set", "", "the set has changed meanwhile");
-          bool const decided = h.revision > now.epoch;  // only ever written again
+    Result<Held> const held =
+        co_await client_.change(Register::voters, "", env_.now() + decide_timeout, [&](Held const& h) -> Result<Held> {
+          if (client_.set().epoch != now.epoch)
+            return make_error("decide_set", "", "the voter set has changed meanwhile");
+          bool const decided = h.revision > now.epoch;  // from here on the same set is written again
           if (decided || next == now) return h;
           RegisterValue changed;
           changed.revision = next.epoch;
@@ -75,11 +76,12 @@
           return changed;
         });
     if (!held) co_return tl::unexpected<Error>(held.error());
-    if (held->revision <= now.epoch) co_return make_error("decide_set", "", "no change of the set was under way");
+    if (held->revision <= now.epoch)
+      co_return make_error("decide_set", "", "no change of the voter set was in progress");
     co_return unpack<VoterSet>(held->bytes);
   }
 
-  // What the voters of `set` begin with; nothing while too few have told.
+  // The state with which the voters of `set` are activated; nullopt if too few voters answered.
   Task<std::optional<Activate>> seal(VoterSet const set) {
     std::vector<Address> peers = set.before;
     for (VoterEntry const& e : set.voters)
@@ -102,7 +104,7 @@
     next.set = set;
     for (auto const& [at, r] : replies) {
       if (!r || !r->sealed) continue;
-      next.bootstrap_id = r->bootstrap_id;
+      next.founding = r->founding;
       for (std::size_t k = 0; k < register_count; ++k) merge_newer(next.slots[k], r->slots[k]);
     }
     co_return next;
--- a/source/programs/control_status.hpp
+++ b/source/programs/control_status.hpp
@@ -3,7 +3,7 @@
 // data is. Each request queries the voters directly, so it also works in a minority.
 #pragma once
 
-#include "coordination/voter_watch.hpp"
+#include "coordination/voter_monitor.hpp"
 #include "programs/registry.hpp"
 
 namespace banktide {
--- a/source/programs/store_main.cpp
+++ b/source/programs/store_main.cpp
@@ -87,7 +87,7 @@
   process.run_on_thread([&]() {
     world.serve(dispatcher);
     if (!fixed) membership.attach(dispatcher);
-    spawn(world, fixed ? acceptor.settle() : membership.run());
+    spawn(world, fixed ? acceptor.run_until_voting() : membership.run());
     return true;
   });
   log_info("started", {{"address", *bound}});
--- a/source/simulation/sim_machines.hpp
+++ b/source/simulation/sim_machines.hpp
@@ -179,7 +179,7 @@
     bury(dispatcher);
     v.acceptor->attach(*dispatcher);
     v.process->serve(*dispatcher);
-    spawn(*v.process, v.acceptor->settle());
+    spawn(*v.process, v.acceptor->run_until_voting());
   }
   void start_control(std::size_t const i) {
     Control& c = controls_[i];
--- a/tests/coordination/register_client_test.cpp
+++ b/tests/coordination/register_client_test.cpp
@@ -43,7 +43,7 @@
     dispatchers.push_back(std::make_unique<Dispatcher>());
     acceptors.back()->attach(*dispatchers.back());
     p->serve(*dispatchers.back());
-    spawn(*p, acceptors.back()->settle());
+    spawn(*p, acceptors.back()->run_until_voting());
   }
 
   Task<void> keep_changing(std::size_t const c) {
--- a/tests/coordination/zone_trial.hpp
+++ b/tests/coordination/zone_trial.hpp
@@ -49,7 +49,7 @@
     acceptors[i] = std::make_shared<Acceptor<SimProcess, SimDisk>>(*p, disks[i], voters, i);
     EXPECT_TRUE(acceptors[i]->load());
     acceptors[i]->attach(dispatcher(*p));
-    spawn(*p, acceptors[i]->settle());
+    spawn(*p, acceptors[i]->run_until_voting());
   }
 
   void add_registry(std::string const& id, std::string const& zone) {
--- a/tests/programs/control_trial_test.cpp
+++ b/tests/programs/control_trial_test.cpp
@@ -316,7 +316,7 @@
   bool all_vote() {
     return std::all_of(members_.begin(), members_.end(), [this](std::size_t const i) {
       return t.up(i) && !t.frozen(i) && t.stores.acceptors[i]->voting() &&
-             entry_of(t.stores.acceptors[i]->set(), t.stores.addresses[i]) != nullptr;
+             find_entry(t.stores.acceptors[i]->set(), t.stores.addresses[i]) != nullptr;
     });
   }
 
