--- a/source/coordination/acceptor.hpp
+++ b/source/coordination/acceptor.hpp
@@ -23,7 +23,7 @@
   VoterSet set;
   std::uint64_t active_epoch = 0;
   std::uint64_t disk = 0;  // random identifier, assigned while the disk was empty
-  BANKTIDE_FIELDS(phase, founding, slots, set, active_epoch, disk)
+  BANKTIDE_FIELDS(phase, bootstrap_id, slots, set, active_epoch, disk)
 };
 
 template <class D>
@@ -53,10 +53,10 @@
   void attach(Dispatcher& dispatcher) {
     dispatcher.on<Prepare>([this](Prepare request) { return prepare(std::move(request)); });
     dispatcher.on<Accept>([this](Accept request) { return accept(std::move(request)); });
-    dispatcher.on<Peek>([this](Peek request) { return peek(std::move(request)); });
-    dispatcher.on<PeekRevisions>([this](PeekRevisions request) { return peek_revisions(request); });
-    dispatcher.on<Found>([this](Found request) { return found(request); });
-    dispatcher.on<VotersAsk>([this](VotersAsk request) { return voters(std::move(request)); });
+    dispatcher.on<ReadRegister>([this](ReadRegister request) { return peek(std::move(request)); });
+    dispatcher.on<ReadRevisions>([this](ReadRevisions request) { return peek_revisions(request); });
+    dispatcher.on<Bootstrap>([this](Bootstrap request) { return found(request); });
+    dispatcher.on<VotersRequest>([this](VotersRequest request) { return voters(std::move(request)); });
     dispatcher.on<Seal>([this](Seal request) { return seal(std::move(request)); });
     dispatcher.on<Activate>([this](Activate request) { return activate(std::move(request)); });
   }
@@ -86,9 +86,9 @@
   /// Makes one attempt to found the recorded set or to rejoin it.
   Task<void> found_or_rejoin() {
     std::vector<Address> const others = other_voters(record_.set);
-    Found request{Phase::blank, record_.founding};
+    Bootstrap request{Phase::blank, record_.bootstrap_id};
     auto const replies =
-        co_await ask_all<Found>(env_, others, request, env_.now() + 1s, [](auto const&) { return false; });
+        co_await ask_all<Bootstrap>(env_, others, request, env_.now() + 1s, [](auto const&) { return false; });
     std::size_t heard = 0, voting = 0, same = 0;
     for (auto const& [i, r] : replies) {
       if (!r) continue;
@@ -148,8 +148,8 @@
     next.bootstrap_id = co_await agreed_founding(others, enough);
     if (next.bootstrap_id == 0) co_return std::nullopt;
     std::optional<VoterSet> newer;
-    for (Register const reg : kept_registers) {
-      std::optional<Slot> const recovered = co_await recover(reg, set, others, enough, nonce, newer);
+    for (Register const reg : stored_registers) {
+      std::optional<RegisterSlot> const recovered = co_await recover(reg, set, others, enough, nonce, newer);
       if (!recovered) co_return newer;
       next.slots[static_cast<std::size_t>(reg)] = *recovered;
     }
@@ -210,7 +210,7 @@
   }
 
   static bool is_known_register(Register const reg) { return static_cast<std::size_t>(reg) < register_count; }
-  static Slot& slot_of(VoterRecord& r, Register const reg) { return r.slots[static_cast<std::size_t>(reg)]; }
+  static RegisterSlot& slot_of(VoterRecord& r, Register const reg) { return r.slots[static_cast<std::size_t>(reg)]; }
 
   // Whether a request for that epoch may be answered with a vote. Only a store that
   // has voted in the newer set or in the one before reports the newer set.
@@ -224,11 +224,11 @@
     PrepareReply reply;
     if (!is_known_register(request.reg) || !may_vote(request.ballot.epoch, reply.newer)) co_return reply;
     bool ok = false, votes_in_epoch = false;
-    Slot seen;
+    RegisterSlot seen;
     bool const kept = co_await change([&](VoterRecord& r) {
       votes_in_epoch = votes(r) && r.set.epoch == request.ballot.epoch;
       if (!votes_in_epoch) return false;
-      Slot& s = slot_of(r, request.reg);
+      RegisterSlot& s = slot_of(r, request.reg);
       ok = request.ballot.may_follow(s.promised);
       if (ok) s.promised = request.ballot;
       seen = s;
@@ -248,7 +248,7 @@
     bool const kept = co_await change([&](VoterRecord& r) {
       votes_in_epoch = votes(r) && r.set.epoch == request.ballot.epoch;
       if (!votes_in_epoch) return false;
-      Slot& s = slot_of(r, request.reg);
+      RegisterSlot& s = slot_of(r, request.reg);
       ok = request.ballot == s.promised || request.ballot.may_follow(s.promised);
       if (ok) {
         s.promised = request.ballot;
@@ -264,10 +264,10 @@
     co_return reply;
   }
 
-  Task<PeekReply> peek(Peek request) {
-    PeekReply reply;
+  Task<ReadRegisterReply> peek(ReadRegister request) {
+    ReadRegisterReply reply;
     if (!is_known_register(request.reg) || !may_vote(request.epoch, reply.newer)) co_return reply;
-    Slot const& s = slot(request.reg);
+    RegisterSlot const& s = slot(request.reg);
     reply.voting = true;
     reply.accepted = s.accepted;
     reply.revision = s.held.revision;
@@ -275,15 +275,15 @@
     co_return reply;
   }
 
-  Task<PeekRevisionsReply> peek_revisions(PeekRevisions request) {
-    PeekRevisionsReply reply;
+  Task<ReadRevisionsReply> peek_revisions(ReadRevisions request) {
+    ReadRevisionsReply reply;
     if (!may_vote(request.epoch, reply.newer)) co_return reply;
     reply.voting = true;
     for (std::size_t i = 0; i < register_count; ++i) reply.revisions[i] = record_.slots[i].held.revision;
     co_return reply;
   }
 
-  Task<VotersReply> voters(VotersAsk request) {
+  Task<VotersReply> voters(VotersRequest request) {
     VotersReply reply;
     if (!request.from.empty()) last_requester_ = request.from;
     reply.member = record_.phase == Phase::voting;
@@ -328,7 +328,7 @@
       if (reply.active || own_entry == nullptr || !(continuing || added)) return false;
       for (std::size_t i = 0; i < register_count; ++i) merge_newer(r.slots[i], request.slots[i]);
       r.phase = Phase::voting;
-      r.founding = request.founding;
+      r.bootstrap_id = request.bootstrap_id;
       r.set = request.set;
       r.active_epoch = request.set.epoch;
       reply.active = true;
@@ -338,18 +338,19 @@
     co_return reply;
   }
 
-  Task<FoundReply> found(Found request) {
+  Task<BootstrapReply> found(Bootstrap request) {
     if (request.want == Phase::prepared && record_.phase != Phase::voting && !is_founder() &&
         find_entry(record_.set, own_address_) != nullptr)
       co_await change([&](VoterRecord& r) {
         if (r.phase == Phase::voting || find_entry(r.set, own_address_) == nullptr) return false;
         r.phase = Phase::prepared;
-        r.founding = request.founding;
+        r.bootstrap_id = request.bootstrap_id;
         return true;
       });
-    if (request.want == Phase::voting && record_.phase == Phase::prepared && record_.founding == request.founding)
+    if (request.want == Phase::voting && record_.phase == Phase::prepared &&
+        record_.bootstrap_id == request.bootstrap_id)
       co_await change([&](VoterRecord& r) {
-        if (r.phase != Phase::prepared || r.founding != request.founding) return false;
+        if (r.phase != Phase::prepared || r.bootstrap_id != request.bootstrap_id) return false;
         r.phase = Phase::voting;
         return true;
       });
@@ -391,8 +392,8 @@
       }
       return most;
     };
-    Found const request{};
-    auto const replies = co_await ask_all<Found>(
+    Bootstrap const request{};
+    auto const replies = co_await ask_all<Bootstrap>(
         env_, others, request, env_.now() + 1s,
         [enough, most_frequent](auto const& heard) { return most_frequent(heard).second >= enough; });
     std::pair<std::uint64_t, std::size_t> const most = most_frequent(replies);
@@ -400,9 +401,9 @@
   }
 
   // Recovers one register for `rejoin` and returns the slot to store.
-  Task<std::optional<Slot>> recover(Register const reg, VoterSet const& set, std::vector<Address> const& others,
-                                    std::size_t const enough, std::uint64_t const nonce,
-                                    std::optional<VoterSet>& newer) {
+  Task<std::optional<RegisterSlot>> recover(Register const reg, VoterSet const& set, std::vector<Address> const& others,
+                                            std::size_t const enough, std::uint64_t const nonce,
+                                            std::optional<VoterSet>& newer) {
     Ballot ballot{set.epoch, 1, nonce};
     for (int attempt = 0; attempt < recovery_attempts; ++attempt) {
       Prepare const asked{reg, ballot};
@@ -416,7 +417,7 @@
       std::size_t promised = 0;
       Ballot best;
       std::uint64_t top_round = ballot.round;
-      Held held;
+      RegisterValue held;
       for (auto const& [i, r] : promises) {
         if (r && r->newer) {
           newer = r->newer;
@@ -440,7 +441,7 @@
             });
         std::size_t accepted = 0;
         for (auto const& [i, r] : acceptances) accepted += r && r->accepted;
-        if (accepted >= enough) co_return Slot{ballot, ballot, held};
+        if (accepted >= enough) co_return RegisterSlot{ballot, ballot, held};
       }
       ballot.round = top_round + 1;
       co_await sleep_for(env_, std::chrono::milliseconds(5 + env_.chance()() % 50));
--- a/source/coordination/lease_voter.hpp
+++ b/source/coordination/lease_voter.hpp
@@ -26,7 +26,7 @@
   void set_floor(std::uint64_t const epoch) { floor_ = epoch; }
   bool has_floor() const { return floor_ > 0; }
 
-  LeaseReply ask(LeaseAsk const& request) {
+  LeaseReply ask(LeaseRequest const& request) {
     Instant const now = env_.now();
     LeaseReply reply;
     for (SliceClaim const& c : request.release) {
--- a/source/coordination/maintenance_keeper.hpp
+++ b/source/coordination/maintenance_keeper.hpp
@@ -22,9 +22,9 @@
       : env_(env), store_(store), acting_(std::move(acting)) {}
 
   /** Returns the newest value known to the registry. */
-  std::function<Held()> known;
+  std::function<RegisterValue()> known;
   /** Called with each value that this keeper has written. */
-  std::function<void(Held const&)> on_written;
+  std::function<void(RegisterValue const&)> on_written;
 
   MaintenancePlan plan() const { return view_.at(env_.now()); }
 
@@ -40,7 +40,7 @@
   /** Applies an edit to the newest plan; `edit` may be called more than once. */
   Task<Result<MaintenancePlan>> change(MaintenanceEdit const edit) {
     Instant counted_at{};
-    auto const edit_newest = [&](Held const& newest) -> Result<Held> {
+    auto const edit_newest = [&](RegisterValue const& newest) -> Result<RegisterValue> {
       Result<MaintenancePlan> plan = unpack_maintenance(newest.bytes);
       if (!plan) return tl::unexpected<Error>(plan.error());
       counted_at = env_.now();
@@ -50,7 +50,7 @@
       if (!changed) return tl::unexpected<Error>(changed.error());
       return *changed ? next_value(newest, *plan) : newest;
     };
-    Result<Held> const done =
+    Result<RegisterValue> const done =
         co_await store_.change(Register::maintenance, "", env_.now() + register_timeout, edit_newest);
     if (!done) co_return tl::unexpected<Error>(done.error());
     adopt_written(*done, counted_at);
@@ -73,11 +73,11 @@
     Revision const revision = view_.revision();
     Instant const counted_at = env_.now();
     MaintenancePlan const plan = view_.at(counted_at);
-    auto const write_over_own = [&](Held const& newest) -> Result<Held> {
+    auto const write_over_own = [&](RegisterValue const& newest) -> Result<RegisterValue> {
       if (newest.revision != revision) return make_error("maintenance", "", "a concurrent change was written first");
       return next_value(newest, plan);
     };
-    Result<Held> const done =
+    Result<RegisterValue> const done =
         co_await store_.change(Register::maintenance, "", env_.now() + register_timeout, write_over_own);
     if (done) adopt_written(*done, counted_at);
   }
@@ -90,7 +90,7 @@
     return next;
   }
 
-  void adopt_written(Held const& held, Instant const counted_at) {
+  void adopt_written(RegisterValue const& held, Instant const counted_at) {
     view_.take(held, counted_at);
     view_.log_phases(env_.now());
     if (on_written) on_written(held);
--- a/source/coordination/maintenance_view.hpp
+++ b/source/coordination/maintenance_view.hpp
@@ -14,7 +14,7 @@
  public:
   /** Adopts a newer value, whose remaining times are those at `counted_at`. Returns false if it isn't newer or can't be
    * parsed. */
-  bool take(Held const& held, Instant const counted_at) {
+  bool take(RegisterValue const& held, Instant const counted_at) {
     if (held.revision <= revision_) return false;
     Result<MaintenancePlan> read = unpack_maintenance(held.bytes);
     if (!read) {
--- a/source/coordination/membership.hpp
+++ b/source/coordination/membership.hpp
@@ -139,7 +139,7 @@
     AddVoter request;
     request.entry = VoterEntry{acceptor_.own_address(), acceptor_.disk_id()};
     Address const peer = pick_random(active);
-    Result<SetReply> const reply = co_await ask<AddVoter>(env_, peer, request, env_.now() + change_timeout);
+    Result<VoterSetReply> const reply = co_await ask<AddVoter>(env_, peer, request, env_.now() + change_timeout);
     if (!reply) co_return;
     client_.adopt_if_newer(reply->set);
     if (reply->done) log_info("added", {{"epoch", std::to_string(reply->set.epoch)}, {"by", peer}});
@@ -153,7 +153,7 @@
     RemoveVoter request;
     request.address = acceptor_.own_address();
     Address const peer = pick_random(others);
-    Result<SetReply> const reply = co_await ask<RemoveVoter>(env_, peer, request, deadline);
+    Result<VoterSetReply> const reply = co_await ask<RemoveVoter>(env_, peer, request, deadline);
     if (reply && reply->done) log_info("removed_itself", {{"epoch", std::to_string(reply->set.epoch)}, {"by", peer}});
     co_return reply && reply->done;
   }
@@ -163,9 +163,9 @@
     std::vector<Address> const voters = addresses_of(set);
     std::size_t const needed = quorum_size(set);
     auto const votes_in_set = [&set](Result<VotersReply> const& r) { return r && r->active && r->set == set; };
-    VotersAsk const request{};
+    VotersRequest const request{};
     auto const replies =
-        co_await ask_all<VotersAsk>(env_, voters, request, env_.now() + probe_timeout, [&](auto const& heard) {
+        co_await ask_all<VotersRequest>(env_, voters, request, env_.now() + probe_timeout, [&](auto const& heard) {
           std::size_t n = 0;
           for (auto const& [at, r] : heard) n += votes_in_set(r);
           return n >= needed;
@@ -182,14 +182,14 @@
 
   // ---- changes requested by other stores
 
-  Task<SetReply> add(AddVoter request) {
+  Task<VoterSetReply> add(AddVoter request) {
     VoterSet const now = acceptor_.set();
     if (acceptor_.voting() && find_entry(now, request.entry.address) == nullptr) {
       co_await probe_others();
       std::optional<VoterSet> const next = set_for_newcomer(now, request.entry);
       if (next && acceptor_.set() == now) co_await change_.run(now, *next);
     }
-    SetReply reply = current_set_reply();
+    VoterSetReply reply = current_set_reply();
     VoterEntry const* const entry = find_entry(reply.set, request.entry.address);
     reply.done = entry != nullptr && *entry == request.entry;
     co_return reply;
@@ -205,18 +205,18 @@
     return with_voter_replaced(now, *silent, newcomer);
   }
 
-  Task<SetReply> remove(RemoveVoter request) {
+  Task<VoterSetReply> remove(RemoveVoter request) {
     VoterSet const now = acceptor_.set();
     bool const possible = can_remove_voter(now) && request.address != acceptor_.own_address();
     if (acceptor_.voting() && possible && find_entry(now, request.address) != nullptr)
       co_await change_.run(now, with_voter_removed(now, request.address));
-    SetReply reply = current_set_reply();
+    VoterSetReply reply = current_set_reply();
     reply.done = !reply.set.voters.empty() && find_entry(reply.set, request.address) == nullptr;
     co_return reply;
   }
 
-  SetReply current_set_reply() const {
-    SetReply reply;
+  VoterSetReply current_set_reply() const {
+    VoterSetReply reply;
     if (acceptor_.phase() == Phase::voting) reply.set = acceptor_.set();
     return reply;
   }
@@ -256,9 +256,9 @@
     // The last requester may belong to a newer set whose other voters are all unknown here.
     if (!acceptor_.last_requester().empty() && find_entry(now, acceptor_.last_requester()) == nullptr)
       peers.push_back(acceptor_.last_requester());
-    VotersAsk const request{acceptor_.own_address()};
-    auto const replies = co_await ask_all<VotersAsk>(env_, peers, request, env_.now() + probe_timeout,
-                                                     [](auto const&) { return false; });
+    VotersRequest const request{acceptor_.own_address()};
+    auto const replies = co_await ask_all<VotersRequest>(env_, peers, request, env_.now() + probe_timeout,
+                                                         [](auto const&) { return false; });
     std::vector<bool> answered(monitored.size(), false);
     std::size_t voting = acceptor_.voting() ? 1 : 0;
     for (auto const& [at, r] : replies) {
--- a/source/coordination/register_client.hpp
+++ b/source/coordination/register_client.hpp
@@ -37,7 +37,7 @@
 /// A confirmed value and the time at which it was requested. It includes every
 /// change that was completed before that time.
 struct ConfirmedValue {
-  Held held;
+  RegisterValue held;
   Instant as_of{};
 };
 
@@ -83,14 +83,13 @@
     std::vector<Address> peers = contacts_;
     for (VoterEntry const& e : set_.voters)
       if (std::find(peers.begin(), peers.end(), e.address) == peers.end()) peers.push_back(e.address);
-    VotersAsk const query{};
-    auto const replies = co_await ask_all<VotersAsk>(env_, peers, query, std::min(deadline, env_.now() + round_timeout),
-                                                     [stop_at_first_voter](auto const& heard) {
-                                                       bool reported = false;
-                                                       for (auto const& [at, r] : heard)
-                                                         reported = reported || (r && r->member);
-                                                       return stop_at_first_voter && reported;
-                                                     });
+    VotersRequest const query{};
+    auto const replies = co_await ask_all<VotersRequest>(
+        env_, peers, query, std::min(deadline, env_.now() + round_timeout), [stop_at_first_voter](auto const& heard) {
+          bool reported = false;
+          for (auto const& [at, r] : heard) reported = reported || (r && r->member);
+          return stop_at_first_voter && reported;
+        });
     for (auto const& [i, r] : replies)
       if (r && r->member) adopt_if_newer(r->set);
     co_return set_known_;
@@ -100,8 +99,8 @@
   // An error of `edit` is returned with its text unchanged. Errors have the proof
   // `unknown` once any voter may hold the new value. `round` receives the ballot's round.
   template <class F>
-  Task<Result<Held>> change(Register const reg, std::string request, Instant const deadline, F edit,
-                            std::uint64_t* const round = nullptr) {
+  Task<Result<RegisterValue>> change(Register const reg, std::string request, Instant const deadline, F edit,
+                                     std::uint64_t* const round = nullptr) {
     bool proposed = false;
     std::string last_failure = "no majority";
     for (std::uint64_t attempt = 0; env_.now() < deadline; ++attempt) {
@@ -137,7 +136,7 @@
       bool const repeat = !request.empty() && std::any_of(held.requests.begin(), held.requests.end(),
                                                           [&](auto const& p) { return p.first == request; });
       if (!repeat) {
-        Result<Held> next = edit(held);
+        Result<RegisterValue> next = edit(held);
         if (!next) {
           next.error().proof = proposed ? Proof::unknown : Proof::not_run;
           co_return next;
@@ -167,7 +166,7 @@
   }
 
   // Returns the newest chosen value, confirmed by a majority after the start of this call.
-  Task<Result<Held>> read(Register const reg, Held const known, Instant const deadline) {
+  Task<Result<RegisterValue>> read(Register const reg, RegisterValue const known, Instant const deadline) {
     bool const ready = co_await find_voters(0, deadline);
     if (ready) {
       std::optional<RegisterValue> const agreed = co_await peek(reg, known, deadline);
@@ -182,8 +181,8 @@
     bool const ready = co_await find_voters(0, deadline);
     if (!ready) co_return std::nullopt;
     std::size_t const needed = quorum_size(set_);
-    PeekRevisions const query{set_.epoch};
-    auto const replies = co_await ask_all<PeekRevisions>(
+    ReadRevisions const query{set_.epoch};
+    auto const replies = co_await ask_all<ReadRevisions>(
         env_, addresses_of(set_), query, std::min(deadline, env_.now() + round_timeout),
         [needed](auto const& heard) { return voting(heard) >= needed || newer_set_reported(heard); });
     adopt_newer_sets(replies);
@@ -199,12 +198,12 @@
   /// Reads a value on which a majority agrees, without writing back, and retries
   /// until the deadline. Each change must have a greater revision than the one
   /// before, as `known` is considered current if its revision is the same.
-  Task<Result<ConfirmedValue>> confirm(Register const reg, Held const known, Instant const deadline) {
+  Task<Result<ConfirmedValue>> confirm(Register const reg, RegisterValue const known, Instant const deadline) {
     for (std::uint64_t attempt = 0; env_.now() < deadline; ++attempt) {
       bool const ready = co_await begin_attempt(attempt, deadline);
       if (!ready) continue;
       Instant const as_of = env_.now();
-      std::optional<Held> agreed = co_await peek(reg, known, deadline);
+      std::optional<RegisterValue> agreed = co_await peek(reg, known, deadline);
       if (!agreed) continue;
       ConfirmedValue out;
       out.held = std::move(*agreed);
@@ -232,10 +231,10 @@
     bool const ready = co_await find_voters(0, deadline);
     std::size_t heard = 0;
     if (ready) {
-      Peek const query{reg, std::numeric_limits<Revision>::max(), set_.epoch};
-      auto const replies =
-          co_await ask_all<Peek>(env_, addresses_of(set_), query, std::min(deadline, env_.now() + round_timeout),
-                                 [](auto const&) { return false; });
+      ReadRegister const query{reg, std::numeric_limits<Revision>::max(), set_.epoch};
+      auto const replies = co_await ask_all<ReadRegister>(env_, addresses_of(set_), query,
+                                                          std::min(deadline, env_.now() + round_timeout),
+                                                          [](auto const&) { return false; });
       adopt_newer_sets(replies);
       for (auto const& [i, r] : replies) {
         if (!r || !r->voting) continue;
@@ -321,12 +320,12 @@
   // The value on which a majority agrees, or `known` if nothing newer can have been
   // chosen. A ballot of an older epoch doesn't count as agreement: the voters may have
   // copied it from fewer than a majority.
-  Task<std::optional<Held>> peek(Register const reg, Held const known, Instant const deadline) {
+  Task<std::optional<RegisterValue>> peek(Register const reg, RegisterValue const known, Instant const deadline) {
     if (value_is_large(reg)) co_return co_await peek_and_fetch(reg, known, deadline);
     std::uint64_t const epoch = set_.epoch;
     std::size_t const needed = quorum_size(set_);
-    Peek const query{reg, known.revision, epoch};
-    auto const replies = co_await ask_all<Peek>(
+    ReadRegister const query{reg, known.revision, epoch};
+    auto const replies = co_await ask_all<ReadRegister>(
         env_, addresses_of(set_), query, std::min(deadline, env_.now() + round_timeout),
         [epoch, needed, &known](auto const& r) {
           return agreeing(r, epoch).second >= needed || none_newer(r, needed, known.revision) || newer_set_reported(r);
@@ -346,8 +345,8 @@
     std::uint64_t const epoch = set_.epoch;
     std::size_t const needed = quorum_size(set_);
     std::vector<Address> const voters = addresses_of(set_);
-    Peek const query{reg, 0, epoch, false};
-    auto const replies = co_await ask_all<Peek>(
+    ReadRegister const query{reg, 0, epoch, false};
+    auto const replies = co_await ask_all<ReadRegister>(
         env_, voters, query, std::min(deadline, env_.now() + round_timeout), [epoch, needed, have](auto const& r) {
           return agreeing(r, epoch).second >= needed || none_newer(r, needed, have) || newer_set_reported(r);
         });
@@ -368,7 +367,8 @@
 
   // A voter that has accepted another ballot meanwhile may hold a value that is never
   // chosen, so only a value with the agreed ballot counts.
-  Task<std::optional<Held>> peek_and_fetch(Register const reg, Held const known, Instant const deadline) {
+  Task<std::optional<RegisterValue>> peek_and_fetch(Register const reg, RegisterValue const known,
+                                                    Instant const deadline) {
     std::uint64_t const epoch = set_.epoch;
     std::optional<QuorumReading> const reading = co_await read_revision(reg, known.revision, deadline);
     if (!reading) co_return std::nullopt;
@@ -377,8 +377,9 @@
     if (!agreed) co_return std::nullopt;
     if (agreed->revision <= known.revision) co_return known;
     for (Address const& voter : agreed->voters) {
-      Peek const query{reg, known.revision, epoch};
-      Result<PeekReply> const r = co_await ask(env_, voter, query, std::min(deadline, env_.now() + fetch_timeout));
+      ReadRegister const query{reg, known.revision, epoch};
+      Result<ReadRegisterReply> const r =
+          co_await ask(env_, voter, query, std::min(deadline, env_.now() + fetch_timeout));
       if (r && r->voting && r->accepted == agreed->accepted) co_return r->held;
     }
     co_return std::nullopt;
--- a/source/coordination/voter_set.cpp
+++ b/source/coordination/voter_set.cpp
@@ -71,7 +71,7 @@
   return next;
 }
 
-void merge_newer(Slot& local, Slot const& received) {
+void merge_newer(RegisterSlot& local, RegisterSlot const& received) {
   local.promised = std::max(local.promised, received.promised);
   if (received.accepted <= local.accepted) return;
   local.accepted = received.accepted;
--- a/source/coordination/voter_set.hpp
+++ b/source/coordination/voter_set.hpp
@@ -47,6 +47,6 @@
 VoterSet with_voter_replaced(VoterSet const& s, std::string const& removed, VoterEntry const& added);
 
 /// Updates `local` with the promise and the accepted value of `received` where these have higher ballots.
-void merge_newer(Slot& local, Slot const& received);
+void merge_newer(RegisterSlot& local, RegisterSlot const& received);
 
 }  // namespace banktide
--- a/source/coordination/voter_set_change.hpp
+++ b/source/coordination/voter_set_change.hpp
@@ -53,8 +53,8 @@
     adopt_newer_sets(replies);
     if (count_active(replies) < needed) co_return;
     client_.adopt_if_newer(set);
-    for (Register const reg : kept_registers) {
-      Held const none{};
+    for (Register const reg : stored_registers) {
+      RegisterValue const none{};
       co_await client_.read(reg, none, env_.now() + step_timeout);
     }
   }
@@ -64,8 +64,8 @@
   static constexpr Duration step_timeout = 1s;
 
   Task<Result<VoterSet>> decide(VoterSet const now, VoterSet const next) {
-    Result<Held> const held =
-        co_await client_.change(Register::voters, "", env_.now() + decide_timeout, [&](Held const& h) -> Result<Held> {
+    Result<RegisterValue> const held = co_await client_.change(
+        Register::voters, "", env_.now() + decide_timeout, [&](RegisterValue const& h) -> Result<RegisterValue> {
           if (client_.set().epoch != now.epoch)
             return make_error("decide_set", "", "the voter set has changed meanwhile");
           bool const decided = h.revision > now.epoch;  // from here on the same set is written again
@@ -104,7 +104,7 @@
     next.set = set;
     for (auto const& [at, r] : replies) {
       if (!r || !r->sealed) continue;
-      next.founding = r->founding;
+      next.bootstrap_id = r->bootstrap_id;
       for (std::size_t k = 0; k < register_count; ++k) merge_newer(next.slots[k], r->slots[k]);
     }
     co_return next;
--- a/source/programs/mesh_node.hpp
+++ b/source/programs/mesh_node.hpp
@@ -33,7 +33,7 @@
       : env_(env),
         settings_(std::move(settings)),
         adapter_(adapter),
-        registers_(env, StoreSeeds{colocated_stores(s_.follower.seeds, s_.store_port)}),
+        registers_(env, StoreSeeds{colocated_stores(settings_.follower.seeds, settings_.store_port)}),
         local_(env, local_settings(), adapter.headers, std::move(factory), local_events()),
         path_(env, path_settings(), adapter.headers, local_),
         follower_(env, settings_.follower, follower_events()),
@@ -242,7 +242,7 @@
   }
 
   void confirm_access_keys() {
-    if (in_force_ >= confirmed_routing_.revision) path_.confirm_access_keys(confirmed_routing_.as_of);
+    if (active_revision_ >= confirmed_routing_.revision) path_.confirm_access_keys(confirmed_routing_.as_of);
   }
 
   void apply_key_table(RegisterValue const& held) {
@@ -388,7 +388,7 @@
       bool const due = env_.now() - confirmed_at_ >= confirm_period();
       if ((!wanted && !due) || env_.now() < next_confirm_) continue;
       confirm_soon_ = false;
-      registers_.add_contacts(colocated_stores(registry_addresses(), s_.store_port));
+      registers_.add_contacts(colocated_stores(registry_addresses(), settings_.store_port));
       // Until the voters are known, a read waits for all stores, including those that are down.
       Duration const patience = registers_.knows_voters() ? confirm_timeout : first_confirm_timeout;
       bool const confirmed = co_await confirm_table(env_.now() + patience);
@@ -423,12 +423,12 @@
   bool has_table(Revision const wanted) const { return wanted <= (table_ ? table_->revision : 0); }
 
   Task<void> read_table(Instant const deadline) {
-    Held const known = follower_.held(Register::keys);
+    RegisterValue const known = follower_.held(Register::keys);
     Result<ConfirmedValue> const read = co_await registers_.confirm(Register::keys, known, deadline);
     if (!read || !keys_) co_return;
     confirmed_at_ = read->as_of;
     follower_.take(Register::keys, read->held);
-    take_keys(read->held);
+    apply_key_table(read->held);
     keys_->on_confirmed(read->held.revision, read->as_of);
     grant_alarm_.wake();
   }
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -75,7 +75,9 @@
   /// Whether its nodes had time to join it since it started.
   bool warm() const { return env_.now() - started_ >= timing_.warm_up; }
   /// Whether there is a recent reading that a majority confirmed.
-  bool vouched() const { return reading_.latest_start() && env_.now() - *reading_.latest_start() < vouched_for; }
+  bool has_quorum_reading() const {
+    return reading_.latest_start() && env_.now() - *reading_.latest_start() < reading_valid_for;
+  }
   /// The time since the request of the latest reading was sent; none before the first reading.
   std::optional<Duration> reading_age() const {
     if (!reading_.latest_start()) return std::nullopt;
@@ -260,10 +262,10 @@
     }
   }
 
-  Task<LayoutsReply> layouts(LayoutsAsk q) {
-    if (q.fresh || !vouched()) co_await reading_.read_fresh(env_.now() + fresh_patience);
-    LayoutsReply reply;
-    reply.known = vouched();
+  Task<RegisterValuesReply> layouts(RegisterValuesRequest q) {
+    if (q.fresh || !has_quorum_reading()) co_await reading_.read_fresh(env_.now() + fresh_read_timeout);
+    RegisterValuesReply reply;
+    reply.known = has_quorum_reading();
     if (reply.known) reply.reading_age_ms = static_cast<std::uint32_t>(as_ms(*reading_age()) + 1);  // rounded up
     reply.revisions = revisions();
     if (q.revisions_only) co_return reply;
@@ -330,9 +332,9 @@
   }
 
   // Lease epochs start from a round number of the register that was never issued before, so they never repeat.
-  Task<void> find_floor() {
+  Task<void> establish_epoch_floor() {
     while (!lease_.has_floor()) {
-      Result<std::uint64_t> const round = co_await register_.next_number(Register::routing, env_.now() + 2s);
+      Result<std::uint64_t> const round = co_await register_client_.next_number(Register::routing, env_.now() + 2s);
       if (round)
         lease_.set_floor(broken_on_purpose("epochs_start_again") ? 1 : *round << 20);
       else
@@ -372,9 +374,10 @@
       peers.erase(settings_.address);
       for (Address const& peer : peers) spawn(env_, meet_one(peer));
       directory_.forget_silent(env_.now());
-      if (s_.voters.empty())
-        register_.add_contacts(colocated_stores(std::vector<Address>(peers.begin(), peers.end()), s_.store_port));
-      co_await sleep_for(env_, directory_.entries().size() < 2 ? Duration(200ms) : t_.registry_meet_every);
+      if (settings_.voters.empty())
+        register_client_.add_contacts(
+            colocated_stores(std::vector<Address>(peers.begin(), peers.end()), settings_.store_port));
+      co_await sleep_for(env_, directory_.entries().size() < 2 ? Duration(200ms) : timing_.registry_meet_every);
     }
   }
 
--- a/tests/coordination/key_table_feed_test.cpp
+++ b/tests/coordination/key_table_feed_test.cpp
@@ -361,7 +361,7 @@
   ASSERT_TRUE(t.put(0, Register::keys, 7, "seven"));
   ASSERT_TRUE(t.confirm_revision(1, 2s));
   t.run_for(1s);
-  Result<ConfirmedValue> const read = t.confirm(1, Register::keys, Held{}, 2s);
+  Result<ConfirmedValue> const read = t.confirm(1, Register::keys, RegisterValue{}, 2s);
   ASSERT_TRUE(read);
   EXPECT_EQ(read->held.bytes, "seven");
   EXPECT_EQ(t.bytes.wholes, 1u);
@@ -373,7 +373,7 @@
     voter.kill();
     return true;
   };
-  Result<ConfirmedValue> const again = t.confirm(2, Register::keys, Held{}, 3s);
+  Result<ConfirmedValue> const again = t.confirm(2, Register::keys, RegisterValue{}, 3s);
   ASSERT_TRUE(again);
   EXPECT_EQ(again->held.bytes, "seven");
   EXPECT_EQ(struck, 1u);
--- a/tests/coordination/store_trial.hpp
+++ b/tests/coordination/store_trial.hpp
@@ -112,7 +112,8 @@
     run_until([&] { return done.has_value(); }, patience + 2s);
     return done ? *done : Result<RegisterValue>(make_error("get", "", "no end"));
   }
-  Result<ConfirmedValue> confirm(std::size_t const client, Register const reg, Held const known, Duration const patience) {
+  Result<ConfirmedValue> confirm(std::size_t const client, Register const reg, RegisterValue const known,
+                                 Duration const patience) {
     std::optional<Result<ConfirmedValue>> done;
     spawn(*clients[client], confirm_one(client, reg, known, patience, done));
     run_until([&] { return done.has_value(); }, patience + 2s);
@@ -140,7 +141,7 @@
     RegisterValue const none{};
     done = co_await registers[c]->read(reg, none, clients[c]->now() + patience);
   }
-  Task<void> confirm_one(std::size_t const c, Register const reg, Held const known, Duration const patience,
+  Task<void> confirm_one(std::size_t const c, Register const reg, RegisterValue const known, Duration const patience,
                          std::optional<Result<ConfirmedValue>>& done) {
     done = co_await registers[c]->confirm(reg, known, clients[c]->now() + patience);
   }
--- a/tests/coordination/voter_set_test.cpp
+++ b/tests/coordination/voter_set_test.cpp
@@ -237,7 +237,7 @@
         ++puts;
       }
       Revision const floor = acknowledged;
-      Held const none{};
+      RegisterValue const none{};
       Result<ConfirmedValue> const seen =
           co_await t.registers[c]->confirm(Register::keys, none, t.clients[c]->now() + 100ms);
       if (seen) {
--- a/tests/programs/maintenance_interface_test.cpp
+++ b/tests/programs/maintenance_interface_test.cpp
@@ -84,11 +84,11 @@
 TEST(MaintenanceCapacity, the_stores_in_other_zones_must_be_a_quorum) {
   std::vector<RegistryEntry> const registries{{"a", "10.0.0.1:1", 0}, {"b", "10.0.0.2:1", 0}, {"c", "10.0.0.3:1", 0}};
   VoterSet const voters = initial_set({"10.0.0.1:2", "10.0.0.2:2", "10.0.0.3:2"}, 1);
-  EXPECT_FALSE(lack_of_quorum("a", voters, registries, {}));
-  EXPECT_TRUE(lack_of_quorum("a", voters, registries, {"b"}));
+  EXPECT_FALSE(quorum_shortage("a", voters, registries, {}));
+  EXPECT_TRUE(quorum_shortage("a", voters, registries, {"b"}));
   VoterSet const crowded = initial_set({"10.0.0.1:2", "10.0.0.1:3", "10.0.0.3:2"}, 1);
-  EXPECT_TRUE(lack_of_quorum("a", crowded, registries, {}));
-  EXPECT_FALSE(lack_of_quorum("b", crowded, registries, {}));
+  EXPECT_TRUE(quorum_shortage("a", crowded, registries, {}));
+  EXPECT_FALSE(quorum_shortage("b", crowded, registries, {}));
 }
 
 TEST(MaintenanceRemains, counts_what_is_announced_and_held_in_the_zone) {
--- a/tests/state/sqlite_disk_test.cpp
+++ b/tests/state/sqlite_disk_test.cpp
@@ -111,7 +111,7 @@
 TEST_F(SqliteDiskFile, a_record_of_four_registers_is_read_and_then_kept_as_one_of_five) {
   VoterRecordFormat2 before;
   before.phase = Phase::voting;
-  before.founding = 5;
+  before.bootstrap_id = 5;
   before.set = initial_set({"a:1", "b:1"}, 1);
   before.set.epoch = before.active_epoch = 7;
   before.disk = 99;
