--- a/tests/programs/maintenance_window_run_test.cpp
+++ b/tests/programs/maintenance_window_run_test.cpp
@@ -138,9 +138,9 @@
 
 TEST_P(MaintenanceWindowRun, leaves_ledger_and_clients_in_agreement_and_nobody_waits) {
   std::uint64_t const seed = GetParam();
-  MaintenanceRun night(seed);
+  MaintenanceRun run(seed);
   // Machines come back before the window closes, or after it.
-  RunResults const m = night.play(true, seed % 2 == 0 ? 45s : 70s);
+  RunResults const m = run.play(true, seed % 2 == 0 ? 45s : 70s);
   EXPECT_GT(m.records, 3000u);
   EXPECT_EQ(m.twice, 0u);
   EXPECT_EQ(m.lost, 0u);
@@ -161,8 +161,8 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, MaintenanceWindowRun, testing::Values(1, 2, 3, 4));
 
 TEST(RunWithoutWindow, without_the_mark_the_same_night_does_harm) {
-  MaintenanceRun night(1);
-  RunResults const m = night.play(false, 70s);
+  MaintenanceRun run(1);
+  RunResults const m = run.play(false, 70s);
   EXPECT_TRUE(m.harm());
   EXPECT_GT(m.runs_in_window, 0u);
   EXPECT_LT(m.fewest_keys_in_window, 65536u);
