--- a/source/programs/hollow_delivery.cpp
+++ b/source/programs/hollow_delivery.cpp
@@ -25,9 +25,9 @@
 constexpr Duration leaving_takes = 3500ms;
 constexpr Duration starting_takes = 300ms;
 
-// What requests leave of a machine with a tenth of a core and a link of 4.7 Mbit/s.
+// The capacity that requests leave free on a machine with a tenth of a core and a link of 4.7 Mbit/s.
 constexpr HollowCapacity node_capacity{0.065, 500e3};
-// A control machine has 0.13 of a core for its two programs, and 120 Mbit/s.
+// A control machine has 0.13 of a core for its two programs and a link of 120 Mbit/s.
 constexpr HollowCapacity control_capacity{0.08, 15e6};
 
 class DeliveryTrial {
@@ -75,7 +75,7 @@
     }
   }
 
-  // By a control that runs and keeps no zone that loses its keeper.
+  // A control that stays up and doesn't serve a zone whose serving registry fails.
   std::size_t writer() const { return fleet_.keeper_of(fleet_.settings().zones - 1); }
 
   void change_each(Duration const pause, std::size_t const changes) {
--- a/source/programs/hollow_delivery.hpp
+++ b/source/programs/hollow_delivery.hpp
@@ -1,6 +1,6 @@
-// How long configurations take to come into force on every node of a hollow fleet, by each way
-// in which one may be late. The fleet has the size and the machines of a large site, less what
-// requests take of them.
+// Measures how long configurations take to become active on every node of a hollow fleet under
+// each fault that may delay them. The fleet has the size of a large site and the machine
+// capacity that requests leave free there.
 #pragma once
 
 #include "programs/hollow_fleet.hpp"
@@ -10,16 +10,16 @@
 
 namespace banktide {
 
-/// What happens around the changes.
+/// The fault that is injected while configurations change.
 enum class DeliveryTrouble : std::uint8_t {
   none,              ///< single changes
   storm,             ///< changes in quick succession
   relays_killed,     ///< the first relays of each zone are killed as a change is acknowledged
-  half_killed,       ///< over half of the nodes are killed at once and start again while changes come
-  rolling_restarts,  ///< nodes are restarted in order, some at a time, during a storm
-  keepers_killed,    ///< machines whose registries keep a zone are killed while changes come
-  writer_killed,     ///< the control machine that acknowledged a change is killed at once
-  keeper_cut_off,    ///< a registry that keeps a zone is cut off from all other machines for control
+  half_killed,       ///< over half of the nodes are killed at once and restart during changes
+  rolling_restarts,  ///< nodes are shut down gracefully and restarted in batches during a storm
+  keepers_killed,    ///< control machines whose registries serve a zone are killed during changes
+  writer_killed,     ///< the control machine that acknowledged a change is killed right afterwards
+  keeper_cut_off,    ///< a registry that serves a zone is partitioned from all other control machines
 };
 inline constexpr std::array<DeliveryTrouble, 8> delivery_troubles{DeliveryTrouble::none,
                                                                   DeliveryTrouble::storm,
@@ -34,16 +34,16 @@
 struct DeliveryFigures {
   bool formed = false;
   std::size_t acknowledged = 0;
-  HollowTimes to_force;        ///< from the acknowledgement, of each version and node that ran throughout
-  HollowTimes to_first_force;  ///< from the start of each node that started meanwhile
-  std::size_t behind = 0;      ///< nodes that don't have the newest version in the end
-  HollowMeasurements load;     ///< of all processes, while it was measured
+  HollowTimes to_force;        ///< from acknowledgement to activation, for each version and node that ran throughout
+  HollowTimes to_first_force;  ///< from start to first activation, for each node that started during the run
+  std::size_t behind = 0;      ///< nodes that don't have the newest version at the end
+  HollowMeasurements load;     ///< of all processes, during the run
 };
 
-/// A fleet of 279 nodes in seven zones with 21 machines for control, whose configuration has `routes` routes.
+/// A fleet of 279 nodes in seven zones with 21 control machines, with a configuration of `routes` routes.
 HollowFleetSettings large_site(std::size_t routes);
 
-/// Has a fleet form, plays the trouble with its changes, and waits until late versions had time to come.
+/// Forms a fleet, makes changes under the fault, and waits long enough for late versions to arrive.
 DeliveryFigures measure_delivery(HollowFleetSettings const& settings, DeliveryTrouble trouble);
 
 }  // namespace banktide
--- a/source/programs/hollow_fleet.cpp
+++ b/source/programs/hollow_fleet.cpp
@@ -56,7 +56,7 @@
   }
 }
 
-// Values of one metric over the processes of a role.
+// Sums the values of each metric over the processes of a role.
 class Totals {
  public:
   void add(std::string const& metric, double const value) {
@@ -104,7 +104,7 @@
   return std::chrono::duration<double, std::milli>(all[std::min(at, last)]).count();
 }
 
-// ---- making it
+// ---- set-up
 
 HollowFleet::HollowFleet(HollowFleetSettings const& settings)
     : settings_(settings),
@@ -198,7 +198,7 @@
   return std::nullopt;
 }
 
-// ---- how it stands
+// ---- state
 
 std::vector<std::size_t> HollowFleet::samples() const {
   std::vector<std::size_t> all;
@@ -296,7 +296,7 @@
   return times;
 }
 
-// A version that a newer one overtook is in force when that one is.
+// A version that a node skipped counts as active from the activation of the next newer one.
 HollowTimes HollowFleet::times_to_force() const {
   HollowTimes times;
   for (Version const& v : versions_) {
@@ -329,7 +329,7 @@
   return times;
 }
 
-// ---- trouble
+// ---- faults
 
 void HollowFleet::lose_zone(std::size_t const zone) {
   for (std::size_t i = zone; i < nodes_.size(); i += settings_.zones) nodes_[i]->kill();
--- a/source/programs/hollow_fleet.hpp
+++ b/source/programs/hollow_fleet.hpp
@@ -1,7 +1,7 @@
-// A hollow fleet: nodes, registries and stores of the product in one process, in
-// virtual time, with delays between regions. It forms, is measured, is sent
-// configurations, and loses nodes, zones and regions. What it counts goes into
-// docs/CAPACITY.md.
+// A hollow fleet: the real code of nodes, registries and stores in one process, in
+// virtual time, with delays between regions but without requests. It measures
+// traffic and processor time while the fleet forms, takes configurations, and
+// loses nodes, zones and regions. Its figures go into docs/CAPACITY.md.
 #pragma once
 
 #include "programs/hollow_fleet_control.hpp"
@@ -13,13 +13,13 @@
 
 struct HollowFleetSettings {
   std::size_t nodes = 50;
-  std::size_t zones = 2;      ///< node i stands in zone i modulo this
-  std::size_t regions = 1;    ///< zone i stands in region i modulo this
-  std::size_t controls = 3;   ///< machines with a registry and a store; control i stands in zone i modulo `zones`
-  std::size_t backends = 50;  ///< the first so many nodes have one
-  std::size_t changing_backends = 0;  ///< the first so many of these tell another load with each beat
+  std::size_t zones = 2;              ///< node i is in zone i modulo this
+  std::size_t regions = 1;            ///< zone i is in region i modulo this
+  std::size_t controls = 3;           ///< machines with a registry and a store; control i is in zone i modulo `zones`
+  std::size_t backends = 50;          ///< this many nodes, counted from the first, have a backend
+  std::size_t changing_backends = 0;  ///< this many backends report a different load with each heartbeat
   std::size_t services = 20;          ///< backend i belongs to service i modulo this
-  std::size_t keyed_services = 0;     ///< the first so many services are keyed
+  std::size_t keyed_services = 0;     ///< this many services, counted from the first, are keyed
   std::size_t routes = 100;
   HollowCapacity node_capacity;     ///< of each node's machine
   HollowCapacity control_capacity;  ///< of each registry, and of each store
@@ -36,7 +36,7 @@
 };
 using HollowMeasurements = std::vector<HollowMeasurement>;
 
-/// Sorted times; empty ones give 0.
+/// Sorted times and their quantiles; 0 if there are none.
 struct HollowTimes {
   std::vector<Duration> all;
   double milliseconds(double share) const;
@@ -48,52 +48,54 @@
   ~HollowFleet();
   HollowFleet(HollowFleet const&) = delete;
 
-  /// Starts everything and runs until it has formed; how long that took, or nothing if it didn't within `most`.
+  /// Starts everything and runs until the fleet has formed; returns the time that took, or nothing if it took longer
+  /// than `most`.
   std::optional<Duration> form(Duration most);
   void run_for(Duration d);
-  /// Runs until the condition holds; how long that took, or nothing if it didn't within `most`.
+  /// Runs until the condition holds; returns the time that took, or nothing if it took longer than `most`.
   std::optional<Duration> run_until(std::function<bool()> const& holds, Duration most);
 
-  /// Every node that runs is ready, has the newest acknowledged configuration, and samples of every zone know all
-  /// backends that run.
+  /// Whether every running node is ready and has the newest acknowledged configuration, and sample nodes of every zone
+  /// know all running backends.
   bool formed() const;
   std::size_t ready_nodes() const;
-  /// Of these nodes, as many as know other than `expected` endpoints.
+  /// The number of sample nodes whose number of known endpoints isn't `expected`.
   std::size_t nodes_with_other_endpoints(std::size_t expected) const;
   std::size_t running_backends() const;
   std::size_t voters() const { return controls_.front()->voters(); }
-  /// Rows of keys that backends hold, all together.
+  /// The number of key rows that all backends hold together.
   std::size_t rows_held() const;
 
   void reset_meters();
-  /// What was counted since the meters were reset, a second and process.
+  /// The rates per second and process since the meters were reset.
   HollowMeasurements measurements() const;
 
-  /// Sends the next version to a control. Whether it was acknowledged is known later.
+  /// Sends the next version to a control. The acknowledgement arrives later.
   void write_next(std::size_t control);
   std::uint64_t newest_acknowledged() const { return newest_acknowledged_; }
   std::size_t acknowledged() const { return writes_acknowledged_; }
   std::size_t refused() const { return writes_refused_; }
-  /// From being sent until acknowledged, of versions sent since the meters were reset.
+  /// The times from send to acknowledgement, of versions sent since the meters were reset.
   HollowTimes times_to_acknowledge() const;
-  /// From being acknowledged until in force, for each such version and node that ran throughout.
+  /// The times from acknowledgement to activation, for each such version and each node that ran throughout.
   HollowTimes times_to_force() const;
-  /// Nodes that run and don't have the newest acknowledged version in force.
+  /// The number of running nodes on which the newest acknowledged version isn't active.
   std::size_t nodes_behind() const;
-  /// From a node's start, of those started since the meters were reset, until a configuration is in force there.
+  /// The times from start to the first active configuration, of nodes started since the meters were reset.
   HollowTimes times_to_first_force() const;
 
   void lose_zone(std::size_t zone);
   void bring_back_zone(std::size_t zone);
   void restart_node(std::size_t node, Duration down);
-  /// Told to go, ended `grace` later and started again after `down`.
+  /// Shuts a node down gracefully, ends it after `grace` and starts it again after `down`.
   void restart_node_in_order(std::size_t node, Duration grace, Duration down);
   void kill_control(std::size_t control) { controls_.at(control)->kill(); }
-  /// The control whose registry keeps the zone, if nobody is down: the first of its own.
+  /// The control whose registry serves the zone while none is down: of the zone's own registries, the one whose address
+  /// has the lowest digest.
   std::size_t keeper_of(std::size_t zone) const;
-  /// Cuts a registry off from all other machines for control; its zone's nodes still reach it.
+  /// Partitions a registry from all other control machines; the nodes of its zone still reach it.
   void isolate_control(std::size_t control);
-  /// Cuts a region off from all others.
+  /// Partitions a region from all others.
   void cut_region(std::size_t region);
   void heal() { network_.heal(); }
 
--- a/source/programs/hollow_fleet_control.cpp
+++ b/source/programs/hollow_fleet_control.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-// A disk in memory, which outlives the store's process.
+// An in-memory disk that outlives the store's process.
 struct HollowControl::Disk {
   HollowProcess* process = nullptr;
   VoterRecord record;
--- a/source/programs/hollow_fleet_control.hpp
+++ b/source/programs/hollow_fleet_control.hpp
@@ -1,6 +1,6 @@
-// A hollow machine for control: the product's registry with its coordinator of
-// keys, and the product's store with a disk in memory. Each has its own meter,
-// as they are two programs.
+// A hollow control machine: the real registry with its key coordinator, and the
+// real store with an in-memory disk. They are two programs, so each has its own
+// meter.
 #pragma once
 
 #include "programs/hollow_fleet_interface.hpp"
@@ -14,7 +14,7 @@
   Address registry;
   Address store;
   std::uint16_t store_port = 0;
-  std::vector<Address> seeds;  ///< registries; the stores beside them found the register
+  std::vector<Address> seeds;  ///< registries; the stores on their machines initialise the register
   HollowCapacity capacity;     ///< of the registry, and of the store
 };
 
@@ -27,9 +27,9 @@
   void start();
   void kill();
   bool alive() const;
-  /// Whether its registry has a recent reading of a majority.
+  /// Whether its registry has a recent reading that a majority confirmed.
   bool has_quorum_reading() const;
-  /// How many voters the register has, as this store knows.
+  /// The number of voters of the register, as this store knows it.
   std::size_t voters() const;
 
   using Written = std::function<void(bool acknowledged)>;
--- a/source/programs/hollow_fleet_interface.cpp
+++ b/source/programs/hollow_fleet_interface.cpp
@@ -22,7 +22,7 @@
   return reply;
 }
 
-// One line, with as many letters drawn for each route as users' names of hosts, paths and classes bring.
+// One line per route, with about as many random letters as the host names, paths and classes of a real route have.
 void append_route(std::string& bytes, std::uint64_t const number, std::uint64_t const edition) {
   constexpr std::size_t drawn_letters = 24;
   std::minstd_rand draw(static_cast<std::uint32_t>(number * 7919 + edition + 1));
--- a/source/programs/hollow_fleet_node.cpp
+++ b/source/programs/hollow_fleet_node.cpp
@@ -16,7 +16,7 @@
   m.follower.id = s.id;
   m.follower.zone = s.place.zone;
   m.follower.address = s.address;
-  m.follower.gateway = true;  // as the program banktide-proxy does
+  m.follower.gateway = true;  // as in banktide-proxy
   m.follower.seeds = s.seeds;
   m.service = s.service;
   m.store_port = s.store_port;
@@ -61,7 +61,7 @@
     return beat;
   }
 
-  // What is granted no more is let go at once, with the next beat.
+  // Rows that are no longer granted are released at once, with the next heartbeat.
   void take(std::optional<HeartbeatGrant> const& grant) {
     if (!grant) return;
     beat.released.clear();
@@ -105,7 +105,7 @@
 void HollowNode::kill() {
   if (!life_) return;
   life_->process->kill();
-  network_.settle();  // what waited there unwinds before the node goes
+  network_.settle();  // unwinds waiting coroutines before the node is destroyed
   life_.reset();
 }
 
--- a/source/programs/hollow_fleet_node.hpp
+++ b/source/programs/hollow_fleet_node.hpp
@@ -1,5 +1,5 @@
-// One hollow node: the product's node, whole, and a hollow backend that beats to
-// it and lets keys go when it is told to. No requests are sent through it.
+// One hollow node: the complete real node, and a hollow backend that sends it
+// heartbeats and releases keys when asked to. No requests are sent through it.
 #pragma once
 
 #include "programs/hollow_fleet_interface.hpp"
@@ -13,12 +13,12 @@
   HollowPlace place;
   std::vector<Address> seeds;  ///< registries
   std::uint16_t store_port = 0;
-  std::string service;        ///< of the backend beside it; empty: there is none
-  bool load_changes = false;  ///< whether each beat of the backend tells another load
+  std::string service;        ///< of its backend; empty: it has no backend
+  bool load_changes = false;  ///< whether each heartbeat reports a different load
   HollowCapacity capacity;
 };
 
-/// When a version came into force at a node.
+/// A version and the time at which it became active on a node.
 struct HollowInForce {
   std::uint64_t version = 0;
   Instant at{};
@@ -31,18 +31,18 @@
   HollowNode(HollowNode const&) = delete;
 
   void start();
-  /// As if its process was killed.
+  /// Ends it as SIGKILL ends a process.
   void kill();
-  /// As if its process was told to go: it says so, and serves on.
+  /// Starts its graceful shutdown as SIGTERM does: it announces that it leaves, and still serves.
   void leave();
   bool alive() const;
   bool ready() const;
-  /// How many endpoints of these services it knows.
+  /// The number of endpoints of these services that it knows.
   std::size_t endpoints(std::vector<std::string> const& services) const;
   std::vector<HollowInForce> const& in_force() const { return in_force_; }
-  /// When this life began.
+  /// The time at which this incarnation started.
   Instant started() const { return started_; }
-  /// Rows of keys that its backend holds.
+  /// The number of key rows that its backend holds.
   std::size_t rows_held() const;
   HollowMeter& meter() { return machine_->meter; }
   HollowNodeSettings const& settings() const { return settings_; }
--- a/source/programs/hollow_fleet_objects.cpp
+++ b/source/programs/hollow_fleet_objects.cpp
@@ -27,13 +27,13 @@
   return static_cast<double>(t.tv_sec) * 1e6 + static_cast<double>(t.tv_nsec) / 1e3;
 }
 
-// Counted by the allocator: what is asked for and its own overhead.
+// As the allocator counts them, its overhead included.
 double allocated_bytes() {
   struct mallinfo2 const m = mallinfo2();
   return static_cast<double>(m.uordblks + m.hblkhd);
 }
 
-// What `make` leaves allocated for each of `count`, and the shortest time that it took.
+// Prints the bytes per object that `make` leaves allocated, and its shortest run time.
 void measure_made(std::ostream& out, std::string const& name, std::size_t const count,
                   std::function<std::shared_ptr<void>()> const& make) {
   double bytes = 0, shortest = 0;
@@ -95,7 +95,7 @@
 
 using Endpoints = std::map<std::string, EndpointSelector::Endpoints>;
 
-// As a node makes them at each change of its view.
+// Endpoints as a node builds them at each change of its view.
 Endpoints endpoints_of(std::size_t const n) {
   Endpoints all;
   for (std::size_t i = 0; i < n; ++i) {
--- a/source/programs/hollow_fleet_objects.hpp
+++ b/source/programs/hollow_fleet_objects.hpp
@@ -1,6 +1,6 @@
-// What single objects of the product cost: the memory of one more entry of a
-// view, route or row of keys, the processor time of the operations that grow
-// with them, and of one small message through real sockets.
+// Measures the cost of single objects: the memory of one view entry, route or key
+// row, the processor time of operations that depend on their number, and the
+// processor time of one small message over real sockets.
 #pragma once
 
 #include <ostream>
@@ -9,7 +9,7 @@
 
 /// Writes lines "object,count,bytes each,microseconds for all" at four sizes each.
 void measure_objects(std::ostream& out);
-/// Writes the processor time of a question and its answer over loopback sockets, by payload size.
+/// Writes the processor time of a request and its reply over loopback sockets, by payload size.
 void measure_frames(std::ostream& out);
 
 }  // namespace banktide
--- a/source/programs/hollow_fleet_world.cpp
+++ b/source/programs/hollow_fleet_world.cpp
@@ -16,7 +16,7 @@
   return std::chrono::seconds(t.tv_sec) + std::chrono::nanoseconds(t.tv_nsec);
 }
 
-// What one reading of the clock adds to what lies between two of them.
+// The processor time that one reading of the clock adds to a measured interval.
 Duration cost_of_reading_the_clock() {
   constexpr int readings = 10000;
   Duration const begin = thread_processor_time();
@@ -90,7 +90,7 @@
     queue_.pop();
     now_ = event.at;
     if (event.machine->busy_until > now_) {
-      event.at = event.machine->busy_until;  // in the order of their numbers, once it is free
+      event.at = event.machine->busy_until;  // delayed events run in the order of their numbers
       queue_.push(std::move(event));
     } else {
       run(event);
@@ -281,7 +281,7 @@
   alive_ = false;
   std::map<std::uint64_t, std::weak_ptr<Waiting>> alarms;
   alarms.swap(alarms_);
-  std::vector<std::function<void(bool)>> dropped;  // with them go the coroutines that wait
+  std::vector<std::function<void(bool)>> dropped;  // destroys the waiting coroutines
   for (auto const& [number, weak] : alarms) {
     std::shared_ptr<Waiting> const waiting = weak.lock();
     if (!waiting) continue;
--- a/source/programs/hollow_fleet_world.hpp
+++ b/source/programs/hollow_fleet_world.hpp
@@ -1,8 +1,8 @@
-// The surroundings of a hollow fleet: thousands of processes of the mesh in one
-// real process. Time is virtual, messages go from memory to memory with the
-// delay between their zones, and everything is counted for the process it
-// belongs to: messages and bytes by kind, and the real processor time of the
-// code that an event runs. The code above it is the product's own.
+// The simulated environment of a hollow fleet: runs thousands of mesh processes in
+// one real process. Time is virtual, messages are passed in memory with the delay
+// between their zones, and each process has its own counters: messages and bytes
+// by kind, and the real processor time of its events. The code that runs in it is
+// the real code of the mesh.
 #pragma once
 
 #include "transport/environment.hpp"
@@ -14,7 +14,7 @@
 
 namespace banktide {
 
-/// Where a hollow process stands.
+/// The location of a hollow process.
 struct HollowPlace {
   std::string zone;
   std::size_t region = 0;
@@ -27,13 +27,13 @@
   Duration between_regions = 40ms;
 };
 
-/// Messages and their bytes, each with the head of its frame.
+/// The number of messages and their bytes, frame headers included.
 struct HollowTraffic {
   std::uint64_t messages = 0;
   std::uint64_t bytes = 0;
 };
 
-/// What one hollow process has done since its meter was reset.
+/// Counters of one hollow process since its meter was reset.
 struct HollowMeter {
   HollowTraffic sent, received;
   std::map<std::uint8_t, HollowTraffic> sent_by_kind, received_by_kind;
@@ -43,25 +43,25 @@
   std::uint64_t disk_bytes = 0;
 };
 
-/// What a hollow process may use of its machine. 0: as much as it likes.
+/// The part of a machine that a hollow process may use. 0: unlimited.
 struct HollowCapacity {
   double processor_share = 0;        ///< of a core
   double link_bytes_per_second = 0;  ///< in each direction
 };
 
-/// What work costs a whole core; charged only where the processor's share is bounded.
+/// The processor time of work on a whole core; charged only where the processor share is limited.
 struct HollowCosts {
   Duration message = 10us;       ///< sent or received
   Duration kilobyte = 2us;       ///< of a message, sent or received
-  Duration route_read = 5500ns;  ///< to make a route of a configuration's compressed text ready for use
+  Duration route_read = 5500ns;  ///< to decompress and parse one route of a configuration
 };
 
-/// One direction of a machine's link. Messages between two machines keep their order; a small one doesn't wait for
-/// large ones on other ways, as connections share a link.
+/// One direction of a machine's link. Messages to one peer keep their order; a small message doesn't wait for large
+/// messages to other peers, because connections share the link.
 class HollowLink {
  public:
   explicit HollowLink(double bytes_per_second) : bytes_per_second_(bytes_per_second) {}
-  /// When the last byte has passed of a message that is ready at `from`.
+  /// The time at which the last byte has passed, of a message that is ready at `from`.
   Instant pass(Address const& peer, Instant from, std::size_t bytes);
 
  private:
@@ -73,16 +73,16 @@
   std::map<Address, Instant> way_until_;
 };
 
-/// The machine of a hollow process: its capacity, what of it is taken, and the process's meter.
+/// The machine of a hollow process: its capacity, its current use, and the process's meter.
 struct HollowMachine {
   explicit HollowMachine(HollowCapacity const& c)
       : capacity(c), sending(c.link_bytes_per_second), receiving(c.link_bytes_per_second) {}
-  /// Charges work that takes a whole core so long.
+  /// Charges work that takes this long on a whole core.
   void charge(Duration work);
 
   HollowCapacity const capacity;
   Instant busy_until{};
-  Duration charged{};  ///< time on the share, by the event that runs now
+  Duration charged{};  ///< time on the processor share, of the event that runs now
   HollowLink sending;
   HollowLink receiving;
   HollowMeter meter;
@@ -90,7 +90,7 @@
 
 class HollowProcess;
 
-/// Virtual time, and the way of messages.
+/// The virtual clock and the simulated network.
 class HollowNetwork {
  public:
   HollowNetwork(HollowDelays delays, std::uint64_t seed);
@@ -101,28 +101,28 @@
   std::mt19937_64& chance() { return chance_; }
   asio::io_context& io() { return io_; }
 
-  /// Runs `f` at that time, or once the machine's processor is free.
+  /// Runs `f` at that time, or later as soon as the machine's processor is free.
   void at(Instant when, std::shared_ptr<HollowMachine> machine, std::function<void()> f);
-  /// Charges the process whose event runs now with reading a configuration.
+  /// Charges the process whose event runs now for reading a configuration.
   void charge_reading(std::size_t routes);
   void run_for(Duration d);
-  /// Runs what is ready now.
+  /// Runs all tasks that are ready now.
   void settle();
 
   void add(std::shared_ptr<HollowProcess> const& process);
   std::shared_ptr<HollowProcess> find(Address const& address) const;
 
-  /// Regions that lose each other; what is on its way is lost, and so is what is sent.
+  /// Partitions two regions; messages in flight and messages sent later are lost.
   void cut(std::size_t region, std::size_t other);
   void heal() {
     cuts_.clear();
     isolated_.clear();
   }
-  /// Cuts a process off from the others named, in both directions.
+  /// Partitions a process from the given others, in both directions.
   void isolate(Address const& process, std::set<Address> from);
 
   using Done = std::function<void(Result<Bytes>)>;
-  /// Sends one message. `done` gets the reply, or why there can be none; empty: nobody waits for one.
+  /// Sends one message. `done` gets the reply or an error; it is empty for one-way messages.
   void send(HollowProcess& from, Address const& to, std::uint8_t kind, Bytes payload, Done done);
 
  private:
@@ -138,7 +138,7 @@
   void run(Event& event);
   Duration delay(HollowPlace const& from, HollowPlace const& to) const;
   bool open(HollowProcess const& from, HollowProcess const& to) const;
-  /// When a message that is sent now has arrived, past both machines' links.
+  /// The arrival time of a message that is sent now, after both machines' links.
   Instant arrival(HollowProcess& from, HollowProcess& to, std::size_t payload);
   void charge_receipt(HollowProcess& to, std::size_t payload);
   void arrive(std::weak_ptr<HollowProcess> const& from, std::shared_ptr<HollowProcess> const& to, std::uint8_t kind,
@@ -163,7 +163,7 @@
   Duration clock_cost_{};
 };
 
-/// One life of a hollow process: what the product's code is given as its surroundings.
+/// One incarnation of a hollow process: the environment that the real code runs in.
 class HollowProcess : public std::enable_shared_from_this<HollowProcess> {
  private:
   struct Waiting {
@@ -204,13 +204,13 @@
   Instant now() const { return network_.now(); }
   std::mt19937_64& chance() { return chance_; }
   asio::io_context::executor_type executor() { return network_.io().get_executor(); }
-  /** The cancellation isn't passed on: no clients leave here. */
+  /** Ignores the cancellation: hollow fleets have no clients that disconnect. */
   Task<Result<Bytes>> ask_raw(Address peer, std::uint8_t kind, Bytes payload, Instant deadline,
                               SharedCancellation cancellation = nullptr);
   void tell_raw(Address const& peer, std::uint8_t kind, SharedBytes const& payload);
   void serve(Dispatcher& dispatcher) { desk_ = &dispatcher; }
 
-  /// Ends this life: nothing of it runs any more.
+  /// Ends this incarnation: none of its code runs any more.
   void kill();
   bool alive() const { return alive_; }
   Dispatcher* dispatcher() const { return desk_; }
--- a/source/programs/hollow_main.cpp
+++ b/source/programs/hollow_main.cpp
@@ -1,6 +1,6 @@
-// banktide-hollow: measures the mesh at sizes that no machine at hand can run for
-// real. It makes one hollow fleet, has one thing happen to it, and prints what was
-// counted as lines of "trial,x,role,metric,mean,highest".
+// banktide-hollow: measures the mesh at sizes that can't be run with real processes
+// on one machine. It creates one hollow fleet, injects one fault, and prints the
+// measurements as lines of "trial,x,role,metric,mean,highest".
 #include "programs/hollow_delivery.hpp"
 #include "programs/hollow_fleet.hpp"
 #include "programs/hollow_fleet_objects.hpp"
@@ -105,7 +105,7 @@
       if (m.highest > 0) print(m.role, m.metric, m.mean, m.highest);
   }
 
-  // What a fleet that can't form is busy with.
+  // Prints what a fleet that didn't form in time is doing.
   void report_unformed() {
     print("fleet", "voters", static_cast<double>(fleet_.voters()));
     print("fleet", "ready_share", static_cast<double>(fleet_.ready_nodes()) / static_cast<double>(s_.number("nodes")));
@@ -114,7 +114,7 @@
     print_all(fleet_.measurements());
   }
 
-  // Configurations and restarts come evenly over the time measured.
+  // Spreads configurations and restarts evenly over the measured time.
   void measure() {
     std::size_t const changes = per_time("changes-per-minute"), restarts = per_time("restarts-per-minute");
     constexpr std::size_t steps = 1200;
--- a/tests/programs/hollow_delivery_test.cpp
+++ b/tests/programs/hollow_delivery_test.cpp
@@ -1,5 +1,5 @@
-// How long configurations take to come into force on a large site, by each way in which one may
-// be late. The bound is the users': 2.5 s from the acknowledgement.
+// The time until a configuration is active on every node of a large site, under each fault that
+// may delay it. The limit is a user requirement: 2.5 s from the acknowledgement.
 #include "programs/hollow_delivery.hpp"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 constexpr double in_force_within_ms = 2500;
 constexpr std::size_t routes_of_a_large_site = 1520;
 
-// As deep a relay tree and as many registries as the large site has, in fewer zones.
+// The depth of the relay tree and the number of registries are those of the large site; the zones are fewer.
 HollowFleetSettings three_zones_of_a_large_site() {
   HollowFleetSettings settings = large_site(routes_of_a_large_site);
   settings.zones = 3;
@@ -29,8 +29,8 @@
 
 }  // namespace
 
-// Guards against CONFIG: an acknowledged configuration that wasn't in force on a node in time, as nodes that had lost
-// their way to the news asked every registry for whole values, or relays read a value before they passed it on.
+// Guards against CONFIG: an acknowledged configuration was active on some node too late, because nodes that had lost
+// their feed requested complete values from every registry, or because relays parsed a value before forwarding it.
 TEST_P(Delivery, each_acknowledged_version_is_in_force_on_every_node_in_time) {
   DeliveryFigures const figures = measure_delivery(three_zones_of_a_large_site(), GetParam());
   ASSERT_TRUE(figures.formed);
--- a/tests/programs/hollow_fleet_test.cpp
+++ b/tests/programs/hollow_fleet_test.cpp
@@ -1,5 +1,5 @@
-// A small hollow fleet forms, takes configurations and comes through the loss of
-// a zone and of a region's links. Counts only: nothing here bounds how fast it is.
+// A small hollow fleet forms, applies configurations and survives the loss of a zone
+// and of a region's links. The tests check counts, not real time.
 #include "coordination/feed_timing.hpp"
 #include "programs/hollow_fleet.hpp"
 
@@ -51,8 +51,8 @@
   EXPECT_EQ(fleet.times_to_force().all.size(), 3u * 200u);
 }
 
-// Readers that wrote back whatever they found no agreement on kept each other, and every
-// change, from a majority.
+// Guards against readers that wrote back each value without agreement: they kept each other,
+// and every change, from getting a majority.
 TEST(HollowFleet, many_voters_far_apart_take_every_change_and_readers_write_nothing) {
   for (std::size_t const voters : {5u, 7u, 9u}) {
     HollowFleetSettings settings = three_regions(18);
