--- a/source/state/zone_view.hpp
+++ b/source/state/zone_view.hpp
@@ -50,7 +50,7 @@
     zones.clear();
     for (Member const& m : s.members) members[m.id] = m;
     for (BackendRecord const& b : s.backends) backends[{b.service, b.instance}] = b;
-    for (ZoneEntry const& c : s.cells) zones[c.zone] = c;
+    for (ZoneEntry const& c : s.zones) zones[c.zone] = c;
   }
 
   Snapshot snapshot(Position const at) const {
