--- a/source/programs/hollow_delivery.cpp
+++ b/source/programs/hollow_delivery.cpp
@@ -7,23 +7,23 @@
 
 namespace {
 
-constexpr Duration form_patience = 60s;
-constexpr Duration calm_first = 5s;
-constexpr Duration late_versions_need = 8s;
-constexpr Duration between_changes = 1s;
-constexpr Duration between_changes_of_a_storm = 180ms;
-constexpr std::size_t changes_of_a_storm = 18;
-constexpr Duration look_for_acknowledgement_every = 1ms;
-constexpr Duration acknowledgement_patience = 3s;
-constexpr std::size_t zones_without_keeper = 2;
-constexpr std::size_t changes_without_keeper = 9;
-constexpr Duration killed_node_is_down = 2200ms;
-constexpr std::size_t nodes_of_a_round = 14;
-constexpr std::size_t rounds_of_restarts = 10;
+constexpr Duration form_timeout = 60s;
+constexpr Duration settle_time = 5s;
+constexpr Duration late_version_wait = 8s;
+constexpr Duration change_interval = 1s;
+constexpr Duration storm_change_interval = 180ms;
+constexpr std::size_t storm_changes = 18;
+constexpr Duration acknowledgement_poll_period = 1ms;
+constexpr Duration acknowledgement_timeout = 3s;
+constexpr std::size_t unserved_zones = 2;
+constexpr std::size_t changes_while_unserved = 9;
+constexpr Duration killed_node_downtime = 2200ms;
+constexpr std::size_t nodes_per_round = 14;
+constexpr std::size_t restart_rounds = 10;
 constexpr std::size_t rounds_before_the_storm = 3;
-constexpr Duration between_rounds = 1400ms;
-constexpr Duration leaving_takes = 3500ms;
-constexpr Duration starting_takes = 300ms;
+constexpr Duration round_interval = 1400ms;
+constexpr Duration shutdown_duration = 3500ms;
+constexpr Duration startup_duration = 300ms;
 
 // The capacity that requests leave free on a machine with a tenth of a core and a link of 4.7 Mbit/s.
 constexpr HollowCapacity node_capacity{0.065, 500e3};
@@ -32,51 +32,50 @@
 
 class DeliveryTrial {
  public:
-  DeliveryTrial(HollowFleetSettings const& settings, DeliveryTrouble const trouble)
-      : fleet_(settings), trouble_(trouble) {}
-
-  DeliveryFigures run() {
-    DeliveryFigures figures;
-    figures.formed = fleet_.form(form_patience).has_value();
-    if (!figures.formed) return figures;
-    fleet_.run_for(calm_first);
+  DeliveryTrial(HollowFleetSettings const& settings, DeliveryFault const fault) : fleet_(settings), fault_(fault) {}
+
+  DeliveryResult run() {
+    DeliveryResult result;
+    result.formed = fleet_.form(form_timeout).has_value();
+    if (!result.formed) return result;
+    fleet_.run_for(settle_time);
     fleet_.reset_meters();
     std::size_t const before = fleet_.acknowledged();
     play();
-    figures.load = fleet_.measurements();
-    fleet_.run_for(late_versions_need);
-    figures.acknowledged = fleet_.acknowledged() - before;
-    figures.to_force = fleet_.times_to_force();
-    figures.to_first_force = fleet_.times_to_first_force();
-    figures.behind = fleet_.nodes_behind();
-    return figures;
+    result.load = fleet_.measurements();
+    fleet_.run_for(late_version_wait);
+    result.acknowledged = fleet_.acknowledged() - before;
+    result.activation_times = fleet_.times_to_activation();
+    result.first_activation_times = fleet_.times_to_first_activation();
+    result.behind = fleet_.nodes_behind();
+    return result;
   }
 
  private:
   void play() {
-    switch (trouble_) {
-      case DeliveryTrouble::none:
-        return change_each(between_changes, 5);
-      case DeliveryTrouble::storm:
-        return change_each(between_changes_of_a_storm, changes_of_a_storm);
-      case DeliveryTrouble::relays_killed:
+    switch (fault_) {
+      case DeliveryFault::none:
+        return change_each(change_interval, 5);
+      case DeliveryFault::storm:
+        return change_each(storm_change_interval, storm_changes);
+      case DeliveryFault::relays_killed:
         return kill_relays();
-      case DeliveryTrouble::half_killed:
+      case DeliveryFault::half_killed:
         return kill_half();
-      case DeliveryTrouble::rolling_restarts:
+      case DeliveryFault::rolling_restarts:
         return restart_in_rounds();
-      case DeliveryTrouble::keepers_killed:
-        return kill_keepers();
-      case DeliveryTrouble::writer_killed:
+      case DeliveryFault::keepers_killed:
+        return kill_serving_registries();
+      case DeliveryFault::writer_killed:
         return kill_writer();
-      case DeliveryTrouble::keeper_cut_off:
-        fleet_.isolate_control(fleet_.keeper_of(0));
-        return change_each(between_changes, changes_without_keeper);
+      case DeliveryFault::keeper_cut_off:
+        fleet_.isolate_control(fleet_.serving_control_of(0));
+        return change_each(change_interval, changes_while_unserved);
     }
   }
 
   // A control that stays up and doesn't serve a zone whose serving registry fails.
-  std::size_t writer() const { return fleet_.keeper_of(fleet_.settings().zones - 1); }
+  std::size_t writer() const { return fleet_.serving_control_of(fleet_.settings().zones - 1); }
 
   void change_each(Duration const pause, std::size_t const changes) {
     for (std::size_t i = 0; i < changes; ++i) {
@@ -88,9 +87,9 @@
   void change_and_wait_for_acknowledgement() {
     std::size_t const before = fleet_.acknowledged();
     fleet_.write_next(writer());
-    for (Duration waited{}; fleet_.acknowledged() == before && waited < acknowledgement_patience;
-         waited += look_for_acknowledgement_every)
-      fleet_.run_for(look_for_acknowledgement_every);
+    for (Duration waited{}; fleet_.acknowledged() == before && waited < acknowledgement_timeout;
+         waited += acknowledgement_poll_period)
+      fleet_.run_for(acknowledgement_poll_period);
   }
 
   std::vector<std::size_t> nodes_of_zone(std::size_t const zone) const {
@@ -108,33 +107,33 @@
         number_of[ids.back()] = node;
       }
       for (std::string const& id : relays_below("", ring_order(std::move(ids))))
-        fleet_.restart_node(number_of.at(id), killed_node_is_down);
+        fleet_.restart_node(number_of.at(id), killed_node_downtime);
     }
-    change_each(between_changes, 4);
+    change_each(change_interval, 4);
   }
 
   void kill_half() {
     for (std::size_t i = 0; i < fleet_.settings().nodes; ++i)
-      if (i % 20 < 11) fleet_.restart_node(i, killed_node_is_down);
-    change_each(between_changes, 6);
+      if (i % 20 < 11) fleet_.restart_node(i, killed_node_downtime);
+    change_each(change_interval, 6);
   }
 
   void restart_in_rounds() {
     std::size_t next = 0;
-    for (std::size_t round = 0; round < rounds_of_restarts; ++round) {
-      for (std::size_t i = 0; i < nodes_of_a_round; ++i)
-        fleet_.restart_node_in_order(next++ * 2 % fleet_.settings().nodes, leaving_takes, starting_takes);
+    for (std::size_t round = 0; round < restart_rounds; ++round) {
+      for (std::size_t i = 0; i < nodes_per_round; ++i)
+        fleet_.restart_node_gracefully(next++ * 2 % fleet_.settings().nodes, shutdown_duration, startup_duration);
       if (round < rounds_before_the_storm) {
-        fleet_.run_for(between_rounds);
+        fleet_.run_for(round_interval);
       } else {
-        change_each(between_changes_of_a_storm, static_cast<std::size_t>(between_rounds / between_changes_of_a_storm));
+        change_each(storm_change_interval, static_cast<std::size_t>(round_interval / storm_change_interval));
       }
     }
   }
 
-  void kill_keepers() {
-    for (std::size_t zone = 0; zone < zones_without_keeper; ++zone) fleet_.kill_control(fleet_.keeper_of(zone));
-    change_each(between_changes, changes_without_keeper);
+  void kill_serving_registries() {
+    for (std::size_t zone = 0; zone < unserved_zones; ++zone) fleet_.kill_control(fleet_.serving_control_of(zone));
+    change_each(change_interval, changes_while_unserved);
   }
 
   void kill_writer() {
@@ -143,28 +142,28 @@
   }
 
   HollowFleet fleet_;
-  DeliveryTrouble const trouble_;
+  DeliveryFault const fault_;
 };
 
 }  // namespace
 
-std::string_view to_text(DeliveryTrouble const trouble) {
-  switch (trouble) {
-    case DeliveryTrouble::none:
+std::string_view to_text(DeliveryFault const fault) {
+  switch (fault) {
+    case DeliveryFault::none:
       return "none";
-    case DeliveryTrouble::storm:
+    case DeliveryFault::storm:
       return "storm";
-    case DeliveryTrouble::relays_killed:
+    case DeliveryFault::relays_killed:
       return "relays_killed";
-    case DeliveryTrouble::half_killed:
+    case DeliveryFault::half_killed:
       return "half_killed";
-    case DeliveryTrouble::rolling_restarts:
+    case DeliveryFault::rolling_restarts:
       return "rolling_restarts";
-    case DeliveryTrouble::keepers_killed:
+    case DeliveryFault::keepers_killed:
       return "keepers_killed";
-    case DeliveryTrouble::writer_killed:
+    case DeliveryFault::writer_killed:
       return "writer_killed";
-    case DeliveryTrouble::keeper_cut_off:
+    case DeliveryFault::keeper_cut_off:
       return "keeper_cut_off";
   }
   return "unknown";
@@ -186,8 +185,8 @@
   return s;
 }
 
-DeliveryFigures measure_delivery(HollowFleetSettings const& settings, DeliveryTrouble const trouble) {
-  return DeliveryTrial(settings, trouble).run();
+DeliveryResult measure_delivery(HollowFleetSettings const& settings, DeliveryFault const fault) {
+  return DeliveryTrial(settings, fault).run();
 }
 
 }  // namespace banktide
--- a/source/programs/hollow_delivery.hpp
+++ b/source/programs/hollow_delivery.hpp
@@ -11,7 +11,7 @@
 namespace banktide {
 
 /// The fault that is injected while configurations change.
-enum class DeliveryTrouble : std::uint8_t {
+enum class DeliveryFault : std::uint8_t {
   none,              ///< single changes
   storm,             ///< changes in quick succession
   relays_killed,     ///< the first relays of each zone are killed as a change is acknowledged
@@ -21,29 +21,29 @@
   writer_killed,     ///< the control machine that acknowledged a change is killed right afterwards
   keeper_cut_off,    ///< a registry that serves a zone is partitioned from all other control machines
 };
-inline constexpr std::array<DeliveryTrouble, 8> delivery_troubles{DeliveryTrouble::none,
-                                                                  DeliveryTrouble::storm,
-                                                                  DeliveryTrouble::relays_killed,
-                                                                  DeliveryTrouble::half_killed,
-                                                                  DeliveryTrouble::rolling_restarts,
-                                                                  DeliveryTrouble::keepers_killed,
-                                                                  DeliveryTrouble::writer_killed,
-                                                                  DeliveryTrouble::keeper_cut_off};
-std::string_view to_text(DeliveryTrouble trouble);
-
-struct DeliveryFigures {
+inline constexpr std::array<DeliveryFault, 8> delivery_faults{DeliveryFault::none,
+                                                              DeliveryFault::storm,
+                                                              DeliveryFault::relays_killed,
+                                                              DeliveryFault::half_killed,
+                                                              DeliveryFault::rolling_restarts,
+                                                              DeliveryFault::keepers_killed,
+                                                              DeliveryFault::writer_killed,
+                                                              DeliveryFault::keeper_cut_off};
+std::string_view to_text(DeliveryFault fault);
+
+struct DeliveryResult {
   bool formed = false;
   std::size_t acknowledged = 0;
-  HollowTimes to_force;        ///< from acknowledgement to activation, for each version and node that ran throughout
-  HollowTimes to_first_force;  ///< from start to first activation, for each node that started during the run
-  std::size_t behind = 0;      ///< nodes that don't have the newest version at the end
-  HollowMeasurements load;     ///< of all processes, during the run
+  HollowTimes activation_times;  ///< from acknowledgement to activation, for each version and node that ran throughout
+  HollowTimes first_activation_times;  ///< from start to first activation, for each node that started during the run
+  std::size_t behind = 0;              ///< nodes that don't have the newest version at the end
+  HollowMeasurements load;             ///< of all processes, during the run
 };
 
 /// A fleet of 279 nodes in seven zones with 21 control machines, with a configuration of `routes` routes.
 HollowFleetSettings large_site(std::size_t routes);
 
 /// Forms a fleet, makes changes under the fault, and waits long enough for late versions to arrive.
-DeliveryFigures measure_delivery(HollowFleetSettings const& settings, DeliveryTrouble trouble);
+DeliveryResult measure_delivery(HollowFleetSettings const& settings, DeliveryFault fault);
 
 }  // namespace banktide
--- a/source/programs/hollow_fleet.cpp
+++ b/source/programs/hollow_fleet.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t seed_count = 3;
 constexpr std::size_t samples_per_zone = 3;
 constexpr Duration poll_period = 50ms;
-constexpr Duration write_again_after = 1s;
+constexpr Duration write_retry_period = 1s;
 
 Address address_of(std::size_t const zone, std::size_t const number, std::uint16_t const port) {
   return "10." + std::to_string(zone) + "." + std::to_string(number / 250) + "." + std::to_string(number % 250 + 1) +
@@ -121,8 +121,8 @@
   controls_.clear();
 }
 
-HollowPlace HollowFleet::place_of_zone(std::size_t const zone) const {
-  return HollowPlace{zone_name(zone), zone % settings_.regions};
+HollowLocation HollowFleet::location_of_zone(std::size_t const zone) const {
+  return HollowLocation{zone_name(zone), zone % settings_.regions};
 }
 
 void HollowFleet::add_control(std::size_t const number) {
@@ -131,7 +131,7 @@
   };
   HollowControlSettings c;
   c.id = "registry-" + std::to_string(number);
-  c.place = place_of_zone(number % settings_.zones);
+  c.location = location_of_zone(number % settings_.zones);
   c.registry = registry_of(number);
   c.store = address_of(number % settings_.zones, 5000 + number, store_port);
   c.store_port = store_port;
@@ -144,7 +144,7 @@
   std::size_t const zone = number % settings_.zones;
   HollowNodeSettings n;
   n.id = node_id(number);
-  n.place = place_of_zone(zone);
+  n.location = location_of_zone(zone);
   n.address = address_of(zone, number / settings_.zones, node_port);
   n.seeds = seeds;
   n.store_port = store_port;
@@ -162,7 +162,7 @@
   auto const written_and_formed = [&] {
     if (newest_acknowledged_ == 0 && network_.now() >= next_write) {
       write_next(0);
-      next_write = network_.now() + write_again_after;
+      next_write = network_.now() + write_retry_period;
     }
     return formed();
   };
@@ -209,7 +209,7 @@
 }
 
 bool HollowFleet::has_newest(HollowNode const& node) const {
-  return !node.in_force().empty() && node.in_force().back().version >= newest_acknowledged_;
+  return !node.activations().empty() && node.activations().back().version >= newest_acknowledged_;
 }
 
 std::size_t HollowFleet::ready_nodes() const {
@@ -297,16 +297,16 @@
 }
 
 // A version that a node skipped counts as active from the activation of the next newer one.
-HollowTimes HollowFleet::times_to_force() const {
+HollowTimes HollowFleet::times_to_activation() const {
   HollowTimes times;
   for (Version const& v : versions_) {
     if (!v.acknowledged || v.sent < meters_reset_) continue;
     for (std::unique_ptr<HollowNode> const& node : nodes_) {
-      std::vector<HollowInForce> const& in_force = node->in_force();
-      if (in_force.empty() || in_force.front().version >= v.number) continue;
-      auto const it =
-          std::find_if(in_force.begin(), in_force.end(), [&](HollowInForce const& f) { return f.version >= v.number; });
-      if (it != in_force.end()) times.all.push_back(std::max(it->at - *v.acknowledged, Duration::zero()));
+      std::vector<HollowActivation> const& activations = node->activations();
+      if (activations.empty() || activations.front().version >= v.number) continue;
+      auto const it = std::find_if(activations.begin(), activations.end(),
+                                   [&](HollowActivation const& f) { return f.version >= v.number; });
+      if (it != activations.end()) times.all.push_back(std::max(it->at - *v.acknowledged, Duration::zero()));
     }
   }
   std::sort(times.all.begin(), times.all.end());
@@ -319,11 +319,11 @@
                     [this](std::unique_ptr<HollowNode> const& node) { return node->alive() && !has_newest(*node); }));
 }
 
-HollowTimes HollowFleet::times_to_first_force() const {
+HollowTimes HollowFleet::times_to_first_activation() const {
   HollowTimes times;
   for (std::unique_ptr<HollowNode> const& node : nodes_) {
-    if (!node->alive() || node->started() < meters_reset_ || node->in_force().empty()) continue;
-    times.all.push_back(node->in_force().front().at - node->started());
+    if (!node->alive() || node->started() < meters_reset_ || node->activations().empty()) continue;
+    times.all.push_back(node->activations().front().at - node->started());
   }
   std::sort(times.all.begin(), times.all.end());
   return times;
@@ -336,7 +336,7 @@
   for (std::size_t i = zone; i < controls_.size(); i += settings_.zones) controls_[i]->kill();
 }
 
-void HollowFleet::bring_back_zone(std::size_t const zone) {
+void HollowFleet::restore_zone(std::size_t const zone) {
   for (std::size_t i = zone; i < controls_.size(); i += settings_.zones) controls_[i]->start();
   for (std::size_t i = zone; i < nodes_.size(); i += settings_.zones) nodes_[i]->start();
 }
@@ -346,7 +346,7 @@
   to_start_.emplace_back(network_.now() + down, node);
 }
 
-std::size_t HollowFleet::keeper_of(std::size_t const zone) const {
+std::size_t HollowFleet::serving_control_of(std::size_t const zone) const {
   std::size_t first = zone;
   for (std::size_t i = zone; i < controls_.size(); i += settings_.zones)
     if (digest_of(controls_[i]->settings().registry) < digest_of(controls_[first]->settings().registry)) first = i;
@@ -363,7 +363,7 @@
   network_.isolate(controls_.at(control)->settings().registry, std::move(others));
 }
 
-void HollowFleet::restart_node_in_order(std::size_t const node, Duration const grace, Duration const down) {
+void HollowFleet::restart_node_gracefully(std::size_t const node, Duration const grace, Duration const down) {
   nodes_.at(node)->leave();
   to_end_.emplace_back(network_.now() + grace, node);
   to_start_.emplace_back(network_.now() + grace + down, node);
--- a/source/programs/hollow_fleet.hpp
+++ b/source/programs/hollow_fleet.hpp
@@ -1,7 +1,7 @@
 // A hollow fleet: the real code of nodes, registries and stores in one process, in
 // virtual time, with delays between regions but without requests. It measures
 // traffic and processor time while the fleet forms, takes configurations, and
-// loses nodes, zones and regions. Its figures go into docs/CAPACITY.md.
+// loses nodes, zones and regions. Its result go into docs/CAPACITY.md.
 #pragma once
 
 #include "programs/hollow_fleet_control.hpp"
@@ -78,21 +78,21 @@
   /// The times from send to acknowledgement, of versions sent since the meters were reset.
   HollowTimes times_to_acknowledge() const;
   /// The times from acknowledgement to activation, for each such version and each node that ran throughout.
-  HollowTimes times_to_force() const;
+  HollowTimes times_to_activation() const;
   /// The number of running nodes on which the newest acknowledged version isn't active.
   std::size_t nodes_behind() const;
   /// The times from start to the first active configuration, of nodes started since the meters were reset.
-  HollowTimes times_to_first_force() const;
+  HollowTimes times_to_first_activation() const;
 
   void lose_zone(std::size_t zone);
-  void bring_back_zone(std::size_t zone);
+  void restore_zone(std::size_t zone);
   void restart_node(std::size_t node, Duration down);
   /// Shuts a node down gracefully, ends it after `grace` and starts it again after `down`.
-  void restart_node_in_order(std::size_t node, Duration grace, Duration down);
+  void restart_node_gracefully(std::size_t node, Duration grace, Duration down);
   void kill_control(std::size_t control) { controls_.at(control)->kill(); }
   /// The control whose registry serves the zone while none is down: of the zone's own registries, the one whose address
   /// has the lowest digest.
-  std::size_t keeper_of(std::size_t zone) const;
+  std::size_t serving_control_of(std::size_t zone) const;
   /// Partitions a registry from all other control machines; the nodes of its zone still reach it.
   void isolate_control(std::size_t control);
   /// Partitions a region from all others.
@@ -111,7 +111,7 @@
     std::optional<Instant> acknowledged;
   };
 
-  HollowPlace place_of_zone(std::size_t zone) const;
+  HollowLocation location_of_zone(std::size_t zone) const;
   void add_control(std::size_t number);
   void add_node(std::size_t number, std::vector<Address> const& seeds);
   void end_and_start_nodes();
--- a/source/programs/hollow_fleet_control.cpp
+++ b/source/programs/hollow_fleet_control.cpp
@@ -29,13 +29,13 @@
   }
 };
 
-struct HollowControl::Life {
+struct HollowControl::Incarnation {
   using Store = Acceptor<HollowProcess, Disk>;
 
-  Life(HollowControl& owner, bool const initial_start)
+  Incarnation(HollowControl& owner, bool const initial_start)
       : registry_process(std::make_shared<HollowProcess>(owner.network_, owner.settings_.registry,
-                                                         owner.settings_.place, owner.registry_machine_)),
-        store_process(std::make_shared<HollowProcess>(owner.network_, owner.settings_.store, owner.settings_.place,
+                                                         owner.settings_.location, owner.registry_machine_)),
+        store_process(std::make_shared<HollowProcess>(owner.network_, owner.settings_.store, owner.settings_.location,
                                                       owner.store_machine_)),
         registry(*registry_process, registry_settings(owner.settings_)),
         mesh(*registry_process, registry, owner.interface_.adapter(), KeySettings{}),
@@ -47,7 +47,7 @@
   static RegistrySettings registry_settings(HollowControlSettings const& s) {
     RegistrySettings r;
     r.id = s.id;
-    r.zone = s.place.zone;
+    r.zone = s.location.zone;
     r.address = s.registry;
     r.seeds = s.seeds;
     r.store_port = s.store_port;
@@ -64,13 +64,13 @@
 
   void start() {
     (void)acceptor.load();
-    store_process->serve(store_desk);
-    acceptor.attach(store_desk);
-    membership.attach(store_desk);
+    store_process->serve(store_dispatcher);
+    acceptor.attach(store_dispatcher);
+    membership.attach(store_dispatcher);
     spawn(*store_process, membership.run());
-    registry_process->serve(registry_desk);
-    registry.start(registry_desk);
-    mesh.start(registry_desk);
+    registry_process->serve(registry_dispatcher);
+    registry.start(registry_dispatcher);
+    mesh.start(registry_dispatcher);
   }
 
   Task<void> write(HttpRequest question, Written done) {
@@ -79,7 +79,7 @@
   }
 
   std::shared_ptr<HollowProcess> registry_process, store_process;
-  Dispatcher registry_desk, store_desk;
+  Dispatcher registry_dispatcher, store_dispatcher;
   Registry<HollowProcess> registry;
   MeshRegistry<HollowProcess> mesh;
   Store acceptor;
@@ -98,32 +98,32 @@
 
 void HollowControl::start() {
   kill();
-  life_ = std::make_unique<Life>(*this, !started_before_);
+  incarnation_ = std::make_unique<Incarnation>(*this, !started_before_);
   started_before_ = true;
-  network_.add(life_->registry_process);
-  network_.add(life_->store_process);
-  life_->start();
+  network_.add(incarnation_->registry_process);
+  network_.add(incarnation_->store_process);
+  incarnation_->start();
 }
 
 void HollowControl::kill() {
-  if (!life_) return;
-  life_->registry_process->kill();
-  life_->store_process->kill();
+  if (!incarnation_) return;
+  incarnation_->registry_process->kill();
+  incarnation_->store_process->kill();
   network_.settle();
-  life_.reset();
+  incarnation_.reset();
 }
 
-bool HollowControl::alive() const { return life_ != nullptr; }
-bool HollowControl::has_quorum_reading() const { return life_ && life_->registry.has_quorum_reading(); }
-std::size_t HollowControl::voters() const { return life_ ? life_->acceptor.set().voters.size() : 0; }
+bool HollowControl::alive() const { return incarnation_ != nullptr; }
+bool HollowControl::has_quorum_reading() const { return incarnation_ && incarnation_->registry.has_quorum_reading(); }
+std::size_t HollowControl::voters() const { return incarnation_ ? incarnation_->acceptor.set().voters.size() : 0; }
 
 void HollowControl::write_configuration(HollowConfiguration const& configuration, Written done) {
-  if (!life_) return done(false);
+  if (!incarnation_) return done(false);
   WriteConfigurationOperation operation;
   operation.version = configuration.version;
   operation.bytes = hollow_configuration_bytes(configuration);
   HttpRequest question = interface_.request(std::move(operation));
-  spawn(*life_->registry_process, life_->write(std::move(question), std::move(done)));
+  spawn(*incarnation_->registry_process, incarnation_->write(std::move(question), std::move(done)));
 }
 
 }  // namespace banktide
--- a/source/programs/hollow_fleet_control.hpp
+++ b/source/programs/hollow_fleet_control.hpp
@@ -10,7 +10,7 @@
 
 struct HollowControlSettings {
   std::string id;
-  HollowPlace place;
+  HollowLocation location;
   Address registry;
   Address store;
   std::uint16_t store_port = 0;
@@ -41,14 +41,14 @@
 
  private:
   struct Disk;
-  struct Life;
+  struct Incarnation;
 
   HollowNetwork& network_;
   HollowInterface& interface_;
   HollowControlSettings const settings_;
   std::shared_ptr<HollowMachine> const registry_machine_, store_machine_;
   std::unique_ptr<Disk> disk_;
-  std::unique_ptr<Life> life_;
+  std::unique_ptr<Incarnation> incarnation_;
   bool started_before_ = false;
 };
 
--- a/source/programs/hollow_fleet_node.cpp
+++ b/source/programs/hollow_fleet_node.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-constexpr Duration beat_period = 1s;
+constexpr Duration heartbeat_period = 1s;
 constexpr Duration shortest_pause = 10ms;
-constexpr std::uint32_t usual_slots = 8;
+constexpr std::uint32_t default_slots = 8;
 
 MeshNodeSettings mesh_settings(HollowNodeSettings const& s) {
   MeshNodeSettings m;
   m.follower.id = s.id;
-  m.follower.zone = s.place.zone;
+  m.follower.zone = s.location.zone;
   m.follower.address = s.address;
   m.follower.gateway = true;  // as in banktide-proxy
   m.follower.seeds = s.seeds;
@@ -25,10 +25,10 @@
 
 }  // namespace
 
-struct HollowNode::Life {
-  Life(HollowNode& owner, std::uint64_t const number)
+struct HollowNode::Incarnation {
+  Incarnation(HollowNode& owner, std::uint64_t const number)
       : node(owner),
-        process(std::make_shared<HollowProcess>(owner.network_, owner.settings_.address, owner.settings_.place,
+        process(std::make_shared<HollowProcess>(owner.network_, owner.settings_.address, owner.settings_.location,
                                                 owner.machine_)),
         mesh(*process, mesh_settings(owner.settings_), owner.interface_.adapter(),
              [&owner](Address const& address, std::size_t const limit) {
@@ -37,27 +37,27 @@
     beat.id = "instance-" + owner.settings_.id + "-" + std::to_string(number);
     beat.service = owner.settings_.service;
     beat.address = owner.settings_.address;
-    beat.zone = owner.settings_.place.zone;
-    beat.slots = usual_slots;
+    beat.zone = owner.settings_.location.zone;
+    beat.slots = default_slots;
     mesh.on_limits = [&owner](ClientLimits const& limits) {
-      owner.in_force_.push_back(HollowInForce{limits.header_bytes, owner.network_.now()});
+      owner.activations_.push_back(HollowActivation{limits.header_bytes, owner.network_.now()});
     };
   }
 
-  Task<void> keep_beating() {
-    co_await sleep_for(*process, Duration(process->chance()() % static_cast<std::uint64_t>(beat_period.count())));
+  Task<void> heartbeat_loop() {
+    co_await sleep_for(*process, Duration(process->chance()() % static_cast<std::uint64_t>(heartbeat_period.count())));
     while (true) {
       Instant const begun = process->now();
-      HttpRequest question = node.interface_.request(HeartbeatOperation{next_beat()});
+      HttpRequest question = node.interface_.request(HeartbeatOperation{next_heartbeat()});
       HttpReply const reply = co_await mesh.handle_interface_request(std::move(question));
       take(HollowInterface::grant_of(reply));
-      co_await sleep_for(*process, std::max(beat_period - (process->now() - begun), shortest_pause));
+      co_await sleep_for(*process, std::max(heartbeat_period - (process->now() - begun), shortest_pause));
     }
   }
 
-  BackendHeartbeat const& next_beat() {
+  BackendHeartbeat const& next_heartbeat() {
     ++beat.sequence;
-    if (node.settings_.load_changes) beat.slots = usual_slots + beat.sequence % 2;
+    if (node.settings_.load_changes) beat.slots = default_slots + beat.sequence % 2;
     return beat;
   }
 
@@ -93,36 +93,36 @@
 
 void HollowNode::start() {
   kill();
-  in_force_.clear();
+  activations_.clear();
   started_ = network_.now();
-  life_ = std::make_unique<Life>(*this, ++lives_);
-  network_.add(life_->process);
-  life_->process->serve(life_->dispatcher);
-  life_->mesh.start(life_->dispatcher);
-  if (!settings_.service.empty()) spawn(*life_->process, life_->keep_beating());
+  incarnation_ = std::make_unique<Incarnation>(*this, ++incarnations_);
+  network_.add(incarnation_->process);
+  incarnation_->process->serve(incarnation_->dispatcher);
+  incarnation_->mesh.start(incarnation_->dispatcher);
+  if (!settings_.service.empty()) spawn(*incarnation_->process, incarnation_->heartbeat_loop());
 }
 
 void HollowNode::kill() {
-  if (!life_) return;
-  life_->process->kill();
+  if (!incarnation_) return;
+  incarnation_->process->kill();
   network_.settle();  // unwinds waiting coroutines before the node is destroyed
-  life_.reset();
+  incarnation_.reset();
 }
 
 void HollowNode::leave() {
-  if (life_) life_->mesh.leave();
+  if (incarnation_) incarnation_->mesh.leave();
 }
 
-bool HollowNode::alive() const { return life_ != nullptr; }
-bool HollowNode::ready() const { return life_ && life_->mesh.ready(); }
+bool HollowNode::alive() const { return incarnation_ != nullptr; }
+bool HollowNode::ready() const { return incarnation_ && incarnation_->mesh.ready(); }
 
 std::size_t HollowNode::endpoints(std::vector<std::string> const& services) const {
-  if (!life_) return 0;
+  if (!incarnation_) return 0;
   std::size_t all = 0;
-  for (std::string const& service : services) all += life_->mesh.path().selector().of(service).size();
+  for (std::string const& service : services) all += incarnation_->mesh.path().selector().of(service).size();
   return all;
 }
 
-std::size_t HollowNode::rows_held() const { return life_ ? life_->beat.held.size() : 0; }
+std::size_t HollowNode::rows_held() const { return incarnation_ ? incarnation_->beat.held.size() : 0; }
 
 }  // namespace banktide
--- a/source/programs/hollow_fleet_node.hpp
+++ b/source/programs/hollow_fleet_node.hpp
@@ -10,7 +10,7 @@
 struct HollowNodeSettings {
   std::string id;
   Address address;
-  HollowPlace place;
+  HollowLocation location;
   std::vector<Address> seeds;  ///< registries
   std::uint16_t store_port = 0;
   std::string service;        ///< of its backend; empty: it has no backend
@@ -19,7 +19,7 @@
 };
 
 /// A version and the time at which it became active on a node.
-struct HollowInForce {
+struct HollowActivation {
   std::uint64_t version = 0;
   Instant at{};
 };
@@ -39,7 +39,7 @@
   bool ready() const;
   /// The number of endpoints of these services that it knows.
   std::size_t endpoints(std::vector<std::string> const& services) const;
-  std::vector<HollowInForce> const& in_force() const { return in_force_; }
+  std::vector<HollowActivation> const& activations() const { return activations_; }
   /// The time at which this incarnation started.
   Instant started() const { return started_; }
   /// The number of key rows that its backend holds.
@@ -48,16 +48,16 @@
   HollowNodeSettings const& settings() const { return settings_; }
 
  private:
-  struct Life;
+  struct Incarnation;
 
   HollowNetwork& network_;
   HollowInterface& interface_;
   HollowNodeSettings const settings_;
   std::shared_ptr<HollowMachine> const machine_;
-  std::vector<HollowInForce> in_force_;
-  std::unique_ptr<Life> life_;
+  std::vector<HollowActivation> activations_;
+  std::unique_ptr<Incarnation> incarnation_;
   Instant started_{};
-  std::uint64_t lives_ = 0;
+  std::uint64_t incarnations_ = 0;
 };
 
 }  // namespace banktide
--- a/source/programs/hollow_fleet_objects.cpp
+++ b/source/programs/hollow_fleet_objects.cpp
@@ -34,8 +34,8 @@
 }
 
 // Prints the bytes per object that `make` leaves allocated, and its shortest run time.
-void measure_made(std::ostream& out, std::string const& name, std::size_t const count,
-                  std::function<std::shared_ptr<void>()> const& make) {
+void measure_construction(std::ostream& out, std::string const& name, std::size_t const count,
+                          std::function<std::shared_ptr<void>()> const& make) {
   double bytes = 0, shortest = 0;
   for (int i = 0; i < repeats; ++i) {
     double const before = allocated_bytes();
@@ -130,13 +130,13 @@
 void measure_routes(std::ostream& out, std::size_t const n) {
   HollowConfiguration size;
   size.routes = n;
-  measure_made(out, "route", n, [size] {
+  measure_construction(out, "route", n, [size] {
     Result<ServiceConfiguration> read = read_hollow_configuration(hollow_configuration_bytes(size));
     return std::make_shared<Router>(std::move(*read));
   });
   size.routes = 1;
   size.services = n;
-  measure_made(out, "service", n, [size] {
+  measure_construction(out, "service", n, [size] {
     Result<ServiceConfiguration> read = read_hollow_configuration(hollow_configuration_bytes(size));
     return std::make_shared<Router>(std::move(*read));
   });
@@ -146,21 +146,22 @@
   KeyTable const table = table_of(n);
   Bytes const packed = pack_key_table(table);
   out << "packed_key_row," << n << "," << static_cast<double>(packed.size()) / static_cast<double>(n) << ",0\n";
-  measure_made(out, "key_row", n, [&packed] { return std::make_shared<KeyTable>(*unpack_key_table(packed, 1)); });
+  measure_construction(out, "key_row", n,
+                       [&packed] { return std::make_shared<KeyTable>(*unpack_key_table(packed, 1)); });
 }
 
 void measure_view(std::ostream& out, std::size_t const n) {
-  measure_made(out, "member", n, [n] { return view_of_members(n); });
-  measure_made(out, "backend", n, [n] { return view_of_backends(n); });
-  measure_made(out, "entry_of_backend", n, [n] { return std::make_shared<ZoneEntry>(entry_of(n)); });
+  measure_construction(out, "member", n, [n] { return view_of_members(n); });
+  measure_construction(out, "backend", n, [n] { return view_of_backends(n); });
+  measure_construction(out, "entry_of_backend", n, [n] { return std::make_shared<ZoneEntry>(entry_of(n)); });
   ZoneAnnouncement told;
   told.entry = entry_of(n);
   Bytes const packed = pack(told);
   out << "packed_entry_of_backend," << n << "," << static_cast<double>(packed.size()) / static_cast<double>(n)
       << ",0\n";
-  measure_made(out, "unpacked_entry_of_backend", n,
-               [&packed] { return std::make_shared<ZoneAnnouncement>(*unpack<ZoneAnnouncement>(packed)); });
-  measure_made(out, "endpoint", n, [n] {
+  measure_construction(out, "unpacked_entry_of_backend", n,
+                       [&packed] { return std::make_shared<ZoneAnnouncement>(*unpack<ZoneAnnouncement>(packed)); });
+  measure_construction(out, "endpoint", n, [n] {
     std::shared_ptr<EndpointSelector> const selector = std::make_shared<EndpointSelector>();
     selector->replace(endpoints_of(n));
     return selector;
--- a/source/programs/hollow_fleet_world.cpp
+++ b/source/programs/hollow_fleet_world.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::size_t frame_head_bytes = 15;
-constexpr Duration connect_patience = 300ms;
+constexpr Duration connect_timeout = 300ms;
 
 Duration thread_processor_time() {
   timespec t{};
@@ -17,7 +17,7 @@
 }
 
 // The processor time that one reading of the clock adds to a measured interval.
-Duration cost_of_reading_the_clock() {
+Duration clock_reading_cost() {
   constexpr int readings = 10000;
   Duration const begin = thread_processor_time();
   for (int i = 0; i < readings; ++i) thread_processor_time();
@@ -50,23 +50,23 @@
   if (bytes_per_second_ <= 0) return from;
   std::chrono::duration<double> const exact(static_cast<double>(bytes) / bytes_per_second_);
   Duration const takes = std::chrono::duration_cast<Duration>(exact);
-  Instant& way_until = way_until_[peer];
-  Instant const ready = std::max(from, way_until);
+  Instant& peer_until = peer_until_[peer];
+  Instant const ready = std::max(from, peer_until);
   if (bytes > large_above) {
     large_until_ = std::max(ready, large_until_) + takes;
-    way_until = large_until_;
+    peer_until = large_until_;
   } else {
     small_until_ = std::max(ready, small_until_) + takes;
-    way_until = small_until_;
+    peer_until = small_until_;
     if (large_until_ > from) large_until_ += takes;
   }
-  return way_until;
+  return peer_until;
 }
 
 // ---- the network
 
 HollowNetwork::HollowNetwork(HollowDelays const delays, std::uint64_t const seed)
-    : delays_(delays), chance_(seed), clock_cost_(cost_of_reading_the_clock()) {}
+    : delays_(delays), chance_(seed), clock_cost_(clock_reading_cost()) {}
 
 HollowNetwork::~HollowNetwork() {
   for (auto const& [address, process] : processes_) process->kill();
@@ -130,7 +130,7 @@
   cuts_.insert({other, region});
 }
 
-Duration HollowNetwork::delay(HollowPlace const& from, HollowPlace const& to) const {
+Duration HollowNetwork::delay(HollowLocation const& from, HollowLocation const& to) const {
   if (from.region != to.region) return delays_.between_regions;
   return from.zone == to.zone ? delays_.in_zone : delays_.in_region;
 }
@@ -141,7 +141,7 @@
     return it != isolated_.end() && it->second.contains(other.address());
   };
   if (!isolated_.empty() && (cut_off(from, to) || cut_off(to, from))) return false;
-  return cuts_.empty() || !cuts_.contains({from.place().region, to.place().region});
+  return cuts_.empty() || !cuts_.contains({from.location().region, to.location().region});
 }
 
 void HollowNetwork::isolate(Address const& process, std::set<Address> from) { isolated_[process] = std::move(from); }
@@ -153,7 +153,7 @@
   HollowMachine& receiver = *to.machine();
   sender.charge(work);
   Instant const sent = sender.sending.pass(to.address(), now_ + sender.charged, bytes);
-  Instant const at_link = sent + delay(from.place(), to.place());
+  Instant const at_link = sent + delay(from.location(), to.location());
   return receiver.receiving.pass(from.address(), at_link, bytes);
 }
 
@@ -161,7 +161,7 @@
   std::shared_ptr<HollowProcess> const target = find(to);
   std::weak_ptr<HollowProcess> const sender = from.weak_from_this();
   if (!target || !target->alive()) return refuse(sender, to, delays_.in_region, done);
-  if (!open(from, *target)) return refuse(sender, to, connect_patience, done);
+  if (!open(from, *target)) return refuse(sender, to, connect_timeout, done);
   count_sent(from.meter(), kind, payload.size());
   Instant const arrives = arrival(from, *target, payload.size());
   Payload const kept = std::make_shared<Bytes>(std::move(payload));
--- a/source/programs/hollow_fleet_world.hpp
+++ b/source/programs/hollow_fleet_world.hpp
@@ -15,7 +15,7 @@
 namespace banktide {
 
 /// The location of a hollow process.
-struct HollowPlace {
+struct HollowLocation {
   std::string zone;
   std::size_t region = 0;
 };
@@ -70,7 +70,7 @@
   double const bytes_per_second_;
   Instant small_until_{};
   Instant large_until_{};
-  std::map<Address, Instant> way_until_;
+  std::map<Address, Instant> peer_until_;
 };
 
 /// The machine of a hollow process: its capacity, its current use, and the process's meter.
@@ -136,7 +136,7 @@
   using Payload = std::shared_ptr<Bytes>;
 
   void run(Event& event);
-  Duration delay(HollowPlace const& from, HollowPlace const& to) const;
+  Duration delay(HollowLocation const& from, HollowLocation const& to) const;
   bool open(HollowProcess const& from, HollowProcess const& to) const;
   /// The arrival time of a message that is sent now, after both machines' links.
   Instant arrival(HollowProcess& from, HollowProcess& to, std::size_t payload);
@@ -193,10 +193,11 @@
     std::uint64_t const number_;
   };
 
-  HollowProcess(HollowNetwork& network, Address address, HollowPlace place, std::shared_ptr<HollowMachine> machine)
+  HollowProcess(HollowNetwork& network, Address address, HollowLocation location,
+                std::shared_ptr<HollowMachine> machine)
       : network_(network),
         address_(std::move(address)),
-        place_(std::move(place)),
+        location_(std::move(location)),
         machine_(std::move(machine)),
         chance_(network.chance()()) {}
   ~HollowProcess() { kill(); }
@@ -208,14 +209,14 @@
   Task<Result<Bytes>> ask_raw(Address peer, std::uint8_t kind, Bytes payload, Instant deadline,
                               SharedCancellation cancellation = nullptr);
   void tell_raw(Address const& peer, std::uint8_t kind, SharedBytes const& payload);
-  void serve(Dispatcher& dispatcher) { desk_ = &dispatcher; }
+  void serve(Dispatcher& dispatcher) { dispatcher_ = &dispatcher; }
 
   /// Ends this incarnation: none of its code runs any more.
   void kill();
   bool alive() const { return alive_; }
-  Dispatcher* dispatcher() const { return desk_; }
+  Dispatcher* dispatcher() const { return dispatcher_; }
   Address const& address() const { return address_; }
-  HollowPlace const& place() const { return place_; }
+  HollowLocation const& location() const { return location_; }
   HollowNetwork& network() { return network_; }
   std::shared_ptr<HollowMachine> const& machine() const { return machine_; }
   HollowMeter& meter() const { return machine_->meter; }
@@ -223,10 +224,10 @@
  private:
   HollowNetwork& network_;
   Address const address_;
-  HollowPlace const place_;
+  HollowLocation const location_;
   std::shared_ptr<HollowMachine> const machine_;
   std::mt19937_64 chance_;
-  Dispatcher* desk_ = nullptr;
+  Dispatcher* dispatcher_ = nullptr;
   bool alive_ = true;
   std::map<std::uint64_t, std::weak_ptr<Waiting>> alarms_;
   std::uint64_t last_alarm_ = 0;
--- a/source/programs/hollow_main.cpp
+++ b/source/programs/hollow_main.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr Duration event_patience = 150s;
-constexpr Duration calm_first = 5s;
-constexpr Duration restart_takes = 1s;
+constexpr Duration event_timeout = 150s;
+constexpr Duration settle_time = 5s;
+constexpr Duration restart_downtime = 1s;
 
 void define(Settings& s) {
   s.text("measure", "fleet", "fleet, objects, frames or delivery");
@@ -82,7 +82,7 @@
       report_unformed();
       return 0;
     }
-    fleet_.run_for(calm_first);
+    fleet_.run_for(settle_time);
     print("fleet", "voters", static_cast<double>(fleet_.voters()));
     measure();
     print("fleet", "memory_per_node_bytes", (allocated_bytes() - before_) / static_cast<double>(s_.number("nodes")));
@@ -110,7 +110,7 @@
     print("fleet", "voters", static_cast<double>(fleet_.voters()));
     print("fleet", "ready_share", static_cast<double>(fleet_.ready_nodes()) / static_cast<double>(s_.number("nodes")));
     fleet_.reset_meters();
-    fleet_.run_for(calm_first);
+    fleet_.run_for(settle_time);
     print_all(fleet_.measurements());
   }
 
@@ -121,15 +121,15 @@
     fleet_.reset_meters();
     for (std::size_t i = 0; i < steps; ++i) {
       if (due(i, steps, changes)) fleet_.write_next((changed_++) % s_.number("controls"));
-      if (due(i, steps, restarts)) fleet_.restart_node((restarted_ += 7) % s_.number("nodes"), restart_takes);
+      if (due(i, steps, restarts)) fleet_.restart_node((restarted_ += 7) % s_.number("nodes"), restart_downtime);
       fleet_.run_for(seconds_ / steps);
     }
     print_all(fleet_.measurements());
-    fleet_.run_for(calm_first);
+    fleet_.run_for(settle_time);
     print("fleet", "ready_share", static_cast<double>(fleet_.ready_nodes()) / static_cast<double>(s_.number("nodes")));
     print("fleet", "rows_held", static_cast<double>(fleet_.rows_held()));
     print("fleet", "formed_after", fleet_.formed());
-    print_times("in_force_ms", fleet_.times_to_force());
+    print_times("in_force_ms", fleet_.times_to_activation());
     print_times("acknowledged_ms", fleet_.times_to_acknowledge());
   }
   std::size_t per_time(std::string const& name) const {
@@ -155,25 +155,25 @@
     fleet_.reset_meters();
     std::size_t const left = fleet_.running_backends();
     auto const seen = [&] { return fleet_.nodes_with_other_endpoints(left) == 0; };
-    print("fleet", "zone_lost_seen_s", seconds_of(fleet_.run_until(seen, event_patience)));
+    print("fleet", "zone_lost_seen_s", seconds_of(fleet_.run_until(seen, event_timeout)));
     print_highest("zone_lost");
     std::size_t const acknowledged = fleet_.acknowledged();
     fleet_.write_next(0);
-    auto const in_force = [&] { return fleet_.acknowledged() > acknowledged && fleet_.formed(); };
-    print("fleet", "zone_lost_write_in_force_s", seconds_of(fleet_.run_until(in_force, event_patience)));
-    fleet_.bring_back_zone(zone);
+    auto const activations = [&] { return fleet_.acknowledged() > acknowledged && fleet_.formed(); };
+    print("fleet", "zone_lost_write_in_force_s", seconds_of(fleet_.run_until(activations, event_timeout)));
+    fleet_.restore_zone(zone);
     fleet_.reset_meters();
-    print("fleet", "zone_back_s", seconds_of(fleet_.run_until([&] { return fleet_.formed(); }, event_patience)));
+    print("fleet", "zone_back_s", seconds_of(fleet_.run_until([&] { return fleet_.formed(); }, event_timeout)));
     print_highest("zone_back");
   }
 
   void cut_region() {
     fleet_.cut_region(0);
     fleet_.reset_meters();
-    fleet_.run_for(calm_first);
+    fleet_.run_for(settle_time);
     std::size_t const before = fleet_.acknowledged();
     fleet_.write_next(0);
-    fleet_.run_for(calm_first);
+    fleet_.run_for(settle_time);
     print("fleet", "region_cut_write_inside", static_cast<double>(fleet_.acknowledged() - before));
     std::size_t const then = fleet_.acknowledged();
     fleet_.write_next(1);
@@ -183,7 +183,7 @@
           static_cast<double>(fleet_.ready_nodes()) / static_cast<double>(s_.number("nodes")));
     print_highest("region_cut");
     fleet_.heal();
-    print("fleet", "region_healed_s", seconds_of(fleet_.run_until([&] { return fleet_.formed(); }, event_patience)));
+    print("fleet", "region_healed_s", seconds_of(fleet_.run_until([&] { return fleet_.formed(); }, event_timeout)));
   }
 
   void print_highest(std::string const& when) const {
@@ -199,29 +199,29 @@
   std::size_t changed_ = 0, restarted_ = 0;
 };
 
-void print_delivery(DeliveryTrouble const trouble, std::size_t const routes, DeliveryFigures const& figures) {
+void print_delivery(DeliveryFault const fault, std::size_t const routes, DeliveryResult const& result) {
   auto const line = [&](std::string const& metric, double const value) {
-    std::cout << to_text(trouble) << "," << routes << "," << metric << "," << value << std::endl;
+    std::cout << to_text(fault) << "," << routes << "," << metric << "," << value << std::endl;
   };
-  line("formed", figures.formed);
-  line("acknowledged", static_cast<double>(figures.acknowledged));
+  line("formed", result.formed);
+  line("acknowledged", static_cast<double>(result.acknowledged));
   for (double const share : {0.5, 0.9, 0.99, 0.999, 1.0})
-    line("in_force_ms_" + std::to_string(share).substr(0, 5), figures.to_force.milliseconds(share));
-  line("first_in_force_ms_median", figures.to_first_force.milliseconds(0.5));
-  line("first_in_force_ms_max", figures.to_first_force.milliseconds(1));
-  line("behind", static_cast<double>(figures.behind));
-  for (HollowMeasurement const& m : figures.load)
+    line("in_force_ms_" + std::to_string(share).substr(0, 5), result.activation_times.milliseconds(share));
+  line("first_in_force_ms_median", result.first_activation_times.milliseconds(0.5));
+  line("first_in_force_ms_max", result.first_activation_times.milliseconds(1));
+  line("behind", static_cast<double>(result.behind));
+  for (HollowMeasurement const& m : result.load)
     if (m.metric.ends_with("_bytes") || m.metric == "sent_messages")
       line(m.role + "_" + m.metric + "_mean", m.mean), line(m.role + "_" + m.metric + "_highest", m.highest);
 }
 
 void measure_deliveries(Settings const& s) {
-  for (DeliveryTrouble const trouble : delivery_troubles) {
-    if (s.text("trouble") != "all" && s.text("trouble") != to_text(trouble)) continue;
+  for (DeliveryFault const fault : delivery_faults) {
+    if (s.text("trouble") != "all" && s.text("trouble") != to_text(fault)) continue;
     HollowFleetSettings settings = large_site(s.number("routes"));
     settings.seed = s.number("seed");
     settings.nodes = settings.backends = settings.changing_backends = s.number("site-nodes");
-    print_delivery(trouble, settings.routes, measure_delivery(settings, trouble));
+    print_delivery(fault, settings.routes, measure_delivery(settings, fault));
   }
 }
 
--- a/tests/data_path/request_path_model_test.cpp
+++ b/tests/data_path/request_path_model_test.cpp
@@ -116,7 +116,7 @@
   }
 
   std::shared_ptr<SimProcess> start(std::string const& name) {
-    std::shared_ptr<SimProcess> process = std::make_shared<SimProcess>(sim_, net_, name, name + ":1", ++lives_);
+    std::shared_ptr<SimProcess> process = std::make_shared<SimProcess>(sim_, net_, name, name + ":1", ++incarnations_);
     net_.at[name + ":1"] = process;
     net_.machine_of[name + ":1"] = name;
     all_.push_back(process);
@@ -210,7 +210,7 @@
   std::vector<std::shared_ptr<SimProcess>> all_;
   std::unique_ptr<RequestPath<SimProcess, FickleNode>> path_;
   std::vector<std::string> refused_;
-  std::uint64_t lives_ = 0;
+  std::uint64_t incarnations_ = 0;
   unsigned ended_ = 0;
   bool over_ = false;
   bool const leavers_;
--- a/tests/programs/hollow_delivery_test.cpp
+++ b/tests/programs/hollow_delivery_test.cpp
@@ -8,16 +8,16 @@
 
 namespace banktide {
 
-void PrintTo(DeliveryTrouble const trouble, std::ostream* const out) { *out << to_text(trouble); }
+void PrintTo(DeliveryFault const fault, std::ostream* const out) { *out << to_text(fault); }
 
 namespace {
 
-constexpr double in_force_within_ms = 2500;
-constexpr std::size_t routes_of_a_large_site = 1520;
+constexpr double max_activation_ms = 2500;
+constexpr std::size_t large_site_routes = 1520;
 
 // The depth of the relay tree and the number of registries are those of the large site; the zones are fewer.
-HollowFleetSettings three_zones_of_a_large_site() {
-  HollowFleetSettings settings = large_site(routes_of_a_large_site);
+HollowFleetSettings large_site_in_three_zones() {
+  HollowFleetSettings settings = large_site(large_site_routes);
   settings.zones = 3;
   settings.nodes = 120;
   settings.backends = 120;
@@ -25,22 +25,22 @@
   return settings;
 }
 
-class Delivery : public testing::TestWithParam<DeliveryTrouble> {};
+class Delivery : public testing::TestWithParam<DeliveryFault> {};
 
 }  // namespace
 
 // Guards against CONFIG: an acknowledged configuration was active on some node too late, because nodes that had lost
 // their feed requested complete values from every registry, or because relays parsed a value before forwarding it.
 TEST_P(Delivery, each_acknowledged_version_is_in_force_on_every_node_in_time) {
-  DeliveryFigures const figures = measure_delivery(three_zones_of_a_large_site(), GetParam());
-  ASSERT_TRUE(figures.formed);
-  EXPECT_GT(figures.acknowledged, 0u);
-  EXPECT_GT(figures.to_force.all.size(), 0u);
-  EXPECT_LT(figures.to_force.milliseconds(1), in_force_within_ms);
-  EXPECT_EQ(figures.behind, 0u);
+  DeliveryResult const result = measure_delivery(large_site_in_three_zones(), GetParam());
+  ASSERT_TRUE(result.formed);
+  EXPECT_GT(result.acknowledged, 0u);
+  EXPECT_GT(result.activation_times.all.size(), 0u);
+  EXPECT_LT(result.activation_times.milliseconds(1), max_activation_ms);
+  EXPECT_EQ(result.behind, 0u);
 }
 
-INSTANTIATE_TEST_SUITE_P(AtFullSize, Delivery, testing::ValuesIn(delivery_troubles),
-                         [](auto const& trouble) { return std::string(to_text(trouble.param)); });
+INSTANTIATE_TEST_SUITE_P(AtFullSize, Delivery, testing::ValuesIn(delivery_faults),
+                         [](auto const& fault) { return std::string(to_text(fault.param)); });
 
 }  // namespace banktide
--- a/tests/programs/hollow_fleet_test.cpp
+++ b/tests/programs/hollow_fleet_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Duration patience = 60s;
-constexpr Duration zone_forgotten_within = 120s;
+constexpr Duration zone_removal_timeout = 120s;
 
 HollowFleetSettings three_regions(std::size_t const nodes) {
   HollowFleetSettings s;
@@ -48,7 +48,7 @@
   EXPECT_EQ(fleet.refused(), refused);
   EXPECT_TRUE(fleet.formed());
   EXPECT_EQ(fleet.times_to_acknowledge().all.size(), 3u);
-  EXPECT_EQ(fleet.times_to_force().all.size(), 3u * 200u);
+  EXPECT_EQ(fleet.times_to_activation().all.size(), 3u * 200u);
 }
 
 // Guards against readers that wrote back each value without agreement: they kept each other,
@@ -116,8 +116,8 @@
   ASSERT_TRUE(fleet.form(patience));
   fleet.lose_zone(2);
   EXPECT_EQ(fleet.running_backends(), 20u);
-  EXPECT_TRUE(fleet.run_until([&] { return fleet.nodes_with_other_endpoints(20) == 0; }, zone_forgotten_within));
-  fleet.bring_back_zone(2);
+  EXPECT_TRUE(fleet.run_until([&] { return fleet.nodes_with_other_endpoints(20) == 0; }, zone_removal_timeout));
+  fleet.restore_zone(2);
   EXPECT_TRUE(fleet.run_until([&] { return fleet.formed(); }, patience));
   EXPECT_EQ(fleet.ready_nodes(), 30u);
 }
