--- a/source/programs/hollow_fleet_control.cpp
+++ b/source/programs/hollow_fleet_control.cpp
@@ -73,8 +73,8 @@
     mesh.start(registry_dispatcher);
   }
 
-  Task<void> write(HttpRequest question, Written done) {
-    HttpReply const reply = co_await mesh.handle_interface_request(std::move(question));
+  Task<void> write(HttpRequest request, Written done) {
+    HttpReply const reply = co_await mesh.handle_interface_request(std::move(request));
     done(reply.status == 200);
   }
 
@@ -122,8 +122,8 @@
   WriteConfigurationOperation operation;
   operation.version = configuration.version;
   operation.bytes = hollow_configuration_bytes(configuration);
-  HttpRequest question = interface_.request(std::move(operation));
-  spawn(*incarnation_->registry_process, incarnation_->write(std::move(question), std::move(done)));
+  HttpRequest request = interface_.request(std::move(operation));
+  spawn(*incarnation_->registry_process, incarnation_->write(std::move(request), std::move(done)));
 }
 
 }  // namespace banktide
--- a/source/programs/hollow_fleet_node.cpp
+++ b/source/programs/hollow_fleet_node.cpp
@@ -34,11 +34,11 @@
              [&owner](Address const& address, std::size_t const limit) {
                return std::make_unique<BackendConnections>(owner.network_.io(), address, limit);
              }) {
-    beat.id = "instance-" + owner.settings_.id + "-" + std::to_string(number);
-    beat.service = owner.settings_.service;
-    beat.address = owner.settings_.address;
-    beat.zone = owner.settings_.location.zone;
-    beat.slots = default_slots;
+    heartbeat.id = "instance-" + owner.settings_.id + "-" + std::to_string(number);
+    heartbeat.service = owner.settings_.service;
+    heartbeat.address = owner.settings_.address;
+    heartbeat.zone = owner.settings_.location.zone;
+    heartbeat.slots = default_slots;
     mesh.on_limits = [&owner](ClientLimits const& limits) {
       owner.activations_.push_back(HollowActivation{limits.header_bytes, owner.network_.now()});
     };
@@ -48,39 +48,39 @@
     co_await sleep_for(*process, Duration(process->chance()() % static_cast<std::uint64_t>(heartbeat_period.count())));
     while (true) {
       Instant const begun = process->now();
-      HttpRequest question = node.interface_.request(HeartbeatOperation{next_heartbeat()});
-      HttpReply const reply = co_await mesh.handle_interface_request(std::move(question));
-      take(HollowInterface::grant_of(reply));
+      HttpRequest request = node.interface_.request(HeartbeatOperation{next_heartbeat()});
+      HttpReply const reply = co_await mesh.handle_interface_request(std::move(request));
+      apply_grant(HollowInterface::grant_of(reply));
       co_await sleep_for(*process, std::max(heartbeat_period - (process->now() - begun), shortest_pause));
     }
   }
 
   BackendHeartbeat const& next_heartbeat() {
-    ++beat.sequence;
-    if (node.settings_.load_changes) beat.slots = default_slots + beat.sequence % 2;
-    return beat;
+    ++heartbeat.sequence;
+    if (node.settings_.load_changes) heartbeat.slots = default_slots + heartbeat.sequence % 2;
+    return heartbeat;
   }
 
   // Rows that are no longer granted are released at once, with the next heartbeat.
-  void take(std::optional<HeartbeatGrant> const& grant) {
+  void apply_grant(std::optional<HeartbeatGrant> const& grant) {
     if (!grant) return;
-    beat.released.clear();
-    for (HeartbeatHeldRow const& held : beat.held) {
+    heartbeat.released.clear();
+    for (HeartbeatHeldRow const& held : heartbeat.held) {
       bool const kept = std::any_of(grant->rows.begin(), grant->rows.end(), [&](HeartbeatGrantedRow const& row) {
         return row.from <= held.from && held.to <= row.to && row.fence == held.fence;
       });
-      if (!kept) beat.released.push_back(HeartbeatReleasedRow{held.from, held.to, "token"});
+      if (!kept) heartbeat.released.push_back(HeartbeatReleasedRow{held.from, held.to, "token"});
     }
-    beat.held.clear();
+    heartbeat.held.clear();
     for (HeartbeatGrantedRow const& row : grant->rows)
-      beat.held.push_back(HeartbeatHeldRow{row.from, row.to, row.fence});
+      heartbeat.held.push_back(HeartbeatHeldRow{row.from, row.to, row.fence});
   }
 
   HollowNode& node;
   std::shared_ptr<HollowProcess> process;
   Dispatcher dispatcher;
   MeshNode<HollowProcess> mesh;
-  BackendHeartbeat beat;
+  BackendHeartbeat heartbeat;
 };
 
 HollowNode::HollowNode(HollowNetwork& network, HollowInterface& interface, HollowNodeSettings settings)
@@ -123,6 +123,6 @@
   return all;
 }
 
-std::size_t HollowNode::rows_held() const { return incarnation_ ? incarnation_->beat.held.size() : 0; }
+std::size_t HollowNode::rows_held() const { return incarnation_ ? incarnation_->heartbeat.held.size() : 0; }
 
 }  // namespace banktide
--- a/source/programs/hollow_fleet_objects.cpp
+++ b/source/programs/hollow_fleet_objects.cpp
@@ -154,9 +154,9 @@
   measure_construction(out, "member", n, [n] { return view_of_members(n); });
   measure_construction(out, "backend", n, [n] { return view_of_backends(n); });
   measure_construction(out, "entry_of_backend", n, [n] { return std::make_shared<ZoneEntry>(entry_of(n)); });
-  ZoneAnnouncement told;
-  told.entry = entry_of(n);
-  Bytes const packed = pack(told);
+  ZoneAnnouncement announcement;
+  announcement.entry = entry_of(n);
+  Bytes const packed = pack(announcement);
   out << "packed_entry_of_backend," << n << "," << static_cast<double>(packed.size()) / static_cast<double>(n)
       << ",0\n";
   measure_construction(out, "unpacked_entry_of_backend", n,
@@ -182,8 +182,8 @@
                     std::promise<std::size_t>& done) {
   std::size_t answered = 0;
   for (std::size_t i = 0; i < count; ++i) {
-    Echo const question{std::string(size, 'x')};
-    Result<Echo::Reply> const reply = co_await ask(world, peer, question, world.now() + 2s);
+    Echo const request{std::string(size, 'x')};
+    Result<Echo::Reply> const reply = co_await ask(world, peer, request, world.now() + 2s);
     answered += reply.has_value();
   }
   done.set_value(answered);
--- a/source/programs/hollow_fleet_world.cpp
+++ b/source/programs/hollow_fleet_world.cpp
@@ -186,8 +186,8 @@
 
 Task<void> HollowNetwork::handle(std::weak_ptr<HollowProcess> from, std::shared_ptr<HollowProcess> to,
                                  std::uint8_t const kind, Payload payload, Done done) {
-  Bytes question = std::move(*payload);
-  Result<Bytes> reply = co_await to->dispatcher()->handlers[kind](std::move(question), nullptr);
+  Bytes request = std::move(*payload);
+  Result<Bytes> reply = co_await to->dispatcher()->handlers[kind](std::move(request), nullptr);
   if (done) answer(from, *to, kind, std::move(reply), done);
 }
 
--- a/source/programs/hollow_main.cpp
+++ b/source/programs/hollow_main.cpp
@@ -70,13 +70,13 @@
 class Trial {
  public:
   explicit Trial(Settings const& s)
-      : s_(s),
+      : settings_(s),
         before_(allocated_bytes()),
         fleet_(fleet_settings(s)),
         seconds_(std::chrono::seconds(s.number("seconds"))) {}
 
   int run() {
-    std::optional<Duration> const formed = fleet_.form(std::chrono::seconds(s_.number("form-seconds")));
+    std::optional<Duration> const formed = fleet_.form(std::chrono::seconds(settings_.number("form-seconds")));
     print("fleet", "form_s", seconds_of(formed));
     if (!formed) {
       report_unformed();
@@ -85,16 +85,17 @@
     fleet_.run_for(settle_time);
     print("fleet", "voters", static_cast<double>(fleet_.voters()));
     measure();
-    print("fleet", "memory_per_node_bytes", (allocated_bytes() - before_) / static_cast<double>(s_.number("nodes")));
-    if (s_.text("event") == "zone") lose_zone();
-    if (s_.text("event") == "region") cut_region();
+    print("fleet", "memory_per_node_bytes",
+          (allocated_bytes() - before_) / static_cast<double>(settings_.number("nodes")));
+    if (settings_.text("event") == "zone") lose_zone();
+    if (settings_.text("event") == "region") cut_region();
     return 0;
   }
 
  private:
   void print(std::string const& role, std::string const& metric, double const mean, double const highest) const {
-    std::cout << s_.text("trial") << "," << s_.text("x") << "," << role << "," << metric << "," << mean << ","
-              << highest << std::endl;
+    std::cout << settings_.text("trial") << "," << settings_.text("x") << "," << role << "," << metric << "," << mean
+              << "," << highest << std::endl;
   }
   void print(std::string const& role, std::string const& metric, double const value) const {
     print(role, metric, value, value);
@@ -108,7 +109,8 @@
   // Prints what a fleet that didn't form in time is doing.
   void report_unformed() {
     print("fleet", "voters", static_cast<double>(fleet_.voters()));
-    print("fleet", "ready_share", static_cast<double>(fleet_.ready_nodes()) / static_cast<double>(s_.number("nodes")));
+    print("fleet", "ready_share",
+          static_cast<double>(fleet_.ready_nodes()) / static_cast<double>(settings_.number("nodes")));
     fleet_.reset_meters();
     fleet_.run_for(settle_time);
     print_all(fleet_.measurements());
@@ -120,20 +122,21 @@
     constexpr std::size_t steps = 1200;
     fleet_.reset_meters();
     for (std::size_t i = 0; i < steps; ++i) {
-      if (due(i, steps, changes)) fleet_.write_next((changed_++) % s_.number("controls"));
-      if (due(i, steps, restarts)) fleet_.restart_node((restarted_ += 7) % s_.number("nodes"), restart_downtime);
+      if (due(i, steps, changes)) fleet_.write_next((changed_++) % settings_.number("controls"));
+      if (due(i, steps, restarts)) fleet_.restart_node((restarted_ += 7) % settings_.number("nodes"), restart_downtime);
       fleet_.run_for(seconds_ / steps);
     }
     print_all(fleet_.measurements());
     fleet_.run_for(settle_time);
-    print("fleet", "ready_share", static_cast<double>(fleet_.ready_nodes()) / static_cast<double>(s_.number("nodes")));
+    print("fleet", "ready_share",
+          static_cast<double>(fleet_.ready_nodes()) / static_cast<double>(settings_.number("nodes")));
     print("fleet", "rows_held", static_cast<double>(fleet_.rows_held()));
     print("fleet", "formed_after", fleet_.formed());
     print_times("in_force_ms", fleet_.times_to_activation());
     print_times("acknowledged_ms", fleet_.times_to_acknowledge());
   }
   std::size_t per_time(std::string const& name) const {
-    return s_.number(name) *
+    return settings_.number(name) *
            static_cast<std::size_t>(std::chrono::duration_cast<std::chrono::seconds>(seconds_).count()) / 60;
   }
   static bool due(std::size_t const step, std::size_t const steps, std::size_t const wanted) {
@@ -150,7 +153,7 @@
   }
 
   void lose_zone() {
-    std::size_t const zone = s_.number("zones") - 1;
+    std::size_t const zone = settings_.number("zones") - 1;
     fleet_.lose_zone(zone);
     fleet_.reset_meters();
     std::size_t const left = fleet_.running_backends();
@@ -159,8 +162,8 @@
     print_highest("zone_lost");
     std::size_t const acknowledged = fleet_.acknowledged();
     fleet_.write_next(0);
-    auto const activations = [&] { return fleet_.acknowledged() > acknowledged && fleet_.formed(); };
-    print("fleet", "zone_lost_write_in_force_s", seconds_of(fleet_.run_until(activations, event_timeout)));
+    auto const is_active = [&] { return fleet_.acknowledged() > acknowledged && fleet_.formed(); };
+    print("fleet", "zone_lost_write_in_force_s", seconds_of(fleet_.run_until(is_active, event_timeout)));
     fleet_.restore_zone(zone);
     fleet_.reset_meters();
     print("fleet", "zone_back_s", seconds_of(fleet_.run_until([&] { return fleet_.formed(); }, event_timeout)));
@@ -180,7 +183,7 @@
     fleet_.run_for(seconds_);
     print("fleet", "region_cut_write_outside", static_cast<double>(fleet_.acknowledged() - then));
     print("fleet", "region_cut_ready_share",
-          static_cast<double>(fleet_.ready_nodes()) / static_cast<double>(s_.number("nodes")));
+          static_cast<double>(fleet_.ready_nodes()) / static_cast<double>(settings_.number("nodes")));
     print_highest("region_cut");
     fleet_.heal();
     print("fleet", "region_healed_s", seconds_of(fleet_.run_until([&] { return fleet_.formed(); }, event_timeout)));
@@ -192,7 +195,7 @@
         print(m.role, when + "_" + m.metric, m.mean, m.highest);
   }
 
-  Settings const& s_;
+  Settings const& settings_;
   double const before_;
   HollowFleet fleet_;
   Duration const seconds_;
--- a/tests/programs/hollow_delivery_test.cpp
+++ b/tests/programs/hollow_delivery_test.cpp
@@ -31,7 +31,7 @@
 
 // Guards against CONFIG: an acknowledged configuration was active on some node too late, because nodes that had lost
 // their feed requested complete values from every registry, or because relays parsed a value before forwarding it.
-TEST_P(Delivery, each_acknowledged_version_is_in_force_on_every_node_in_time) {
+TEST_P(Delivery, each_acknowledged_version_is_active_on_every_node_in_time) {
   DeliveryResult const result = measure_delivery(large_site_in_three_zones(), GetParam());
   ASSERT_TRUE(result.formed);
   EXPECT_GT(result.acknowledged, 0u);
--- a/tests/programs/hollow_fleet_test.cpp
+++ b/tests/programs/hollow_fleet_test.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-TEST(HollowFleet, two_hundred_nodes_form_and_have_each_acknowledged_version_in_force) {
+TEST(HollowFleet, two_hundred_nodes_form_and_activate_each_acknowledged_version) {
   HollowFleet fleet(three_regions(200));
   ASSERT_TRUE(fleet.form(patience));
   EXPECT_EQ(fleet.ready_nodes(), 200u);
@@ -53,7 +53,7 @@
 
 // Guards against readers that wrote back each value without agreement: they kept each other,
 // and every change, from getting a majority.
-TEST(HollowFleet, many_voters_far_apart_take_every_change_and_readers_write_nothing) {
+TEST(HollowFleet, many_distant_voters_accept_every_change_and_readers_write_nothing) {
   for (std::size_t const voters : {5u, 7u, 9u}) {
     HollowFleetSettings settings = three_regions(18);
     settings.controls = voters;
@@ -73,7 +73,7 @@
   }
 }
 
-TEST(HollowFleet, a_quiet_node_hears_each_pulse_once_and_three_others_beat) {
+TEST(HollowFleet, an_idle_node_gets_each_pulse_once_and_three_nodes_send_heartbeats) {
   HollowFleet fleet(three_regions(60));
   ASSERT_TRUE(fleet.form(patience));
   fleet.run_for(5s);
@@ -82,10 +82,10 @@
   HollowMeasurements const all = fleet.measurements();
   FeedTiming const timing;
   double const pulses = std::chrono::duration<double>(1s) / timing.pulse_every;
-  double const beats = 3 * (std::chrono::duration<double>(1s) / timing.beat_every);
+  double const heartbeats = 3 * (std::chrono::duration<double>(1s) / timing.beat_every);
   EXPECT_NEAR(find(all, "proxy", "received_news_messages").mean, pulses, 0.1);
   EXPECT_NEAR(find(all, "proxy", "received_news_messages").highest, pulses, 0.2);
-  EXPECT_NEAR(find(all, "proxy", "sent_beat_messages").mean, beats, 0.2);
+  EXPECT_NEAR(find(all, "proxy", "sent_beat_messages").mean, heartbeats, 0.2);
   EXPECT_EQ(find(all, "store", "disk_writes").highest, 0);
 }
 
@@ -111,7 +111,7 @@
   EXPECT_TRUE(fleet.run_until([&] { return fleet.rows_held() >= keyed_backends; }, patience));
 }
 
-TEST(HollowFleet, a_lost_zone_is_forgotten_and_comes_back) {
+TEST(HollowFleet, a_lost_zone_is_removed_and_comes_back) {
   HollowFleet fleet(three_regions(30));
   ASSERT_TRUE(fleet.form(patience));
   fleet.lose_zone(2);
