--- a/source/coordination/acceptor.hpp
+++ b/source/coordination/acceptor.hpp
@@ -53,9 +53,9 @@
   void attach(Dispatcher& dispatcher) {
     dispatcher.on<Prepare>([this](Prepare request) { return prepare(std::move(request)); });
     dispatcher.on<Accept>([this](Accept request) { return accept(std::move(request)); });
-    dispatcher.on<ReadRegister>([this](ReadRegister request) { return peek(std::move(request)); });
-    dispatcher.on<ReadRevisions>([this](ReadRevisions request) { return peek_revisions(request); });
-    dispatcher.on<Bootstrap>([this](Bootstrap request) { return found(request); });
+    dispatcher.on<ReadRegister>([this](ReadRegister request) { return read_register(std::move(request)); });
+    dispatcher.on<ReadRevisions>([this](ReadRevisions request) { return read_revisions(request); });
+    dispatcher.on<Bootstrap>([this](Bootstrap request) { return bootstrap(request); });
     dispatcher.on<VotersRequest>([this](VotersRequest request) { return voters(std::move(request)); });
     dispatcher.on<Seal>([this](Seal request) { return seal(std::move(request)); });
     dispatcher.on<Activate>([this](Activate request) { return activate(std::move(request)); });
@@ -75,7 +75,7 @@
   // For a voter of a fixed list: returns once it votes.
   Task<void> run_until_voting() {
     while (!voting()) {
-      co_await found_or_rejoin();
+      co_await bootstrap_or_rejoin();
       if (!voting()) co_await sleep_for(env_, 200ms + std::chrono::milliseconds(env_.chance()() % 100));
     }
     log_info("voting", {{"founding", std::to_string(record_.bootstrap_id)},
@@ -84,7 +84,7 @@
   }
 
   /// Makes one attempt to found the recorded set or to rejoin it.
-  Task<void> found_or_rejoin() {
+  Task<void> bootstrap_or_rejoin() {
     std::vector<Address> const others = other_voters(record_.set);
     Bootstrap request{Phase::blank, record_.bootstrap_id};
     auto const replies =
@@ -108,18 +108,18 @@
       record_.phase = Phase::voting;
     } else if (voting > 0) {
       co_await rejoin(record_.set);
-    } else if (is_founder() && heard == others.size()) {
-      co_await found_with_all(others);
+    } else if (initiates_bootstrap() && heard == others.size()) {
+      co_await bootstrap_all(others);
     }
   }
 
   /// Assigns an identifier to an empty disk and records the set to be founded if this store is a founder.
-  Task<bool> initialize(VoterSet const founders) {
+  Task<bool> initialize(VoterSet const initial_voters) {
     std::uint64_t const id = env_.chance()() | 1;
     co_return co_await change([&](VoterRecord& r) {
       if (r.disk != 0) return false;
       r.disk = id;
-      if (find_entry(founders, own_address_) != nullptr) r.set = founders;
+      if (find_entry(initial_voters, own_address_) != nullptr) r.set = initial_voters;
       return true;
     });
   }
@@ -145,7 +145,7 @@
     std::size_t const enough = recovery_quorum_size(set);
     std::uint64_t const nonce = env_.chance()();
     VoterRecord next;
-    next.bootstrap_id = co_await agreed_founding(others, enough);
+    next.bootstrap_id = co_await agreed_bootstrap_id(others, enough);
     if (next.bootstrap_id == 0) co_return std::nullopt;
     std::optional<VoterSet> newer;
     for (Register const reg : stored_registers) {
@@ -205,7 +205,7 @@
       if (e.address != own_address_) out.push_back(e.address);
     return out;
   }
-  bool is_founder() const {
+  bool initiates_bootstrap() const {
     return record_.set.epoch == 0 && !record_.set.voters.empty() && record_.set.voters.front().address == own_address_;
   }
 
@@ -264,7 +264,7 @@
     co_return reply;
   }
 
-  Task<ReadRegisterReply> peek(ReadRegister request) {
+  Task<ReadRegisterReply> read_register(ReadRegister request) {
     ReadRegisterReply reply;
     if (!is_known_register(request.reg) || !may_vote(request.epoch, reply.newer)) co_return reply;
     RegisterSlot const& s = slot(request.reg);
@@ -275,7 +275,7 @@
     co_return reply;
   }
 
-  Task<ReadRevisionsReply> peek_revisions(ReadRevisions request) {
+  Task<ReadRevisionsReply> read_revisions(ReadRevisions request) {
     ReadRevisionsReply reply;
     if (!may_vote(request.epoch, reply.newer)) co_return reply;
     reply.voting = true;
@@ -338,8 +338,8 @@
     co_return reply;
   }
 
-  Task<BootstrapReply> found(Bootstrap request) {
-    if (request.want == Phase::prepared && record_.phase != Phase::voting && !is_founder() &&
+  Task<BootstrapReply> bootstrap(Bootstrap request) {
+    if (request.want == Phase::prepared && record_.phase != Phase::voting && !initiates_bootstrap() &&
         find_entry(record_.set, own_address_) != nullptr)
       co_await change([&](VoterRecord& r) {
         if (r.phase == Phase::voting || find_entry(r.set, own_address_) == nullptr) return false;
@@ -357,7 +357,7 @@
     co_return BootstrapReply{record_.phase, record_.bootstrap_id};
   }
 
-  Task<void> found_with_all(std::vector<Address> others) {
+  Task<void> bootstrap_all(std::vector<Address> others) {
     std::uint64_t const id = env_.chance()() | 1;
     bool const began = co_await change([&](VoterRecord& r) {
       r.phase = Phase::prepared;
@@ -381,7 +381,7 @@
   }
 
   /// The founding identifier that at least `enough` of these voters report; 0 if there is none.
-  Task<std::uint64_t> agreed_founding(std::vector<Address> const others, std::size_t const enough) {
+  Task<std::uint64_t> agreed_bootstrap_id(std::vector<Address> const others, std::size_t const enough) {
     auto const most_frequent = [](auto const& replies) {
       std::map<std::uint64_t, std::size_t> named;
       std::pair<std::uint64_t, std::size_t> most{0, 0};
--- a/source/coordination/membership.hpp
+++ b/source/coordination/membership.hpp
@@ -102,7 +102,8 @@
     }
     bool const heard = co_await discover_newest_set();
     if (!heard) {
-      if (acceptor_.phase() != Phase::voting && !acceptor_.set().voters.empty()) co_await acceptor_.found_or_rejoin();
+      if (acceptor_.phase() != Phase::voting && !acceptor_.set().voters.empty())
+        co_await acceptor_.bootstrap_or_rejoin();
       co_return;
     }
     VoterSet const newest = client_.set();
@@ -113,7 +114,7 @@
                (own_entry->disk != 0 && own_entry->disk == acceptor_.disk_id() && newest.epoch > 0)) {
       co_await change_.finish(newest);
     } else if (newest.epoch == 0 && acceptor_.set() == newest) {
-      co_await acceptor_.found_or_rejoin();
+      co_await acceptor_.bootstrap_or_rejoin();
     } else {
       std::optional<VoterSet> const newer = co_await acceptor_.rejoin(newest);
       if (newer) client_.adopt_if_newer(*newer);
--- a/source/coordination/register_client.hpp
+++ b/source/coordination/register_client.hpp
@@ -169,7 +169,7 @@
   Task<Result<RegisterValue>> read(Register const reg, RegisterValue const known, Instant const deadline) {
     bool const ready = co_await find_voters(0, deadline);
     if (ready) {
-      std::optional<RegisterValue> const agreed = co_await peek(reg, known, deadline);
+      std::optional<RegisterValue> const agreed = co_await read_agreed_value(reg, known, deadline);
       if (agreed) co_return *agreed;
     }
     co_return co_await change(reg, "", deadline, [](RegisterValue const& h) -> Result<RegisterValue> { return h; });
@@ -203,7 +203,7 @@
       bool const ready = co_await begin_attempt(attempt, deadline);
       if (!ready) continue;
       Instant const as_of = env_.now();
-      std::optional<RegisterValue> agreed = co_await peek(reg, known, deadline);
+      std::optional<RegisterValue> agreed = co_await read_agreed_value(reg, known, deadline);
       if (!agreed) continue;
       ConfirmedValue out;
       out.held = std::move(*agreed);
@@ -320,8 +320,9 @@
   // The value on which a majority agrees, or `known` if nothing newer can have been
   // chosen. A ballot of an older epoch doesn't count as agreement: the voters may have
   // copied it from fewer than a majority.
-  Task<std::optional<RegisterValue>> peek(Register const reg, RegisterValue const known, Instant const deadline) {
-    if (value_is_large(reg)) co_return co_await peek_and_fetch(reg, known, deadline);
+  Task<std::optional<RegisterValue>> read_agreed_value(Register const reg, RegisterValue const known,
+                                                       Instant const deadline) {
+    if (value_is_large(reg)) co_return co_await read_and_fetch(reg, known, deadline);
     std::uint64_t const epoch = set_.epoch;
     std::size_t const needed = quorum_size(set_);
     ReadRegister const query{reg, known.revision, epoch};
@@ -367,7 +368,7 @@
 
   // A voter that has accepted another ballot meanwhile may hold a value that is never
   // chosen, so only a value with the agreed ballot counts.
-  Task<std::optional<RegisterValue>> peek_and_fetch(Register const reg, RegisterValue const known,
+  Task<std::optional<RegisterValue>> read_and_fetch(Register const reg, RegisterValue const known,
                                                     Instant const deadline) {
     std::uint64_t const epoch = set_.epoch;
     std::optional<QuorumReading> const reading = co_await read_revision(reg, known.revision, deadline);
--- a/source/coordination/zone_feed.hpp
+++ b/source/coordination/zone_feed.hpp
@@ -99,7 +99,7 @@
     return reply;
   }
 
-  void beat(Heartbeat const& q) { last_heard_[q.id] = env_.now(); }
+  void on_heartbeat(Heartbeat const& q) { last_heard_[q.id] = env_.now(); }
 
   void suspect(Suspect const& q) {
     auto const it = view_.members.find(q.id);
