--- a/source/coordination/zone_feed.hpp
+++ b/source/coordination/zone_feed.hpp
@@ -146,7 +146,7 @@
     if (it->second == entry) return;
     Change change;
     change.entry_delta = make_entry_delta(it->second, entry);
-    if (!change.entry_delta) change.zone = entry;
+    if (!change.entry_delta) change.zone_entry = entry;
     bool const loads_only = change.entry_delta && changes_loads_only(*change.entry_delta);
     publish(std::move(change), loads_only ? Urgency::with_next_pulse : Urgency::at_once);
   }
--- a/source/coordination/zone_follower.hpp
+++ b/source/coordination/zone_follower.hpp
@@ -441,7 +441,7 @@
     Follow const request{};
     Result<FollowReply> const r = co_await ask(env_, from, request, env_.now() + 400ms);
     if (!r || !r->known || !r->snapshot || has_view_) co_return;
-    for (ZoneEntry const& c : r->snapshot->cells)
+    for (ZoneEntry const& c : r->snapshot->zones)
       if (c.zone != settings_.zone) view_.zones[c.zone] = c;
     has_view_ = true;
     view_changed();
