--- a/source/programs/proxy.hpp
+++ b/source/programs/proxy.hpp
@@ -60,9 +60,10 @@
     }
     if (path == "/live") return json_reply(200, {{"live", true}});
     if (path == "/ready")
-      return json_reply(
-          ready() ? 200 : 503,
-          {{"ready", ready()}, {"fresh", node_.has_confirmed_values}, {"viewed", node_.has_view}, {"leaving", node_.leaving}});
+      return json_reply(ready() ? 200 : 503, {{"ready", ready()},
+                                              {"fresh", node_.has_confirmed_values},
+                                              {"viewed", node_.has_view},
+                                              {"leaving", node_.leaving}});
     if (path == "/state") return json_reply(200, state());
     if (path == "/mishaps") return json_reply(200, node_.mishaps.json());
     return json_reply(404, {{"error", "no such resource"}, {"path", path}});
