--- a/tests/coordination/maintenance_keeper_test.cpp
+++ b/tests/coordination/maintenance_keeper_test.cpp
@@ -11,10 +11,10 @@
 namespace {
 
 struct KeeperTrial {
-  using Keeper = MaintenanceKeeper<SimProcess, RegisterStandIn>;
+  using Keeper = MaintenanceKeeper<SimProcess, FakeRegisterClient>;
   struct Registry {
     std::shared_ptr<SimProcess> process;
-    std::shared_ptr<RegisterStandIn> store;
+    std::shared_ptr<FakeRegisterClient> store;
     std::shared_ptr<Keeper> keeper;
     bool acting = false;
   };
@@ -34,7 +34,7 @@
     r.process = std::make_shared<SimProcess>(sim, net, name, name + ":1", 1);
     r.process->clock_offset = std::chrono::seconds(sim.chance() % 100);
     processes.push_back(r.process);
-    r.store = std::make_shared<RegisterStandIn>(*r.process, shared);
+    r.store = std::make_shared<FakeRegisterClient>(*r.process, shared);
     r.keeper = std::make_shared<Keeper>(*r.process, *r.store, [&r] { return r.acting; });
     r.keeper->known = [this] { return shared.held; };
     kept.push_back(r.store);
@@ -69,7 +69,7 @@
 
   Sim sim;
   SimNet net;
-  OneRegister shared;
+  SharedRegister shared;
   std::vector<std::shared_ptr<SimProcess>> processes;
   std::vector<std::shared_ptr<void>> kept;
   std::vector<Registry> registries;
--- a/tests/coordination/register_client_test.cpp
+++ b/tests/coordination/register_client_test.cpp
@@ -83,7 +83,7 @@
     next.bytes = "kept";
     return next;
   }
-  Task<void> write_kept() {
+  Task<void> write_once() {
     written = co_await coordinators[0]->change(Register::routing, "r", clients[0]->now() + 3s, &kept);
   }
   Task<void> read_once() {
@@ -91,21 +91,21 @@
     seen = co_await coordinators[1]->read(Register::routing, none, clients[1]->now() + 3s);
   }
 
-  void trouble() {
+  void inject_fault() {
     std::size_t const i = sim.chance() % 4;
-    Duration const a_while = std::chrono::milliseconds(100 + sim.chance() % 1500);
+    Duration const duration = std::chrono::milliseconds(100 + sim.chance() % 1500);
     switch (sim.chance() % 5) {
       case 0:
       case 1:
-        if (down) break;
-        down = true;
+        if (voter_down) break;
+        voter_down = true;
         net.at[voters[i]]->kill();
         if (sim.chance() % 2 == 0) disks[i].durable = VoterRecord{};
-        sim.after(a_while, [this, i] { start(i); });
-        sim.after(a_while + 3s, [this] { down = false; });
+        sim.after(duration, [this, i] { start(i); });
+        sim.after(duration + 3s, [this] { voter_down = false; });
         break;
       case 2:
-        disks[i].stalled_until = sim.now + a_while;
+        disks[i].stalled_until = sim.now + duration;
         break;
       case 3: {
         std::string const m = sim.chance() % 2 ? "core-" + std::to_string(i) : "client-" + std::to_string(i % 3);
@@ -113,13 +113,13 @@
           if (sim.chance() % 2) sim.cut(m, other);
           if (sim.chance() % 2) sim.cut(other, m);
         }
-        sim.after(a_while, [this] { sim.heal(); });
+        sim.after(duration, [this] { sim.heal(); });
         break;
       }
       default:
         break;
     }
-    if (!over) sim.after(std::chrono::milliseconds(200 + sim.chance() % 800), [this] { trouble(); });
+    if (!over) sim.after(std::chrono::milliseconds(200 + sim.chance() % 800), [this] { inject_fault(); });
   }
 
   Sim sim;
@@ -134,7 +134,7 @@
   Result<RegisterValue> written = make_error("", "", ""), seen = make_error("", "", "");
   std::string last;
   std::uint64_t runs = 0, made = 0;
-  bool over = false, down = false;
+  bool over = false, voter_down = false;
 };
 
 TEST(RegisterClient, agrees_with_a_plain_list_of_changes_whatever_fails) {
@@ -143,7 +143,7 @@
     RegisterTrial t(seed);
     t.sim.run_until(t.sim.now + 3s);
     for (std::size_t c = 0; c < 3; ++c) spawn(*t.clients[c], t.keep_changing(c));
-    t.sim.after(500ms, [&] { t.trouble(); });
+    t.sim.after(500ms, [&] { t.inject_fault(); });
     t.sim.run_until(t.sim.now + 20s);
     t.over = true;
     t.sim.heal();
@@ -174,7 +174,7 @@
     };
     t.sim.run_until(t.sim.now + 3s);
     t.net.at[t.voters[3]]->kill();
-    spawn(*t.clients[0], t.write_kept());
+    spawn(*t.clients[0], t.write_once());
     t.sim.run_until(t.sim.now + 4s);
     ASSERT_TRUE(t.written) << t.written.error().reason;
     lose(2);
--- a/tests/coordination/register_stand_in.hpp
+++ b/tests/coordination/register_stand_in.hpp
@@ -6,15 +6,15 @@
 namespace banktide {
 
 /** The register as a registry's client sees it: one value, changed at a distance. */
-struct OneRegister {
+struct SharedRegister {
   RegisterValue held;
   bool reachable = true;
   std::size_t writings = 0;
 };
 
-class RegisterStandIn {
+class FakeRegisterClient {
  public:
-  RegisterStandIn(SimProcess& process, OneRegister& shared) : process_(process), shared_(shared) {}
+  FakeRegisterClient(SimProcess& process, SharedRegister& shared) : process_(process), shared_(shared) {}
   template <class Step>
   Task<Result<RegisterValue>> change(Register, std::string, Instant, Step step) {
     co_await sleep_for(process_, std::chrono::milliseconds(1 + process_.chance()() % 30));
@@ -28,7 +28,7 @@
 
  private:
   SimProcess& process_;
-  OneRegister& shared_;
+  SharedRegister& shared_;
 };
 
 }  // namespace banktide
--- a/tests/coordination/store_trial.hpp
+++ b/tests/coordination/store_trial.hpp
@@ -78,7 +78,7 @@
   }
 
   /// What each running store knows of the set, for the message of a check that failed.
-  std::string described() {
+  std::string describe() {
     std::string out;
     for (std::size_t i = 0; i < addresses.size(); ++i) {
       if (!net.at.contains(addresses[i]) || !net.at[addresses[i]]->alive) continue;
--- a/tests/coordination/voter_replacement_test.cpp
+++ b/tests/coordination/voter_replacement_test.cpp
@@ -5,79 +5,80 @@
 namespace banktide {
 namespace {
 
-struct CoreOrder {
+struct SequenceParameters {
   std::size_t voters;
   std::uint32_t losses;
-  Trouble first;
+  Fault first;
 };
 
-std::string name_of_order(testing::TestParamInfo<CoreOrder> const& info) {
-  CoreOrder const& p = info.param;
+std::string name_of_sequence(testing::TestParamInfo<SequenceParameters> const& info) {
+  SequenceParameters const& p = info.param;
   return std::to_string(p.voters) + "_voters_" + std::to_string(p.losses) + "_losses_first_" + name_of(p.first);
 }
 
-std::string described(std::vector<Step> const& steps) {
+std::string describe(std::vector<FaultStep> const& steps) {
   std::ostringstream out;
-  for (Step const& s : steps) out << s << " ";
+  for (FaultStep const& s : steps) out << s << " ";
   return out.str();
 }
 
-constexpr std::array all_troubles{Trouble::replace,   Trouble::replace_planned, Trouble::lose_disk, Trouble::lose_power,
-                                  Trouble::stay_away, Trouble::interrupted,     Trouble::closing};
-void expect_order_is_borne(CoreOrder const& core, std::vector<Step> const& steps) {
-  SCOPED_TRACE(described(steps));
+constexpr std::array all_faults{Fault::replace,   Fault::replace_planned, Fault::lose_disk, Fault::lose_power,
+                                Fault::stay_away, Fault::interrupted,     Fault::closing};
+void expect_sequence_is_tolerated(SequenceParameters const& core, std::vector<FaultStep> const& steps) {
+  SCOPED_TRACE(describe(steps));
   ReplacementTrial trial(11, core.voters, core.losses, steps.size());
   ASSERT_TRUE(trial.formed());
-  EXPECT_TRUE(trial.play(steps));
+  EXPECT_TRUE(trial.run_steps(steps));
 }
 
-class VoterReplacement : public testing::TestWithParam<CoreOrder> {};
+class VoterReplacement : public testing::TestWithParam<SequenceParameters> {};
 
 TEST_P(VoterReplacement, every_pair_of_troubles_is_borne) {
-  for (Trouble const second : all_troubles)
+  for (Fault const second : all_faults)
     for (bool const first_oldest : {true, false})
       for (bool const second_oldest : {true, false})
-        expect_order_is_borne(GetParam(), {Step{GetParam().first, first_oldest}, Step{second, second_oldest}});
+        expect_sequence_is_tolerated(GetParam(),
+                                     {FaultStep{GetParam().first, first_oldest}, FaultStep{second, second_oldest}});
 }
 
-std::vector<CoreOrder> cores_and_first_troubles() {
-  std::vector<CoreOrder> all;
-  for (CoreOrder const core :
-       {CoreOrder{3, 1, {}}, CoreOrder{4, 1, {}}, CoreOrder{5, 2, {}}, CoreOrder{6, 2, {}}, CoreOrder{7, 3, {}}})
-    for (Trouble const first : all_troubles) all.push_back(CoreOrder{core.voters, core.losses, first});
+std::vector<SequenceParameters> sets_and_first_faults() {
+  std::vector<SequenceParameters> all;
+  for (SequenceParameters const core :
+       {SequenceParameters{3, 1, {}}, SequenceParameters{4, 1, {}}, SequenceParameters{5, 2, {}},
+        SequenceParameters{6, 2, {}}, SequenceParameters{7, 3, {}}})
+    for (Fault const first : all_faults) all.push_back(SequenceParameters{core.voters, core.losses, first});
   return all;
 }
-INSTANTIATE_TEST_SUITE_P(Pairs, VoterReplacement, testing::ValuesIn(cores_and_first_troubles()), name_of_order);
+INSTANTIATE_TEST_SUITE_P(Pairs, VoterReplacement, testing::ValuesIn(sets_and_first_faults()), name_of_sequence);
 
-class VoterReplacementInThrees : public testing::TestWithParam<CoreOrder> {};
+class VoterReplacementTriples : public testing::TestWithParam<SequenceParameters> {};
 
-TEST_P(VoterReplacementInThrees, every_order_is_borne) {
-  for (Trouble const second : all_troubles)
-    for (Trouble const third : all_troubles)
+TEST_P(VoterReplacementTriples, every_order_is_borne) {
+  for (Fault const second : all_faults)
+    for (Fault const third : all_faults)
       for (bool const second_oldest : {true, false})
         for (bool const third_oldest : {true, false})
-          expect_order_is_borne(GetParam(),
-                                {Step{GetParam().first, true}, Step{second, second_oldest}, Step{third, third_oldest}});
+          expect_sequence_is_tolerated(GetParam(), {FaultStep{GetParam().first, true}, FaultStep{second, second_oldest},
+                                                    FaultStep{third, third_oldest}});
 }
-INSTANTIATE_TEST_SUITE_P(Threes, VoterReplacementInThrees, testing::ValuesIn(cores_and_first_troubles()),
-                         name_of_order);
+INSTANTIATE_TEST_SUITE_P(Threes, VoterReplacementTriples, testing::ValuesIn(sets_and_first_faults()), name_of_sequence);
 
 // Two machines go for good in one moment, as often as the set is to bear it.
-TEST(VoterReplacementTwice, two_voters_that_are_gone_at_once_are_both_replaced_in_time) {
+TEST(VoterReplacementCases, two_voters_that_are_gone_at_once_are_both_replaced_in_time) {
   for (std::size_t const voters : {5u, 6u, 7u}) {
     StoreTrial t(3, voters + 4, 2);
     for (std::size_t i = 0; i < voters; ++i) t.start(i, true);
     ASSERT_TRUE(t.run_until([&] { return t.all_vote(voters); }, 30s));
     for (std::size_t round = 0; round < 2; ++round) {
-      for (std::size_t const gone : {2 * round, 2 * round + 1}) {
-        t.power_off(gone);
-        t.net.dark.insert("core-" + std::to_string(gone));
+      for (std::size_t const failed : {2 * round, 2 * round + 1}) {
+        t.power_off(failed);
+        t.net.dark.insert("core-" + std::to_string(failed));
       }
       t.run_for(1s);
       t.seeds = {t.addresses[4], t.addresses[voters], t.addresses[voters + 1]};
       for (std::size_t k = 0; k < 2; ++k) t.start(voters + 2 * round + k, false);
       t.run_for(ReplacementTrial::catch_up);
-      EXPECT_TRUE(t.all_vote(voters)) << voters << " voters, round " << round << "\n" << t.described();
+      EXPECT_TRUE(t.all_vote(voters)) << voters << " voters, round " << round << "\n" << t.describe();
       EXPECT_TRUE(t.put(0, Register::routing, 1 + round, "value", 2s));
     }
   }
@@ -85,7 +86,7 @@
 
 // The disk's age decides nothing: what was acknowledged a moment ago outlives a loss
 // of the voters that have been there longest, just after others were replaced.
-TEST(VoterReplacementTwice, a_voter_that_was_replaced_while_dark_comes_back_as_a_newcomer) {
+TEST(VoterReplacementCases, a_voter_that_was_replaced_while_dark_comes_back_as_a_newcomer) {
   StoreTrial t(4, 5, 1);
   for (std::size_t i = 0; i < 4; ++i) t.start(i, true);
   ASSERT_TRUE(t.run_until([&] { return t.all_vote(4); }, 20s));
@@ -107,41 +108,41 @@
 
 // Voters that slept through a replacement can't form a quorum of the set before it
 // with a voter that lost its disk.
-TEST(VoterReplacementTwice, sleepers_and_an_empty_disk_make_no_quorum_of_a_set_that_was_replaced) {
+TEST(VoterReplacementCases, sleepers_and_an_empty_disk_make_no_quorum_of_a_set_that_was_replaced) {
   StoreTrial t(5, 5, 1);
   for (std::size_t i = 0; i < 4; ++i) t.start(i, true);
   ASSERT_TRUE(t.run_until([&] { return t.all_vote(4); }, 20s));
   ASSERT_TRUE(t.put(0, Register::routing, 1, "old"));
-  auto const darken = [&t](std::size_t const i) {
+  auto const cut_power = [&t](std::size_t const i) {
     t.power_off(i);
     t.net.dark.insert("core-" + std::to_string(i));
   };
-  auto const come_back = [&t](std::size_t const i) {
+  auto const restore_power = [&t](std::size_t const i) {
     t.net.dark.erase("core-" + std::to_string(i));
     t.start(i, false);
   };
-  darken(0);
+  cut_power(0);
   t.run_for(1s);
   t.start(4, false);
   ASSERT_TRUE(t.run_until([&] { return t.acceptors[4]->voting(); }, 4s));
   // store-3 misses the newest value; store-1 loses its disk; the other two go dark.
-  darken(3);
+  cut_power(3);
   ASSERT_TRUE(t.put(0, Register::routing, 2, "new"));
-  for (std::size_t const i : {1u, 2u, 4u}) darken(i);
+  for (std::size_t const i : {1u, 2u, 4u}) cut_power(i);
   t.wipe(1);
-  for (std::size_t const i : {0u, 1u, 3u}) come_back(i);
+  for (std::size_t const i : {0u, 1u, 3u}) restore_power(i);
   for (std::size_t look = 0; look < 10; ++look) {
     t.run_for(1s);
     Result<RegisterValue> const seen = t.get(1, Register::routing, 500ms);
     EXPECT_FALSE(seen && seen->bytes == "old");
   }
-  for (std::size_t const i : {2u, 4u}) come_back(i);
+  for (std::size_t const i : {2u, 4u}) restore_power(i);
   Result<RegisterValue> const seen = t.get(1, Register::routing, 15s);
   ASSERT_TRUE(seen);
   EXPECT_EQ(seen->bytes, "new");
 }
 
-TEST(VoterReplacementTwice, a_voter_that_lost_its_disk_votes_again_within_two_seconds_though_another_is_dark) {
+TEST(VoterReplacementCases, a_voter_that_lost_its_disk_votes_again_within_two_seconds_though_another_is_dark) {
   StoreTrial t(6, 5, 2);
   t.start_all(true);
   ASSERT_TRUE(t.run_until([&] { return t.all_vote(5); }, 20s));
--- a/tests/coordination/voter_replacement_trial.hpp
+++ b/tests/coordination/voter_replacement_trial.hpp
@@ -10,7 +10,7 @@
 
 namespace banktide {
 
-enum class Trouble {
+enum class Fault {
   replace,          // gone for good, an empty machine comes a second later at another address
   replace_planned,  // the new machine first, then the old one leaves
   lose_disk,        // back at once with an empty disk
@@ -20,32 +20,32 @@
   closing,          // as many disks as may be lost, and the power of all others, at one moment
 };
 
-inline char const* name_of(Trouble const t) {
+inline char const* name_of(Fault const t) {
   switch (t) {
-    case Trouble::replace:
+    case Fault::replace:
       return "replace";
-    case Trouble::replace_planned:
+    case Fault::replace_planned:
       return "replace_planned";
-    case Trouble::lose_disk:
+    case Fault::lose_disk:
       return "lose_disk";
-    case Trouble::lose_power:
+    case Fault::lose_power:
       return "lose_power";
-    case Trouble::stay_away:
+    case Fault::stay_away:
       return "stay_away";
-    case Trouble::interrupted:
+    case Fault::interrupted:
       return "interrupted";
-    case Trouble::closing:
+    case Fault::closing:
       return "closing";
   }
   return "";
 }
 
 /// Strikes the member that has been there longest, or the one that came last.
-struct Step {
-  Trouble trouble{};
+struct FaultStep {
+  Fault fault{};
   bool oldest = true;
-  friend std::ostream& operator<<(std::ostream& out, Step const& s) {
-    return out << name_of(s.trouble) << (s.oldest ? "(oldest)" : "(newest)");
+  friend std::ostream& operator<<(std::ostream& out, FaultStep const& s) {
+    return out << name_of(s.fault) << (s.oldest ? "(oldest)" : "(newest)");
   }
 };
 
@@ -56,154 +56,154 @@
 
   ReplacementTrial(std::uint64_t const seed, std::size_t const voters, std::uint32_t const losses,
                    std::size_t const spares)
-      : t_(seed, voters + spares, losses), losses_(losses), next_spare_(voters) {
+      : stores_(seed, voters + spares, losses), losses_(losses), next_spare_(voters) {
     for (std::size_t i = 0; i < voters; ++i) {
       members_.push_back(i);
-      t_.start(i, true);
+      stores_.start(i, true);
     }
   }
 
   bool formed() {
     std::size_t const voters = members_.size();
-    return t_.run_until([&] { return t_.all_vote(voters); }, 30s) && acknowledge("formed");
+    return stores_.run_until([&] { return stores_.all_vote(voters); }, 30s) && acknowledge("formed");
   }
 
   /// Plays the steps; true if the register was available and right after each.
-  bool play(std::vector<Step> const& steps) {
-    return std::all_of(steps.begin(), steps.end(), [this](Step const& s) { return play_one(s); });
+  bool run_steps(std::vector<FaultStep> const& steps) {
+    return std::all_of(steps.begin(), steps.end(), [this](FaultStep const& s) { return run_step(s); });
   }
 
-  StoreTrial& stores() { return t_; }
+  StoreTrial& stores() { return stores_; }
 
  private:
   static constexpr Duration patience = 3s;
 
-  bool play_one(Step const& s) {
-    std::size_t const struck = s.oldest ? members_.front() : members_.back();
-    switch (s.trouble) {
-      case Trouble::replace:
-        return replace(struck) && settle();
-      case Trouble::replace_planned:
-        return replace_planned(struck) && settle();
-      case Trouble::lose_disk:
-        darken(struck);
-        t_.wipe(struck);
-        t_.run_for(500ms);
-        come_back(struck);
+  bool run_step(FaultStep const& s) {
+    std::size_t const target = s.oldest ? members_.front() : members_.back();
+    switch (s.fault) {
+      case Fault::replace:
+        return replace(target) && settle();
+      case Fault::replace_planned:
+        return replace_planned(target) && settle();
+      case Fault::lose_disk:
+        cut_power(target);
+        stores_.wipe(target);
+        stores_.run_for(500ms);
+        restore_power(target);
         return settle();
-      case Trouble::lose_power:
-        darken(struck);
-        t_.run_for(3s);
+      case Fault::lose_power:
+        cut_power(target);
+        stores_.run_for(3s);
         if (!acknowledge("without power")) return false;
-        come_back(struck);
+        restore_power(target);
         return settle();
-      case Trouble::stay_away:
-        darken(struck);
-        t_.run_for(15s);
+      case Fault::stay_away:
+        cut_power(target);
+        stores_.run_for(15s);
         if (!acknowledge("one away for long")) return false;
-        come_back(struck);
+        restore_power(target);
         return settle();
-      case Trouble::interrupted:
-        return interrupt(struck) && settle();
-      case Trouble::closing:
-        return close(s.oldest) && settle();
+      case Fault::interrupted:
+        return interrupt_replacement(target) && settle();
+      case Fault::closing:
+        return lose_disks_and_power(s.oldest) && settle();
     }
     return false;
   }
 
-  bool replace(std::size_t const gone) {
-    darken(gone);
-    std::erase(members_, gone);
-    t_.run_for(1s);
+  bool replace(std::size_t const failed) {
+    cut_power(failed);
+    std::erase(members_, failed);
+    stores_.run_for(1s);
     add_spare();
     return acknowledge("just replaced");
   }
 
-  bool replace_planned(std::size_t const gone) {
+  bool replace_planned(std::size_t const failed) {
     add_spare();
-    t_.run_for(1s);
-    spawn(*t_.net.at[t_.addresses[gone]], t_.memberships[gone]->leave(2s));
-    t_.run_for(2s);
-    darken(gone);
-    std::erase(members_, gone);
+    stores_.run_for(1s);
+    spawn(*stores_.net.at[stores_.addresses[failed]], stores_.memberships[failed]->leave(2s));
+    stores_.run_for(2s);
+    cut_power(failed);
+    std::erase(members_, failed);
     return acknowledge("just left");
   }
 
   // Power goes at another moment of the change in each place of an order.
-  bool interrupt(std::size_t const gone) {
-    darken(gone);
-    std::erase(members_, gone);
-    t_.run_for(1s);
+  bool interrupt_replacement(std::size_t const failed) {
+    cut_power(failed);
+    std::erase(members_, failed);
+    stores_.run_for(1s);
     add_spare();
-    t_.run_for(100ms + 137ms * static_cast<int>(++interruptions_ * 5 % 13));
-    for (std::size_t const m : members_) t_.power_off(m);
-    t_.run_for(200ms);
-    for (std::size_t const m : members_) t_.start(m, false);
+    stores_.run_for(100ms + 137ms * static_cast<int>(++interruptions_ * 5 % 13));
+    for (std::size_t const m : members_) stores_.power_off(m);
+    stores_.run_for(200ms);
+    for (std::size_t const m : members_) stores_.start(m, false);
     return true;
   }
 
-  bool close(bool const oldest) {
+  bool lose_disks_and_power(bool const oldest) {
     std::vector<std::size_t> wiped = members_;
     if (!oldest) std::reverse(wiped.begin(), wiped.end());
     wiped.resize(losses_);
     if (!acknowledge("before the closing loss")) return false;
-    for (std::size_t const m : members_) t_.power_off(m);
-    for (std::size_t const m : wiped) t_.wipe(m);
-    t_.run_for(500ms);
-    for (std::size_t const m : members_) t_.start(m, false);
+    for (std::size_t const m : members_) stores_.power_off(m);
+    for (std::size_t const m : wiped) stores_.wipe(m);
+    stores_.run_for(500ms);
+    for (std::size_t const m : members_) stores_.start(m, false);
     return true;
   }
 
-  void darken(std::size_t const i) {
-    t_.power_off(i);
-    t_.net.dark.insert("core-" + std::to_string(i));
+  void cut_power(std::size_t const i) {
+    stores_.power_off(i);
+    stores_.net.dark.insert("core-" + std::to_string(i));
   }
-  void come_back(std::size_t const i) {
-    t_.net.dark.erase("core-" + std::to_string(i));
-    t_.start(i, false);
+  void restore_power(std::size_t const i) {
+    stores_.net.dark.erase("core-" + std::to_string(i));
+    stores_.start(i, false);
   }
   // The operators' list of machines follows the replacements, and lags by one.
   void add_spare() {
-    t_.seeds.clear();
-    for (std::size_t k = 0; k < 3 && k < members_.size(); ++k) t_.seeds.push_back(t_.addresses[members_[k]]);
+    stores_.seeds.clear();
+    for (std::size_t k = 0; k < 3 && k < members_.size(); ++k) stores_.seeds.push_back(stores_.addresses[members_[k]]);
     members_.push_back(next_spare_);
-    t_.start(next_spare_, false);
+    stores_.start(next_spare_, false);
     ++next_spare_;
   }
 
   // From now on all count as there: the next trouble may come.
   bool settle() {
-    t_.run_for(catch_up);
-    return bears_losses_again() && read_back() && acknowledge("settled");
+    stores_.run_for(catch_up);
+    return tolerates_losses_again() && read_back() && acknowledge("settled");
   }
 
   // All members vote in one set, and as many may be lost as ever.
-  bool bears_losses_again() {
-    VoterSet const& set = t_.acceptors[members_.front()]->set();
+  bool tolerates_losses_again() {
+    VoterSet const& set = stores_.acceptors[members_.front()]->set();
     bool const all_vote = std::all_of(members_.begin(), members_.end(), [&](std::size_t const m) {
-      return t_.acceptors[m]->voting() && t_.acceptors[m]->set() == set;
+      return stores_.acceptors[m]->voting() && stores_.acceptors[m]->set() == set;
     });
     bool const borne = members_.size() >= quorum_size(set) + losses_;
-    EXPECT_TRUE(all_vote && borne) << t_.described();
+    EXPECT_TRUE(all_vote && borne) << stores_.describe();
     return all_vote && borne;
   }
 
   bool acknowledge(char const* const when) {
     ++last_;
-    Result<RegisterValue> const done = t_.put(0, Register::routing, last_, std::to_string(last_), patience);
+    Result<RegisterValue> const done = stores_.put(0, Register::routing, last_, std::to_string(last_), patience);
     EXPECT_TRUE(done) << when << ": " << done.error().reason;
     return done.has_value();
   }
 
   bool read_back() {
-    Result<RegisterValue> const seen = t_.get(1, Register::routing, patience);
+    Result<RegisterValue> const seen = stores_.get(1, Register::routing, patience);
     EXPECT_TRUE(seen) << "read back: " << seen.error().reason;
     if (!seen) return false;
     EXPECT_EQ(seen->bytes, std::to_string(last_));
     return seen->bytes == std::to_string(last_);
   }
 
-  StoreTrial t_;
+  StoreTrial stores_;
   std::size_t const losses_;
   std::vector<std::size_t> members_;  // in the order in which they came
   std::size_t next_spare_;
--- a/tests/coordination/voter_set_test.cpp
+++ b/tests/coordination/voter_set_test.cpp
@@ -8,10 +8,11 @@
 // A plain model: every quorum, every set of lost disks, every group that a
 // voter without a disk may hear.
 TEST(VoterSet, whoever_recovers_hears_one_that_holds_what_any_quorum_holds_and_never_needs_more_than_are_left) {
-  struct Core {
+  struct SetSize {
     std::size_t voters, losses;
   };
-  for (Core const core : {Core{3, 1}, Core{4, 1}, Core{5, 2}, Core{6, 2}, Core{7, 3}, Core{3, 2}}) {
+  for (SetSize const core :
+       {SetSize{3, 1}, SetSize{4, 1}, SetSize{5, 2}, SetSize{6, 2}, SetSize{7, 3}, SetSize{3, 2}}) {
     std::size_t const quorum = quorum_size(core.voters, core.losses);
     std::size_t const enough = recovery_quorum_size(core.voters, core.losses);
     EXPECT_LE(enough, core.voters - core.losses);
@@ -37,8 +38,8 @@
 }
 
 // One voter by itself, asked directly.
-struct LoneVoter {
-  LoneVoter() : trial(1, 3, 1), asker(*trial.clients[0]) {
+struct SingleVoters {
+  SingleVoters() : trial(1, 3, 1), asker(*trial.clients[0]) {
     before = initial_set({"store-0:1", "a:1", "b:1"}, 1);
     after = with_voter_added(before, VoterEntry{"store-1:1", 77});
     trial.disks[0].durable.phase = Phase::voting;
@@ -67,7 +68,7 @@
     if (r) out = *r;
   }
   template <class Q>
-  typename Q::Reply said(std::size_t const store, Q const q) {
+  typename Q::Reply reply_to(std::size_t const store, Q const q) {
     std::optional<typename Q::Reply> out;
     spawn(asker, ask_one<Q>(asker, trial.addresses[store], q, out));
     trial.run_for(2s);
@@ -103,36 +104,36 @@
 };
 
 TEST(VoterSet, a_sealed_voter_says_what_it_holds_and_votes_in_neither_set_until_it_is_activated) {
-  LoneVoter v;
-  EXPECT_TRUE(v.said(0, LoneVoter::value(0, 4, "own")).accepted);
-  SealReply const sealed = v.said(0, v.seal());
+  SingleVoters v;
+  EXPECT_TRUE(v.reply_to(0, SingleVoters::value(0, 4, "own")).accepted);
+  SealReply const sealed = v.reply_to(0, v.seal());
   EXPECT_TRUE(sealed.sealed);
   EXPECT_EQ(sealed.slots[2].held.bytes, "own");
-  AcceptReply const old = v.said(0, LoneVoter::value(0, 5, "late"));
+  AcceptReply const old = v.reply_to(0, SingleVoters::value(0, 5, "late"));
   EXPECT_FALSE(old.voting);
   ASSERT_TRUE(old.newer);
   EXPECT_EQ(*old.newer, v.after);
   ReadRegister look;
   look.reg = Register::keys;
-  EXPECT_FALSE(v.said(0, look).voting);
-  EXPECT_FALSE(v.said(0, LoneVoter::value(1, 5, "early")).voting);
+  EXPECT_FALSE(v.reply_to(0, look).voting);
+  EXPECT_FALSE(v.reply_to(0, SingleVoters::value(1, 5, "early")).voting);
   EXPECT_EQ(v.trial.disks[0].durable.set, v.after);  // kept, for a restart
-  EXPECT_TRUE(v.said(0, v.activate()).active);
+  EXPECT_TRUE(v.reply_to(0, v.activate()).active);
   look.epoch = 1;
-  ReadRegisterReply const now = v.said(0, look);
+  ReadRegisterReply const now = v.reply_to(0, look);
   EXPECT_TRUE(now.voting);
   EXPECT_EQ(now.revision, 4u);  // its own was newer than what it was told
-  EXPECT_TRUE(v.said(0, LoneVoter::value(1, 5, "next")).accepted);
+  EXPECT_TRUE(v.reply_to(0, SingleVoters::value(1, 5, "next")).accepted);
 }
 
 TEST(VoterSet, only_the_empty_disk_that_was_added_is_activated_and_it_takes_up_what_it_is_told) {
-  LoneVoter v;
-  EXPECT_FALSE(v.said(1, v.activate()).active);
-  EXPECT_FALSE(v.said(1, v.seal()).sealed);
+  SingleVoters v;
+  EXPECT_FALSE(v.reply_to(1, v.activate()).active);
+  EXPECT_FALSE(v.reply_to(1, v.seal()).sealed);
   v.trial.disks[1].durable.disk = 77;
   v.trial.power_off(1);
   v.serve(1);
-  EXPECT_TRUE(v.said(1, v.activate()).active);
+  EXPECT_TRUE(v.reply_to(1, v.activate()).active);
   EXPECT_EQ(v.trial.disks[1].durable.slots[2].held.bytes, "copied");
 }
 
@@ -216,13 +217,13 @@
 
 // Values are put all the while by a client, stores join, and machines lose
 // power or, one at a time, their disk, at any moment of a change.
-struct Storm {
-  explicit Storm(std::uint64_t const seed, std::size_t const stores) : t(seed, stores, 1) {
+struct FaultRun {
+  explicit FaultRun(std::uint64_t const seed, std::size_t const stores) : t(seed, stores, 1) {
     for (std::size_t i = 0; i < 3; ++i) t.start(i, true);
   }
-  Task<void> keep_putting(std::size_t const c) {
+  Task<void> write_continuously(std::size_t const c) {
     while (!over) {
-      Revision const mine = ++made * 3 + c;
+      Revision const mine = ++last_write * 3 + c;
       auto const newer = [mine](RegisterValue const& now) -> Result<RegisterValue> {
         RegisterValue next = now;
         if (mine <= now.revision) return next;
@@ -248,10 +249,10 @@
       co_await sleep_for(*t.clients[c], std::chrono::milliseconds(t.sim.chance() % 40));
     }
   }
-  void trouble() {
+  void inject_fault() {
     if (over) return;
     std::size_t const i = t.sim.chance() % t.addresses.size();
-    Duration const a_while = std::chrono::milliseconds(50 + t.sim.chance() % 900);
+    Duration const duration = std::chrono::milliseconds(50 + t.sim.chance() % 900);
     bool const up = t.net.at.contains(t.addresses[i]) && t.net.at[t.addresses[i]]->alive;
     std::uint64_t const kind = t.sim.chance() % 4;
     if (up && kind <= 1 && !lost) {
@@ -259,26 +260,26 @@
       if (kind == 0 && t.all_vote_or_down()) {
         lost = true;
         t.wipe(i);
-        watch(i);
+        watch_recovery(i);
       }
-      t.sim.after(a_while, [this, i] { t.start(i, false); });
+      t.sim.after(duration, [this, i] { t.start(i, false); });
     } else if (kind == 2) {
       for (std::size_t k = 0; k < t.addresses.size(); ++k)
         if (t.sim.chance() % 2) t.sim.cut("core-" + std::to_string(i), "core-" + std::to_string(k));
       t.sim.cut("core-" + std::to_string(i), "client-" + std::to_string(t.sim.chance() % 3));
-      t.sim.after(a_while, [this] { t.sim.heal(); });
+      t.sim.after(duration, [this] { t.sim.heal(); });
     } else {
-      t.disks[i].stalled_until = t.sim.now + a_while;
+      t.disks[i].stalled_until = t.sim.now + duration;
     }
-    t.sim.after(std::chrono::milliseconds(200 + t.sim.chance() % 900), [this] { trouble(); });
+    t.sim.after(std::chrono::milliseconds(200 + t.sim.chance() % 900), [this] { inject_fault(); });
   }
   // The next disk may be lost once the last has been made good.
-  void watch(std::size_t const i) {
+  void watch_recovery(std::size_t const i) {
     t.sim.after(200ms, [this, i] {
       if (t.net.at[t.addresses[i]]->alive && t.acceptors[i]->voting())
         lost = false;
       else
-        watch(i);
+        watch_recovery(i);
     });
   }
 
@@ -292,17 +293,17 @@
   };
   Trial t;
   Revision acknowledged = 0;
-  std::uint64_t made = 0, puts = 0, confirmed = 0;
+  std::uint64_t last_write = 0, puts = 0, confirmed = 0;
   bool over = false, lost = false;
 };
 
 TEST(VoterSet, no_acknowledged_value_is_lost_and_no_confirmed_reading_is_stale_while_sets_change_and_machines_fail) {
   std::uint64_t puts = 0, confirmed = 0;
   for (std::uint64_t seed = 1; seed <= 16; ++seed) {
-    Storm s(seed, 6);
+    FaultRun s(seed, 6);
     ASSERT_TRUE(s.t.run_until([&] { return s.t.all_vote(3); }, 20s));
-    for (std::size_t c = 0; c < 3; ++c) spawn(*s.t.clients[c], s.keep_putting(c));
-    s.t.sim.after(300ms, [&] { s.trouble(); });
+    for (std::size_t c = 0; c < 3; ++c) spawn(*s.t.clients[c], s.write_continuously(c));
+    s.t.sim.after(300ms, [&] { s.inject_fault(); });
     for (std::size_t i = 3; i < 6; ++i) s.t.sim.after(1s * (i - 2), [&s, i] { s.t.start(i, false); });
     s.t.run_for(15s);
     s.over = true;
--- a/tests/programs/maintenance_interface_test.cpp
+++ b/tests/programs/maintenance_interface_test.cpp
@@ -145,7 +145,7 @@
 };
 
 struct MaintenanceInterfaceTrial {
-  using Keeper = MaintenanceKeeper<SimProcess, RegisterStandIn>;
+  using Keeper = MaintenanceKeeper<SimProcess, FakeRegisterClient>;
   MaintenanceInterfaceTrial()
       : sim(1),
         net(sim),
@@ -176,9 +176,9 @@
 
   Sim sim;
   SimNet net;
-  OneRegister shared;
+  SharedRegister shared;
   std::shared_ptr<SimProcess> process;
-  RegisterStandIn store;
+  FakeRegisterClient store;
   FakeRegistry registry;
   Keeper keeper;
   MaintenanceInterface<SimProcess, FakeRegistry, Keeper> interface;
