--- a/source/state/key_planner.cpp
+++ b/source/state/key_planner.cpp
@@ -227,7 +227,7 @@
     if (is_vacated(report.zone)) continue;
     bool const may_hold = report.leased || now - backend.first_heard <= settings_.successor_grace;
     bool const here = now - backend.last_report <= settings_.report_valid_for;
-    if (is_serving && here && report.state == KeyHolderState::serving) return &backend;
+    if (may_hold && here && report.state == KeyHolderState::serving) return &backend;
   }
   return nullptr;
 }
