--- a/tests/coordination/maintenance_keeper_test.cpp
+++ b/tests/coordination/maintenance_keeper_test.cpp
@@ -88,10 +88,10 @@
   for (std::size_t i = 0; i < 2; ++i) EXPECT_EQ(trial.window(i).phase, MaintenancePhase::returning);
   trial.run_for(10s);
   for (std::size_t i = 0; i < 2; ++i) EXPECT_EQ(trial.window(i).phase, MaintenancePhase::over);
-  std::size_t const writings = trial.shared.writings;
-  EXPECT_LT(writings, 40u);
+  std::size_t const writes = trial.shared.writes;
+  EXPECT_LT(writes, 40u);
   trial.run_for(60s);
-  EXPECT_EQ(trial.shared.writings, writings) << "nothing is left to count";
+  EXPECT_EQ(trial.shared.writes, writes) << "nothing is left to count";
 }
 
 TEST(MaintenanceKeeper, a_restart_of_all_costs_only_the_time_since_the_last_writing) {
--- a/tests/coordination/register_test.cpp
+++ b/tests/coordination/register_test.cpp
@@ -5,7 +5,7 @@
 namespace banktide {
 namespace {
 
-struct Core {
+struct SetSize {
   std::size_t voters;
   std::uint32_t losses;
 };
@@ -109,47 +109,47 @@
 // For each set of up to `losses` disks: a value that was just acknowledged is
 // read back after these are wiped while all the others lose power; written
 // while some voter was away, so that it has as few copies as it may.
-void wipe_every_subset(Core const core, std::uint64_t const seed, bool const recently_added) {
-  std::size_t const subsets = std::size_t{1} << core.voters;
+void wipe_every_subset(SetSize const size, std::uint64_t const seed, bool const recently_added) {
+  std::size_t const subsets = std::size_t{1} << size.voters;
   for (std::size_t wiped = 0; wiped < subsets; ++wiped) {
-    if (static_cast<std::uint32_t>(__builtin_popcountll(wiped)) > core.losses) continue;
-    StoreTrial t(seed + wiped, core.voters, core.losses);
-    std::size_t const first = recently_added ? core.voters - 1 : core.voters;
+    if (static_cast<std::uint32_t>(__builtin_popcountll(wiped)) > size.losses) continue;
+    StoreTrial t(seed + wiped, size.voters, size.losses);
+    std::size_t const first = recently_added ? size.voters - 1 : size.voters;
     for (std::size_t i = 0; i < first; ++i) t.start(i, true);
     ASSERT_TRUE(t.run_until([&] { return t.all_vote(first); }, 30s)) << "founding";
     if (recently_added) {
       ASSERT_TRUE(t.put(0, Register::routing, 5, "before the last was added"));
       t.start(first, false);
-      ASSERT_TRUE(t.run_until([&] { return t.all_vote(core.voters); }, 30s)) << "adding";
+      ASSERT_TRUE(t.run_until([&] { return t.all_vote(size.voters); }, 30s)) << "adding";
     }
     ASSERT_TRUE(t.get(0, Register::routing)) << "a client that has learned the voters";
-    std::size_t const copies = quorum_size(core.voters, core.losses);
-    for (std::size_t k = 0, away = core.voters - copies; k < core.voters && away > 0; ++k) {
+    std::size_t const copies = quorum_size(size.voters, size.losses);
+    for (std::size_t k = 0, away = size.voters - copies; k < size.voters && away > 0; ++k) {
       if ((wiped >> k & 1) != 0) continue;  // those to be wiped have a copy
       t.sim.cut("client-0", "core-" + std::to_string(k));
       --away;
     }
     ASSERT_TRUE(t.put(0, Register::routing, 77, "acknowledged")) << "wiped " << wiped;
-    for (std::size_t i = 0; i < core.voters; ++i) t.power_off(i);
+    for (std::size_t i = 0; i < size.voters; ++i) t.power_off(i);
     t.sim.heal();
-    for (std::size_t i = 0; i < core.voters; ++i) {
+    for (std::size_t i = 0; i < size.voters; ++i) {
       if ((wiped >> i & 1) != 0) t.wipe(i);
       t.start(i, false);
     }
     Result<RegisterValue> const soon = t.get(1, Register::routing, 20s);
     ASSERT_TRUE(soon) << "wiped " << wiped << ": " << soon.error().reason;
     EXPECT_EQ(soon->bytes, "acknowledged") << "wiped " << wiped;
-    ASSERT_TRUE(t.run_until([&] { return t.all_vote(core.voters); }, 20s)) << "rejoining, wiped " << wiped;
+    ASSERT_TRUE(t.run_until([&] { return t.all_vote(size.voters); }, 20s)) << "rejoining, wiped " << wiped;
     EXPECT_EQ(t.get(2, Register::routing)->bytes, "acknowledged") << "wiped " << wiped;
   }
 }
 
 TEST(Register, an_acknowledged_value_outlives_any_disks_that_may_be_lost_with_the_power_of_the_others) {
-  for (Core const core : {Core{3, 1}, Core{4, 1}, Core{5, 2}}) wipe_every_subset(core, 100, false);
+  for (SetSize const size : {SetSize{3, 1}, SetSize{4, 1}, SetSize{5, 2}}) wipe_every_subset(size, 100, false);
 }
-TEST(Register, the_same_holds_with_seven_voters_and_three_losses) { wipe_every_subset(Core{7, 3}, 1000, false); }
+TEST(Register, the_same_holds_with_seven_voters_and_three_losses) { wipe_every_subset(SetSize{7, 3}, 1000, false); }
 TEST(Register, the_same_holds_just_after_a_voter_was_added) {
-  for (Core const core : {Core{4, 1}, Core{5, 2}}) wipe_every_subset(core, 5000, true);
+  for (SetSize const size : {SetSize{4, 1}, SetSize{5, 2}}) wipe_every_subset(size, 5000, true);
 }
 
 }  // namespace
