--- a/source/coordination/held_values.cpp
+++ b/source/coordination/held_values.cpp
@@ -22,7 +22,7 @@
   return false;
 }
 
-std::vector<Register> HeldValues::take(std::vector<std::pair<Register, RegisterValue>> const& newer) {
+std::vector<Register> HeldValues::accept(std::vector<std::pair<Register, RegisterValue>> const& newer) {
   std::vector<Register> taken;
   for (auto const& [r, h] : newer) {
     std::size_t const i = static_cast<std::size_t>(r);
@@ -44,7 +44,7 @@
 std::vector<Register> HeldValues::accept_key_deltas(std::vector<KeyDelta> const& deltas) {
   if (deltas.empty() || deltas.back().to <= of(Register::keys).revision) return {};
   Result<RegisterValue> next = apply_key_deltas(of(Register::keys), deltas);
-  if (next) return take({{Register::keys, std::move(*next)}});
+  if (next) return accept({{Register::keys, std::move(*next)}});
   if (!starts_at_held_revision(Register::keys, deltas)) return {};
   log_warn("key_delta_refused", {{"reason", next.error().reason}});
   refetch_whole_[static_cast<std::size_t>(Register::keys)] = true;
--- a/tests/coordination/shared_reading_test.cpp
+++ b/tests/coordination/shared_reading_test.cpp
@@ -23,17 +23,17 @@
   SharedReadingTrial(SharedReadingTrial const&) = delete;
 
   Task<bool> read() {
-    ++readings;
-    co_await sleep_for(*process, takes);
-    co_return works;
+    ++reads;
+    co_await sleep_for(*process, read_time);
+    co_return succeeds;
   }
   Task<void> ask_once(Duration const patience) {
-    Instant const came = process->now();
-    bool const good = co_await shared->read_fresh(came + patience);
-    ++answered;
-    served += good;
-    stale += good && *shared->latest_start() < came;
-    longest = std::max(longest, process->now() - came);
+    Instant const called_at = process->now();
+    bool const succeeded = co_await shared->read_fresh(called_at + patience);
+    ++finished;
+    served += succeeded;
+    stale += succeeded && *shared->latest_start() < called_at;
+    longest = std::max(longest, process->now() - called_at);
   }
   void ask(std::size_t const askers, Duration const patience) {
     for (std::size_t i = 0; i < askers; ++i) spawn(*process, ask_once(patience));
@@ -45,16 +45,16 @@
   SharedReadingSettings settings;
   std::shared_ptr<SimProcess> process;
   std::unique_ptr<SharedReading<SimProcess>> shared;
-  Duration takes = 20ms;
-  bool works = true;
-  std::size_t readings = 0, answered = 0, served = 0, stale = 0;
+  Duration read_time = 20ms;
+  bool succeeds = true;
+  std::size_t reads = 0, finished = 0, served = 0, stale = 0;
   Duration longest{};
 };
 
 TEST(SharedReading, all_who_ask_while_one_is_under_way_share_the_next_one) {
   SharedReadingTrial t;
   t.run_for(1s);
-  std::size_t const before = t.readings;
+  std::size_t const before = t.reads;
   for (int wave = 0; wave < 5; ++wave) {
     t.ask(200, 300ms);
     t.run_for(1ms);
@@ -62,13 +62,13 @@
   t.run_for(300ms);
   EXPECT_EQ(t.served, 1000u);
   EXPECT_EQ(t.stale, 0u) << "served by a reading that began before it was asked for";
-  EXPECT_LE(t.readings - before, 4u);
+  EXPECT_LE(t.reads - before, 4u);
 }
 
 TEST(SharedReading, goes_on_by_itself_and_at_a_bounded_rate_however_often_it_is_asked) {
   SharedReadingTrial t;
   t.run_for(2s);
-  std::size_t const alone = t.readings;
+  std::size_t const alone = t.reads;
   EXPECT_GE(alone, 8u);
   EXPECT_LE(alone, 11u);
   for (int i = 0; i < 2000; ++i) {
@@ -77,22 +77,22 @@
   }
   t.run_for(300ms);
   EXPECT_EQ(t.served, 6000u);
-  EXPECT_LE(t.readings - alone, static_cast<std::size_t>(2300ms / (t.takes + t.settings.min_pause)) + 1);
+  EXPECT_LE(t.reads - alone, static_cast<std::size_t>(2300ms / (t.read_time + t.settings.min_pause)) + 1);
 }
 
 TEST(SharedReading, an_asker_is_told_no_at_its_deadline_while_readings_fail) {
   SharedReadingTrial t;
   t.run_for(500ms);
-  t.works = false;
+  t.succeeds = false;
   t.ask(10, 300ms);
   t.run_for(400ms);
-  EXPECT_EQ(t.answered, 10u);
+  EXPECT_EQ(t.finished, 10u);
   EXPECT_EQ(t.served, 0u);
   EXPECT_LE(t.longest, 310ms);
-  Instant const last_good = *t.shared->latest_start();
+  Instant const last_success = *t.shared->latest_start();
   t.run_for(1s);
-  EXPECT_EQ(*t.shared->latest_start(), last_good);
-  t.works = true;
+  EXPECT_EQ(*t.shared->latest_start(), last_success);
+  t.succeeds = true;
   t.ask(1, 300ms);
   t.run_for(400ms);
   EXPECT_EQ(t.served, 1u);
@@ -100,13 +100,13 @@
 
 TEST(SharedReading, a_process_that_ends_leaves_no_asker_behind) {
   SharedReadingTrial t;
-  t.takes = 10s;
+  t.read_time = 10s;
   t.run_for(100ms);
   t.ask(5, 5s);
   t.run_for(100ms);
   t.process->kill();
   t.run_for(6s);
-  EXPECT_EQ(t.answered, 0u);
+  EXPECT_EQ(t.finished, 0u);
 }
 
 }  // namespace
--- a/tests/coordination/store_trial.hpp
+++ b/tests/coordination/store_trial.hpp
@@ -47,7 +47,7 @@
     settings.initial_start = initial;
     settings.losses = losses;
     memberships[i] = std::make_shared<Membership<SimProcess, SimDisk>>(*p, *acceptors[i], settings);
-    buried.emplace_back(acceptors[i], memberships[i]);
+    retired.emplace_back(acceptors[i], memberships[i]);
     dispatchers.push_back(std::make_unique<Dispatcher>());
     acceptors[i]->attach(*dispatchers.back());
     memberships[i]->attach(*dispatchers.back());
@@ -155,7 +155,7 @@
   std::vector<std::shared_ptr<SimProcess>> all, clients;
   std::vector<std::shared_ptr<Membership<SimProcess, SimDisk>>> memberships;
   std::vector<std::shared_ptr<Acceptor<SimProcess, SimDisk>>> acceptors;
-  std::vector<std::pair<std::shared_ptr<void>, std::shared_ptr<void>>> buried;
+  std::vector<std::pair<std::shared_ptr<void>, std::shared_ptr<void>>> retired;
   std::vector<std::unique_ptr<Dispatcher>> dispatchers;
   std::vector<std::unique_ptr<RegisterClient<SimProcess>>> registers;
   std::uint64_t runs = 0;
