--- a/source/programs/mesh_node.hpp
+++ b/source/programs/mesh_node.hpp
@@ -427,7 +427,7 @@
     Result<ConfirmedValue> const read = co_await registers_.confirm(Register::keys, known, deadline);
     if (!read || !keys_) co_return;
     confirmed_at_ = read->as_of;
-    follower_.take(Register::keys, read->held);
+    follower_.accept(Register::keys, read->held);
     apply_key_table(read->held);
     keys_->on_confirmed(read->held.revision, read->as_of);
     grant_alarm_.wake();
--- a/tests/coordination/key_trial_test.cpp
+++ b/tests/coordination/key_trial_test.cpp
@@ -214,7 +214,7 @@
         push(node);
         std::uint64_t const number = ++node.pending_number;
         node.pending = [this, &node, b, message, sent, told] {
-          KeyHeartbeatReply const answer = node.holder->answer(loop.now, message.instance, message.sequence);
+          KeyHeartbeatReply const answer = node.holder->reply(loop.now, message.instance, message.sequence);
           if (loop.one_in(50)) return;
           loop.after(loop.between(0, 3), [this, &node, b, message, sent, told, answer] {
             apply(node, b, message.sequence, sent, told, answer);
