--- a/source/programs/backend_main.cpp
+++ b/source/programs/backend_main.cpp
@@ -1,6 +1,6 @@
-// banktide-backend: a stand-in backend for proof. It beats to the node on its
+// banktide-backend: a backend for tests. It sends heartbeats to the node on its
 // machine, answers calls, and writes a line to its record before and after each
-// run, so that what ran is known from outside the mesh.
+// execution, so that executions are known independently of the mesh.
 #include <fcntl.h>
 #include <unistd.h>
 
--- a/source/programs/caller_main.cpp
+++ b/source/programs/caller_main.cpp
@@ -1,6 +1,6 @@
-// banktide-caller: a stand-in caller for proof. It sends a mix of calls at
-// fixed rates to a list of nodes and writes one line per answer to its record,
-// and says nothing of its own about whether the mesh did right.
+// banktide-caller: a caller for tests. It sends a mix of calls at fixed rates to a
+// list of nodes and writes one line per answer to its record. It doesn't judge
+// whether the mesh was right; the report does.
 #include "programs/process.hpp"
 #include "transport/http_edge.hpp"
 
--- a/source/programs/deployment.hpp
+++ b/source/programs/deployment.hpp
@@ -1,6 +1,6 @@
-// The two deployments that banktide is proved on, at the sizes and rates of
-// today: cells, machines, backends, the mix of calls, and the first routing
-// revision and catalogue that an operator would send.
+// The two deployments that banktide is tested with, at their current sizes and
+// rates: zones, machines, backends, the mix of calls, and the first routing
+// revision and catalogue that an operator sends.
 #pragma once
 
 #include "state/layout.hpp"
@@ -15,7 +15,7 @@
 struct Deployment {
   std::string name;
   std::vector<std::string> cells;
-  std::vector<std::size_t> nodes;  // in each cell; the first two are gateways
+  std::vector<std::size_t> nodes;  // in each zone; the first two are gateways
   std::vector<BackendPlace> backends;
   std::vector<std::string> mix;
   std::string routing, catalogue;
--- a/source/programs/fleet_main.cpp
+++ b/source/programs/fleet_main.cpp
@@ -1,7 +1,7 @@
-// banktide-fleet: a whole deployment on one machine as real processes, under
-// its load, with revisions going in and faults at given seconds; then a report
-// made from the records of the stand-in callers and backends. Exits with 1 when
-// a rule was broken.
+// banktide-fleet: runs a whole deployment as real processes on one machine, under
+// load, with routing changes and with faults at given seconds. Then it prints a
+// report from the records of the test callers and test backends. Exits with 1 if
+// an invariant was violated.
 #include "programs/deployment.hpp"
 #include "programs/fleet_report.hpp"
 #include "programs/process.hpp"
@@ -24,7 +24,7 @@
   std::string name, cell, program, data;
   std::vector<std::string> flags;
   pid_t pid = 0;
-  Address http;  // caller, local or operator door
+  Address http;  // the caller, local or operator interface
   Address local;
   std::size_t starts = 0;
 };
@@ -34,8 +34,8 @@
   std::string action, name;
 };
 
-// Ports from the kernel, held for the whole run, bound but not listening, so that
-// it gives them to nobody's outgoing connection while a process is down.
+// Ports from the kernel, kept bound but not listening for the whole run, so that the
+// kernel doesn't use them for outgoing connections while a process is down.
 class Ports {
  public:
   Address next() {
@@ -115,7 +115,7 @@
 
   std::int64_t now_ms() const { return as_ms(world_.now().time_since_epoch()); }
 
-  // Until a node is ready again it counts as down.
+  // A node still counts as down for a while after its start, until it is ready again.
   void up(Child& c) {
     auto& spans = doings_.down[c.name];
     if (spans.empty() || spans.back().second != std::numeric_limits<std::int64_t>::max()) return;
@@ -123,7 +123,7 @@
   }
   void down(Child& c) { doings_.down[c.name].emplace_back(now_ms(), std::numeric_limits<std::int64_t>::max()); }
 
-  // Processor time and the most memory, by program.
+  // Records processor time and peak memory by program.
   void measure() {
     std::map<std::string, std::vector<std::pair<double, double>>> by;
     for (auto const& [name, c] : children_) {
@@ -332,7 +332,7 @@
   };
   put(operators[0], "routing", d.routing);
   put(operators[1], "catalogue", d.catalogue);
-  // Registries abstain from leases for a term after their start.
+  // Registries grant no leases for one lease term after their start.
   for (Instant const patience = world.now() + 15s; world.now() < patience; std::this_thread::sleep_for(100ms)) {
     Result<HttpReply> const r = fleet.http(operators[0], "GET", "/moves");
     Json const j = r && r->status == 200 ? Json::parse(r->body, nullptr, false) : Json();
@@ -341,8 +341,8 @@
       break;
   }
 
-  // The operators' part of a drill: slices of the cell go to the cell that has
-  // the rest, and come back a quarter at a time.
+  // The operators' part of a drill: the slices of the drilled zone move to the zone
+  // that has the others, and move back a quarter at a time.
   auto const move = [&](std::string const& what) {
     Json const catalogue = Json::parse(d.catalogue);
     std::string lines;
@@ -369,11 +369,11 @@
     std::cout << "moved " << what << ": " << (r ? r->body : r.error().reason + "\n") << std::flush;
   };
 
-  // Two operators at two registries, each as fast as it can: one sends, the other
-  // insists on following the newest revision that it knows.
+  // Two operators at two registries write as fast as they can: one unconditionally,
+  // the other only if the newest revision is still the one that it knows (If-Match).
   std::vector<std::thread> stormers;
   std::vector<std::vector<Acknowledged>> stormed;
-  std::mutex told;  // the stand-ins' own; no part of the mesh
+  std::mutex told;  // protects the output of the operator threads
   auto const storm = [&](std::uint64_t const n) {
     for (std::size_t const k : {0, 1})
       stormers.emplace_back([&, n, k] {
--- a/source/programs/fleet_report.hpp
+++ b/source/programs/fleet_report.hpp
@@ -1,6 +1,6 @@
-// What a run of the fleet comes to, read from outside the mesh: the callers'
-// and backends' records, and the moments at which nodes say that a revision is
-// in force.
+// The report of a fleet run, made without help of the mesh from the records of
+// callers and backends, and from the times at which nodes log that a revision is
+// active.
 #pragma once
 
 #include "state/layout.hpp"
@@ -26,13 +26,13 @@
   std::int64_t from_ms = 0, to_ms = 0;
 };
 
-// What the fleet knows of its own doing: which process stands in which cell,
-// when one was down or stopped, and the phases of a drill.
+// What the fleet runner did: the zone of each process, the times at which processes
+// were down or stopped, and the phases of a drill.
 struct FleetDoings {
-  std::map<std::string, std::string> cell_of;  // by process name, and by caller door
+  std::map<std::string, std::string> cell_of;  // by process name
   std::map<std::string, std::vector<std::pair<std::int64_t, std::int64_t>>> down;
   std::vector<Stage> phases;
-  std::vector<Stage> faults;       // each with the seconds after it
+  std::vector<Stage> faults;       // each with the seconds after it as its stage
   std::vector<std::string> usage;  // processor time and memory, by program
 };
 
@@ -91,7 +91,7 @@
     std::uint64_t calls = 0, answered = 0, not_run = 0, unknown = 0;
     std::int64_t last_bad = 0;
     std::vector<std::int64_t> latency;
-    std::map<std::string, std::uint64_t> runs;  // by cell and service
+    std::map<std::string, std::uint64_t> runs;  // by zone and service
   };
   static void print_seen(std::ostream& out, char const* const what, Seen const& s) {
     out << what << s.phase.name << ": " << s.calls << " calls, answered "
@@ -116,7 +116,7 @@
       if (s.phase.from_ms <= ms && ms < s.phase.to_ms) return &s;
     return nullptr;
   }
-  // The capacity that a cell needs when another is out, against the first phase.
+  // The load of a zone in this phase as a multiple of its load in the first phase.
   std::string share_of_first(std::string const& where, Seen const& s) const {
     if (&s == &phases_.front()) return "";
     auto const first = phases_.front().runs.find(where);
@@ -211,8 +211,8 @@
     return s;
   }
 
-  // When each revision, or a newer one, came into force at each node; a node
-  // that was not running all along counts from its own start.
+  // Computes for each acknowledged revision and node the time until it, or a newer one,
+  // was active there; nodes that were down meanwhile are left out.
   void read_logs(std::filesystem::path const& folder, std::vector<Acknowledged> const& acks) {
     for (std::filesystem::directory_entry const& e : std::filesystem::directory_iterator(folder)) {
       std::string const name = e.path().filename().string();
--- a/source/programs/shell_main.cpp
+++ b/source/programs/shell_main.cpp
@@ -1,7 +1,7 @@
-// banktide-shell: questions about the fleet's state, asked of any registry's
-// operator door, one-shot or line by line, as text or JSON; and the operators'
-// streams at a prompt. Exit codes: 0 answered, 1 not answered or refused, 2 a
-// question that it doesn't know, 3 not clear (`maintenance status`).
+// banktide-shell: the operators' command-line client. It queries the fleet's state
+// from any registry's operator interface, with one command or line by line, prints
+// text or JSON, and uses the operators' streams. Exit codes: 0 answered, 1 not
+// answered or refused, 2 unknown command, 3 not clear (`maintenance status`).
 #include "programs/maintenance_command.hpp"
 #include "programs/process.hpp"
 #include "state/placement.hpp"
@@ -19,8 +19,8 @@
 struct Question {
   char const* name;
   char const* target;
-  char const* rows;     // where in the answer its rows are
-  char const* columns;  // of the text
+  char const* rows;     // the field of the answer that has the rows
+  char const* columns;  // of the printed table
   char const* what;
 };
 
@@ -59,7 +59,7 @@
   return v.dump();
 }
 
-// Rows of the whole fleet's state are spread over cells and nodes.
+// Collects the rows of one kind from an answer; in the whole fleet's state they are nested in zones and nodes.
 Json rows_of(Json const& answer, std::string const& what) {
   if (!answer.contains("cells") || answer.contains(what)) return answer.value(what, Json::array());
   Json rows = Json::array();
@@ -144,7 +144,7 @@
     return 1;
   }
 
-  // The first door that answers.
+  // Sends a request to the registries in order, until one answers.
   Result<HttpReply> http(HttpRequest const& q) {
     Result<HttpReply> r = make_error("connect", "", "no registry", Proof::not_run);
     for (Address const& door : doors_) {
@@ -221,7 +221,7 @@
     return all.str();
   }
 
-  // Only prints the catalogue; to have it is a matter of `put`.
+  // Prints a catalogue only; `put` applies it.
   int place(std::vector<std::string> const& words) {
     if (words.size() != 2) return wrong("place FILE");
     std::optional<std::string> const constraints = file_bytes(words[1]);
@@ -243,7 +243,7 @@
     return 0;
   }
 
-  // A reply read line by line while it comes; `line` says whether to go on.
+  // Reads a reply line by line as it arrives; `line` returns whether to go on.
   template <class F>
   int read_lines(std::string const& target, F line) {
     try {
@@ -302,8 +302,8 @@
     });
   }
 
-  // The library answers a request only when its body is over, so verdicts come
-  // over a second one.
+  // The HTTP library answers a request only after its body has ended, so the verdicts
+  // are read with a second request.
   int send(std::vector<std::string> const& words) {
     if (words.size() != 2) return wrong("send FILE, or send - for standard input");
     std::ifstream file;
@@ -366,7 +366,7 @@
   return words;
 }
 
-// Flags of a command stand among the program's own; they go back to its words.
+// The flags of a command are parsed with the program's own; `asked_words` appends them to the command again.
 void define_command_flags(Settings& s) {
   for (char const* const name : {"opens-in", "lasts", "lead"}) s.text(name, "", "seconds, of maintenance mark");
   s.flag("allow-second", "of maintenance mark: also if another zone is under maintenance then");
