--- a/source/coordination/acceptor.hpp
+++ b/source/coordination/acceptor.hpp
@@ -178,7 +178,7 @@
   template <class F>
   Task<bool> change(F f) {
     if (turn_.waiting() >= 64) co_return false;
-    co_await turn_.enter();
+    co_await turn_.lock();
     VoterRecord next = record_;
     bool saved = true;
     if (f(next)) {
@@ -453,7 +453,7 @@
   D& disk_;
   std::vector<Address> const fixed_;
   Address const own_address_;
-  Turn<Env> turn_;
+  AsyncMutex<Env> turn_;
   VoterRecord record_;
   std::uint64_t highest_seen_epoch_ = 0;
   Address last_requester_;
--- a/source/data_path/request_path.hpp
+++ b/source/data_path/request_path.hpp
@@ -247,7 +247,7 @@
         if (got.error().proof != Proof::not_run) unanswered(address, env_.now() - sent);
         reply.outcome = got.error().proof == Proof::not_run ? Outcome::not_run : Outcome::unknown;
         reply.refusal = reply.outcome == Outcome::not_run ? Refusal::unreachable : Refusal::none;
-        if (got.error().step == no_room_step) reply = no_room();
+        if (got.error().step == rejected_step) reply = no_room();
         if (is_cancelled(cancellation)) reply.refusal = Refusal::cancelled;
         reply.reason = got.error().step + ": " + got.error().reason;
       }
--- a/source/programs/backend_main.cpp
+++ b/source/programs/backend_main.cpp
@@ -39,7 +39,7 @@
   int const record =
       s.text("record").empty() ? -1 : ::open(s.text("record").c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
   Process process;
-  SocketWorld world;
+  SocketEnvironment world;
   std::string const service = s.text("service"), instance = s.text("instance"), node = s.text("node");
   Duration const work = std::chrono::milliseconds(s.number("work-ms")),
                  every = std::chrono::milliseconds(s.number("beat-ms"));
@@ -78,7 +78,7 @@
     return 1;
   }
   std::uint16_t const port = static_cast<std::uint16_t>(parse_address(s.text("address"))->port());
-  HttpCaller<SocketWorld> caller(world);
+  HttpCaller<SocketEnvironment> caller(world);
   auto const keep_beating = [&]() -> Task<void> {
     while (true) {
       HttpRequest q{
--- a/source/programs/caller_main.cpp
+++ b/source/programs/caller_main.cpp
@@ -38,11 +38,11 @@
     lines.push_back(Line{parts[0], parts[1], parts[2], std::stoull(parts[3]), std::stoull(parts[4])});
   }
   Process process;
-  SocketWorld world;
+  SocketEnvironment world;
   std::ofstream record(s.text("record"), std::ios::app);
   std::vector<std::string> const nodes = s.list("node");
   std::mt19937_64 chance(s.number("seed"));
-  HttpCaller<SocketWorld> caller(world);
+  HttpCaller<SocketEnvironment> caller(world);
   std::uint64_t last = 0, open = 0;
   bool ended = false;
   Instant const start = world.now(), end = start + std::chrono::seconds(s.number("seconds"));
@@ -85,7 +85,7 @@
   };
   auto const keep_calling = [&](Line const l) -> Task<void> {
     Duration const gap = std::chrono::nanoseconds(1000000000ull / std::max<std::uint64_t>(l.rate, 1));
-    typename SocketWorld::Alarm alarm(world);
+    typename SocketEnvironment::Alarm alarm(world);
     for (Instant next = start + std::chrono::nanoseconds(chance() % static_cast<std::uint64_t>(gap.count()));
          next < end; next += gap) {
       co_await alarm.wait(next);
--- a/source/programs/fleet_main.cpp
+++ b/source/programs/fleet_main.cpp
@@ -59,7 +59,7 @@
 
 class Fleet {
  public:
-  Fleet(Process& p, SocketWorld& env, std::string bin, fs::path folder)
+  Fleet(Process& p, SocketEnvironment& env, std::string bin, fs::path folder)
       : process_(p), world_(env), caller_(env), bin_(std::move(bin)), folder_(std::move(folder)) {}
   ~Fleet() {
     for (auto& [name, c] : children_) end(c, SIGKILL);
@@ -185,8 +185,8 @@
 
  private:
   Process& process_;
-  SocketWorld& world_;
-  HttpCaller<SocketWorld> caller_;
+  SocketEnvironment& world_;
+  HttpCaller<SocketEnvironment> caller_;
   std::string const bin_;
   fs::path const folder_;
 };
@@ -242,7 +242,7 @@
   fs::path const folder = fs::absolute(s.text("folder"));
   fs::create_directories(folder);
   Process process;
-  SocketWorld world;
+  SocketEnvironment world;
   Fleet fleet(process, world, s.text("bin"), folder);
   Ports ports;
   std::vector<Address> stores, registries, operators;
--- a/source/programs/hollow_fleet_objects.cpp
+++ b/source/programs/hollow_fleet_objects.cpp
@@ -178,7 +178,7 @@
   BANKTIDE_FIELDS(text)
 };
 
-Task<void> ask_echo(SocketWorld& world, Address const peer, std::size_t const size, std::size_t const count,
+Task<void> ask_echo(SocketEnvironment& world, Address const peer, std::size_t const size, std::size_t const count,
                     std::promise<std::size_t>& done) {
   std::size_t answered = 0;
   for (std::size_t i = 0; i < count; ++i) {
@@ -202,7 +202,7 @@
 void measure_frames(std::ostream& out) {
   constexpr std::size_t questions = 20000;
   Process process;
-  SocketWorld server, client;
+  SocketEnvironment server, client;
   Dispatcher dispatcher;
   dispatcher.on<Echo>([](Echo q) -> Task<Echo::Reply> {
     Echo::Reply reply{std::move(q.text)};
--- a/source/programs/mesh_proxy.cpp
+++ b/source/programs/mesh_proxy.cpp
@@ -57,7 +57,7 @@
   constexpr std::size_t part_for_requests = 5;
   PeerLimits limits;
   std::size_t const memory = number_of(s, "memory-mb", 0) << 20;
-  if (memory > 0) limits.taken_bytes = memory / part_for_requests;
+  if (memory > 0) limits.accepted_request_bytes = memory / part_for_requests;
   return limits;
 }
 
@@ -72,14 +72,14 @@
   Result<TimingBounds> const bounds = adapter.read_bounds(s.list("bounds"));
   if (!bounds) return start_failed(bounds.error());
   Process process;
-  SocketWorld world(peer_limits(s));
+  SocketEnvironment world(peer_limits(s));
   Dispatcher dispatcher;
   Result<Address> const bound = world.listen(s.text("address"));
   if (!bound) return start_failed(bound.error());
   ConnectionsFactory const factory = [&world](Address const& address, std::size_t const limit) {
     return std::make_unique<BackendConnections>(world.io(), address, limit);
   };
-  MeshNode<SocketWorld> node(world, node_settings(s, *bounds), adapter, factory);
+  MeshNode<SocketEnvironment> node(world, node_settings(s, *bounds), adapter, factory);
   HttpServer clients(
       world.io(),
       [&node](HttpRequest q, std::shared_ptr<HttpExchange> x) { return node.request(std::move(q), std::move(x)); }, {});
--- a/source/programs/mesh_registry.cpp
+++ b/source/programs/mesh_registry.cpp
@@ -53,12 +53,13 @@
   Result<TimingBounds> const bounds = adapter.read_bounds(s.list("bounds"));
   if (!bounds) return start_failed(bounds.error());
   Process process;
-  SocketWorld world;
+  SocketEnvironment world;
   Dispatcher dispatcher;
   Result<Address> const bound = world.listen(s.text("address"));
   if (!bound) return start_failed(bound.error());
-  Registry<SocketWorld> registry(world, registry_settings(s));
-  MeshRegistry<SocketWorld> mesh(world, registry, adapter, key_settings(*bounds), maintenance_settings(s, *bounds));
+  Registry<SocketEnvironment> registry(world, registry_settings(s));
+  MeshRegistry<SocketEnvironment> mesh(world, registry, adapter, key_settings(*bounds),
+                                       maintenance_settings(s, *bounds));
   HttpServer operators(
       world.io(),
       [&mesh](HttpRequest q, std::shared_ptr<HttpExchange>) { return mesh.handle_interface_request(std::move(q)); },
--- a/source/programs/proxy_main.cpp
+++ b/source/programs/proxy_main.cpp
@@ -40,7 +40,7 @@
   if (std::optional<int> const code = s.read(argc, argv)) return *code;
   start_logging(s.text("log-level"), "banktide-proxy", s.text("id"));
   Process process;
-  SocketWorld world;
+  SocketEnvironment world;
   Dispatcher dispatcher;
   Result<Address> const bound = world.listen(s.text("address"));
   if (!bound) {
@@ -48,14 +48,14 @@
              {{"step", bound.error().step}, {"peer", bound.error().peer}, {"reason", bound.error().reason}});
     return 1;
   }
-  using Edge = HttpCaller<SocketWorld>;
+  using Edge = HttpCaller<SocketEnvironment>;
   Edge edge(world);
   ProxySettings settings{s.text("id"), s.text("cell"), *bound, s.flag("gateway"), s.list("seed")};
   settings.heartbeat_expiry = std::chrono::milliseconds(s.number("beat-expiry-ms"));
   settings.backend_limit = static_cast<std::uint32_t>(s.number("backend-limit"));
   settings.slice_limit = static_cast<std::uint32_t>(s.number("slice-limit"));
   settings.decisions_kept = s.number("decisions-kept");
-  Proxy<SocketWorld, Edge> proxy(world, edge, settings);
+  Proxy<SocketEnvironment, Edge> proxy(world, edge, settings);
   HttpListener callers(world.io(), s.text("caller"), [&](HttpRequest q) { return proxy.call(std::move(q)); });
   HttpListener local(world.io(), s.text("local"),
                      [&](HttpRequest q) -> Task<HttpReply> { co_return proxy.handle_platform_request(q); });
--- a/source/programs/registry_main.cpp
+++ b/source/programs/registry_main.cpp
@@ -35,7 +35,7 @@
   if (std::optional<int> const code = s.read(argc, argv)) return *code;
   start_logging(s.text("log-level"), "banktide-registry", s.text("id"));
   Process process;
-  SocketWorld world;
+  SocketEnvironment world;
   Dispatcher dispatcher;
   Result<Address> const bound = world.listen(s.text("address"));
   if (!bound) {
@@ -43,11 +43,11 @@
              {{"step", bound.error().step}, {"peer", bound.error().peer}, {"reason", bound.error().reason}});
     return 1;
   }
-  Registry<SocketWorld> registry(
+  Registry<SocketEnvironment> registry(
       world, RegistrySettings{s.text("id"), s.text("cell"), *bound, s.list("seed"), s.list("voter")});
   HttpListener operators(world.io(), s.text("operator"),
                          [&](HttpRequest q) { return registry.handle_operator_request(std::move(q)); });
-  OperatorStreams<SocketWorld> streams(registry);
+  OperatorStreams<SocketEnvironment> streams(registry);
   operators.on_lines_in("/changes", [&](HttpRequest q, LinesIn& in) { return streams.changes(std::move(q), in); });
   operators.on_lines_out("/verdicts",
                          [&](HttpRequest q, LinesOut& out) { return streams.verdicts(std::move(q), out); });
--- a/source/programs/shell_main.cpp
+++ b/source/programs/shell_main.cpp
@@ -105,7 +105,7 @@
 
 class Shell {
  public:
-  Shell(Process& p, SocketWorld& env, std::vector<Address> doors, bool const json)
+  Shell(Process& p, SocketEnvironment& env, std::vector<Address> doors, bool const json)
       : process_(p), world_(env), caller_(env), doors_(std::move(doors)), json_(json) {}
 
   int run(std::vector<std::string> const& words) {
@@ -352,8 +352,8 @@
   }
 
   Process& process_;
-  SocketWorld& world_;
-  HttpCaller<SocketWorld> caller_;
+  SocketEnvironment& world_;
+  HttpCaller<SocketEnvironment> caller_;
   std::vector<Address> const doors_;
   Address door_;
   bool const json_;
@@ -416,7 +416,7 @@
   if (std::optional<int> const code = s.read(argc, argv)) return *code;
   start_logging("OFF", "banktide-shell", "shell");
   Process process;
-  SocketWorld world;
+  SocketEnvironment world;
   Shell shell(process, world, s.list("registry"), s.flag("json"));
   int code = 0;
   if (!s.list("ask").empty()) {
--- a/source/programs/store_main.cpp
+++ b/source/programs/store_main.cpp
@@ -60,13 +60,13 @@
     return 1;
   }
   Process process;
-  SocketWorld world;
+  SocketEnvironment world;
   Dispatcher dispatcher;
   std::vector<std::string> const voters = s.list("voter");
   std::size_t const own =
       static_cast<std::size_t>(std::find(voters.begin(), voters.end(), s.text("address")) - voters.begin());
   bool const fixed = !voters.empty();
-  using Voter = Acceptor<SocketWorld, SqliteDisk>;
+  using Voter = Acceptor<SocketEnvironment, SqliteDisk>;
   std::unique_ptr<Voter> const owned = fixed ? std::make_unique<Voter>(world, **disk, voters, own)
                                              : std::make_unique<Voter>(world, **disk, s.text("address"));
   Voter& acceptor = *owned;
@@ -75,7 +75,7 @@
   membership_settings.seeds = s.list("seed-control").empty() ? s.list("seed-voter") : seed_peers(s);
   membership_settings.initial_start = s.flag("initial-start");
   membership_settings.losses = static_cast<std::uint32_t>(s.number("losses"));
-  Membership<SocketWorld, SqliteDisk> membership(world, acceptor, membership_settings);
+  Membership<SocketEnvironment, SqliteDisk> membership(world, acceptor, membership_settings);
   Result<Address> bound =
       loaded ? world.listen(s.text("address")) : Result<Address>(tl::unexpected<Error>(loaded.error()));
   if (!bound) {
--- a/source/transport/environment.hpp
+++ b/source/transport/environment.hpp
@@ -26,7 +26,7 @@
 
 using Address = std::string;
 /** The step of the error of a request that its peer has not taken, as it holds too many large ones. */
-inline constexpr char const* no_room_step = "take_request";
+inline constexpr char const* rejected_step = "take_request";
 /** Answers a peer's request; the cancellation is null for one that can't be cancelled. */
 using PeerHandler = std::function<Task<Result<Bytes>>(Bytes, SharedCancellation)>;
 
@@ -144,11 +144,11 @@
 
 // One at a time, in the order of asking.
 template <class Env>
-class Turn {
+class AsyncMutex {
  public:
-  explicit Turn(Env& env) : env_(env) {}
+  explicit AsyncMutex(Env& env) : env_(env) {}
   std::size_t waiting() const { return waiting_.size(); }
-  Task<void> enter() {
+  Task<void> lock() {
     if (!busy_) {
       busy_ = true;
       co_return;
--- a/source/transport/frame.hpp
+++ b/source/transport/frame.hpp
@@ -8,7 +8,7 @@
 
 namespace banktide {
 
-inline constexpr std::uint8_t wire_number = 1;
+inline constexpr std::uint8_t protocol_version = 1;
 inline constexpr std::size_t frame_limit = 72u << 20;
 
 /** Handled by the transport itself: answered with nothing at once. */
@@ -18,13 +18,13 @@
  * A request, its response, a one-way message, word that the response to a request is of no more use, or word that a
  * request was not taken.
  */
-enum class Sort : std::uint8_t { ask = 0, reply = 1, tell = 2, cancel = 3, refused = 4 };
-inline constexpr std::uint8_t last_sort = 4;
+enum class FrameType : std::uint8_t { ask = 0, reply = 1, tell = 2, cancel = 3, refused = 4 };
+inline constexpr std::uint8_t last_frame_type = 4;
 
 struct FrameHead {
   std::uint32_t length = 0;
-  std::uint8_t wire = wire_number;
-  Sort sort = Sort::tell;
+  std::uint8_t version = protocol_version;
+  FrameType type = FrameType::tell;
   std::uint8_t kind = 0;
   std::uint64_t id = 0;
   static constexpr std::size_t size = 15;
--- a/source/transport/peer_connection.hpp
+++ b/source/transport/peer_connection.hpp
@@ -19,59 +19,59 @@
 
 class PeerConnection : public std::enable_shared_from_this<PeerConnection> {
  public:
-  PeerConnection(SocketWorld& world, Address peer);
+  PeerConnection(SocketEnvironment& env, Address peer);
 
   Task<Result<Bytes>> ask(std::uint8_t kind, Bytes payload, Instant deadline, SharedCancellation cancellation);
   void tell(std::uint8_t kind, SharedBytes const& payload);
 
   /** To be called every `watch_period` while answers are owed. */
-  void watch();
-  bool is_owed() const { return !waiting_.empty(); }
+  void check_silence();
+  bool awaits_replies() const { return !pending_requests_.empty(); }
   /** How long the peer has owed the answer to a ping; zero if it owes none. */
   Duration silence() const;
   Address const& peer() const { return peer_; }
 
   /** Connects and writes while there is something to write, and ends when there was nothing for long. */
-  Task<void> keep();
+  Task<void> run();
   void stop();
   void drop_late(Instant now) { queue_.drop_late(now); }
 
-  bool kept = false;  // a task runs `keep`
-  static constexpr Duration watch_period = 50ms;
+  bool is_running = false;  // a task runs `keep`
+  static constexpr Duration silence_check_interval = 50ms;
 
  private:
-  struct Waiting {
-    explicit Waiting(SocketWorld& env) : reply(env) {}
-    OneShot<SocketWorld, Result<Bytes>> reply;
+  struct PendingRequest {
+    explicit PendingRequest(SocketEnvironment& env) : reply(env) {}
+    OneShot<SocketEnvironment, Result<Bytes>> reply;
     bool sent = false;
   };
   // One connection of those that follow each other.
-  struct Line {
+  struct Link {
     std::shared_ptr<PeerSocket> socket;
     bool broken = false;
   };
 
   void cancel(std::uint64_t id);
-  Task<std::shared_ptr<Line>> connect();
+  Task<std::shared_ptr<Link>> connect();
   Task<boost::system::error_code> open(std::shared_ptr<PeerSocket> socket, asio::ip::tcp::endpoint at);
-  Task<void> write(std::shared_ptr<Line> line);
-  Task<void> read(std::shared_ptr<Line> line);
-  void close(Line& line);
+  Task<void> write(std::shared_ptr<Link> link);
+  Task<void> read(std::shared_ptr<Link> link);
+  void close(Link& link);
   void fail_queue(std::string const& step, std::string const& reason);
   void mark_sent(std::vector<OutgoingFrame> const& batch);
-  void heard_something();
-  void wrote_something();
+  void on_bytes_received();
+  void on_bytes_written();
   void log_dropped();
 
-  SocketWorld& world_;
+  SocketEnvironment& env_;
   Address const peer_;
   PeerQueue queue_;
-  tsl::robin_map<std::uint64_t, std::shared_ptr<Waiting>> waiting_;
-  SocketWorld::Alarm alarm_;
+  tsl::robin_map<std::uint64_t, std::shared_ptr<PendingRequest>> pending_requests_;
+  SocketEnvironment::Alarm alarm_;
   std::shared_ptr<PeerSocket> socket_;  // null: not connected
   Instant idle_since_{};
-  Instant heard_{};
-  Instant owed_since_{};
+  Instant last_received_at_{};
+  Instant awaiting_since_{};
   bool pinged_ = false;
   bool ping_sent_ = false;
   Instant pinged_at_{};
--- a/source/transport/peer_limits.hpp
+++ b/source/transport/peer_limits.hpp
@@ -31,7 +31,7 @@
   // On 3 Mbit/s 8 MiB take longer than any deadline; on 1 Gbit/s they are gone in 70 ms.
   QueueLimit large{1024, 8u << 20, 32u << 20};
   /** Bytes of large requests that are being read or handled, of all peers; one alone is always taken. */
-  std::size_t taken_bytes = 64u << 20;
+  std::size_t accepted_request_bytes = 64u << 20;
   /** Bytes of responses that wait until there is room in a queue, of all peers of the process. */
   std::size_t held_back_bytes = 48u << 20;
 
--- a/source/transport/peer_queue.cpp
+++ b/source/transport/peer_queue.cpp
@@ -9,9 +9,10 @@
 
 }  // namespace
 
-OutgoingFrame OutgoingFrame::of(Sort const sort, std::uint8_t const kind, std::uint64_t const id, SharedBytes payload) {
+OutgoingFrame OutgoingFrame::of(FrameType const type, std::uint8_t const kind, std::uint64_t const id,
+                                SharedBytes payload) {
   std::size_t const length = payload ? payload->size() : 0;
-  FrameHead const head{static_cast<std::uint32_t>(length), wire_number, sort, kind, id};
+  FrameHead const head{static_cast<std::uint32_t>(length), protocol_version, type, kind, id};
   return OutgoingFrame{head, std::move(payload)};
 }
 
@@ -33,16 +34,16 @@
     : limits_(limits), totals_(std::move(totals)) {}
 
 PeerQueue::~PeerQueue() {
-  for (std::size_t i = 0; i < queue_bounds; ++i) totals_->bytes[i] -= loads_[i].bytes + loads_[i].in_writing;
+  for (std::size_t i = 0; i < queue_bounds; ++i) totals_->bytes[i] -= loads_[i].bytes + loads_[i].being_written;
 }
 
 Admission PeerQueue::push(OutgoingFrame frame, Instant const now) {
-  bool const one_way = frame.head.sort == Sort::tell;
+  bool const one_way = frame.head.type == FrameType::tell;
   QueueBound const bound = bound_of(frame);
   std::size_t const bytes = frame.bytes();
   drop_late(now);
   Admission admission = admits(bound, bytes);
-  while (one_way && !others_fill(bound, bytes) && admission != Admission::taken && !one_way_.empty()) {
+  while (one_way && !others_exhaust_bound(bound, bytes) && admission != Admission::taken && !one_way_.empty()) {
     drop_oldest();
     admission = admits(bound, bytes);
   }
@@ -56,12 +57,12 @@
   totals_->bytes[index_of(bound)] += bytes;
   Lane const lane = lane_of(frame);
   if (lane == one_way_lane) ++large_one_way_[frame.head.kind];
-  Sort const sort = frame.head.sort;
+  FrameType const type = frame.head.type;
   std::uint64_t const id = frame.head.id;
-  lanes_[lane].push_back(Waiting{std::move(frame), now, ++last_number_});
-  Place const place{lane, std::prev(lanes_[lane].end())};
+  lanes_[lane].push_back(QueuedFrame{std::move(frame), now, ++last_number_});
+  FramePosition const place{lane, std::prev(lanes_[lane].end())};
   if (one_way) one_way_.emplace(last_number_, place);
-  if (sort == Sort::ask && id != 0) requests_.emplace(id, place);
+  if (type == FrameType::ask && id != 0) requests_.emplace(id, place);
   return admission;
 }
 
@@ -85,32 +86,32 @@
   if (empty()) return batch;
   Lane const lane = next_lane();
   if (lane != small_lane) {
-    put_in_writing(batch, lane, now);
-    last_of_large_ = lane;
+    move_to_batch(batch, lane, now);
+    last_large_lane_ = lane;
     small_in_a_row_ = 0;
     return batch;
   }
   std::size_t bytes = 0;
   while (!lanes_[small_lane].empty() && bytes < limits_.batch_bytes) {
-    put_in_writing(batch, small_lane, now);
+    move_to_batch(batch, small_lane, now);
     bytes += batch.back().bytes();
   }
-  bool const others_wait = !lanes_[one_way_lane].empty() || !lanes_[large_lane].empty();
-  small_in_a_row_ = others_wait ? small_in_a_row_ + bytes : 0;
+  bool const larger_wait = !lanes_[one_way_lane].empty() || !lanes_[large_lane].empty();
+  small_in_a_row_ = larger_wait ? small_in_a_row_ + bytes : 0;
   return batch;
 }
 
-void PeerQueue::written() {
+void PeerQueue::finish_batch() {
   for (std::size_t i = 0; i < queue_bounds; ++i) {
-    totals_->bytes[i] -= loads_[i].in_writing;
-    loads_[i].in_writing = 0;
+    totals_->bytes[i] -= loads_[i].being_written;
+    loads_[i].being_written = 0;
   }
 }
 
 std::vector<OutgoingFrame> PeerQueue::take_all() {
   std::vector<OutgoingFrame> all;
   for (std::uint8_t lane = 0; lane < lane_count; ++lane)
-    while (!lanes_[lane].empty()) all.push_back(remove(Place{static_cast<Lane>(lane), lanes_[lane].begin()}));
+    while (!lanes_[lane].empty()) all.push_back(remove(FramePosition{static_cast<Lane>(lane), lanes_[lane].begin()}));
   return all;
 }
 
@@ -122,29 +123,29 @@
 
 std::size_t PeerQueue::bytes() const {
   std::size_t sum = 0;
-  for (Load const& load : loads_) sum += load.bytes + load.in_writing;
+  for (Load const& load : loads_) sum += load.bytes + load.being_written;
   return sum;
 }
 
 DroppedMessages PeerQueue::take_dropped() { return std::exchange(dropped_, DroppedMessages{}); }
 
 QueueBound PeerQueue::bound_of(OutgoingFrame const& f) const {
-  if (f.head.sort == Sort::tell) return QueueBound::one_way;
+  if (f.head.type == FrameType::tell) return QueueBound::one_way;
   return is_large(f) ? QueueBound::large : QueueBound::small;
 }
 
 PeerQueue::Lane PeerQueue::lane_of(OutgoingFrame const& f) const {
-  if (f.head.sort == Sort::tell && (is_large(f) || large_one_way_[f.head.kind] > 0)) return one_way_lane;
+  if (f.head.type == FrameType::tell && (is_large(f) || large_one_way_[f.head.kind] > 0)) return one_way_lane;
   return is_large(f) ? large_lane : small_lane;
 }
 
 // Large requests and responses take turns with large one-way messages.
 PeerQueue::Lane PeerQueue::next_lane() const {
-  bool const news = !lanes_[one_way_lane].empty(), large = !lanes_[large_lane].empty();
-  bool const small_had_theirs = small_in_a_row_ >= limits_.small_in_a_row;
-  if (!lanes_[small_lane].empty() && !(small_had_theirs && (news || large))) return small_lane;
-  if (news && large) return last_of_large_ == large_lane ? one_way_lane : large_lane;
-  return news ? one_way_lane : large_lane;
+  bool const one_way_waits = !lanes_[one_way_lane].empty(), large = !lanes_[large_lane].empty();
+  bool const small_exhausted = small_in_a_row_ >= limits_.small_in_a_row;
+  if (!lanes_[small_lane].empty() && !(small_exhausted && (one_way_waits || large))) return small_lane;
+  if (one_way_waits && large) return last_large_lane_ == large_lane ? one_way_lane : large_lane;
+  return one_way_waits ? one_way_lane : large_lane;
 }
 
 Admission PeerQueue::admits(QueueBound const bound, std::size_t const bytes) const {
@@ -152,23 +153,23 @@
   Load const& load = loads_[index_of(bound)];
   std::size_t const all = totals_->bytes[index_of(bound)];
   if (load.frames >= limit.frames) return Admission::too_many_frames;
-  if (load.frames > 0 && load.bytes + load.in_writing + bytes > limit.bytes) return Admission::too_many_bytes;
+  if (load.frames > 0 && load.bytes + load.being_written + bytes > limit.bytes) return Admission::too_many_bytes;
   if (all > 0 && all + bytes > limit.all_bytes) return Admission::too_many_bytes_of_all;
   return Admission::taken;
 }
 
 // Then dropping what waits here would make no room.
-bool PeerQueue::others_fill(QueueBound const bound, std::size_t const bytes) const {
+bool PeerQueue::others_exhaust_bound(QueueBound const bound, std::size_t const bytes) const {
   std::size_t const others = totals_->bytes[index_of(bound)] - loads_[index_of(bound)].bytes;
   return others > 0 && others + bytes > limits_.of(bound).all_bytes;
 }
 
-OutgoingFrame PeerQueue::remove(Place const place) {
+OutgoingFrame PeerQueue::remove(FramePosition const place) {
   OutgoingFrame frame = std::move(place.at->frame);
   std::uint64_t const number = place.at->number;
   lanes_[place.lane].erase(place.at);
-  if (frame.head.sort == Sort::tell) one_way_.erase(number);
-  if (frame.head.sort == Sort::ask) requests_.erase(frame.head.id);
+  if (frame.head.type == FrameType::tell) one_way_.erase(number);
+  if (frame.head.type == FrameType::ask) requests_.erase(frame.head.id);
   if (place.lane == one_way_lane) --large_one_way_[frame.head.kind];
   std::size_t const i = index_of(bound_of(frame));
   --loads_[i].frames;
@@ -182,18 +183,19 @@
   ++dropped_.over_bound;
 }
 
-void PeerQueue::count_sent(Waiting const& waiting, Instant const now) {
+void PeerQueue::count_sent(QueuedFrame const& waiting, Instant const now) {
   FrameHead const& head = waiting.frame.head;
   SentTotals& sent = totals_->sent;
-  (head.sort == Sort::reply ? sent.responses : sent.requests)[head.kind] += waiting.frame.bytes();
-  if (head.sort == Sort::tell) sent.longest_one_way_wait = std::max(sent.longest_one_way_wait, now - waiting.since);
+  (head.type == FrameType::reply ? sent.responses : sent.requests)[head.kind] += waiting.frame.bytes();
+  if (head.type == FrameType::tell)
+    sent.longest_one_way_wait = std::max(sent.longest_one_way_wait, now - waiting.since);
 }
 
-void PeerQueue::put_in_writing(std::vector<OutgoingFrame>& batch, Lane const lane, Instant const now) {
+void PeerQueue::move_to_batch(std::vector<OutgoingFrame>& batch, Lane const lane, Instant const now) {
   count_sent(lanes_[lane].front(), now);
-  batch.push_back(remove(Place{lane, lanes_[lane].begin()}));
+  batch.push_back(remove(FramePosition{lane, lanes_[lane].begin()}));
   std::size_t const i = index_of(bound_of(batch.back()));
-  loads_[i].in_writing += batch.back().bytes();
+  loads_[i].being_written += batch.back().bytes();
   totals_->bytes[i] += batch.back().bytes();
 }
 
--- a/source/transport/peer_queue.hpp
+++ b/source/transport/peer_queue.hpp
@@ -23,7 +23,7 @@
   SharedBytes payload;  // null: none
 
   /** The frame with the head's length taken from the payload. */
-  static OutgoingFrame of(Sort sort, std::uint8_t kind, std::uint64_t id, SharedBytes payload);
+  static OutgoingFrame of(FrameType type, std::uint8_t kind, std::uint64_t id, SharedBytes payload);
   std::size_t bytes() const { return FrameHead::size + head.length; }
 };
 
@@ -64,7 +64,7 @@
   std::vector<OutgoingFrame> take(Instant now);
 
   /** What was last taken is written, or given up. */
-  void written();
+  void finish_batch();
 
   /** Takes out everything that waits. */
   std::vector<OutgoingFrame> take_all();
@@ -80,20 +80,20 @@
  private:
   enum Lane : std::uint8_t { small_lane, one_way_lane, large_lane, lane_count };
 
-  struct Waiting {
+  struct QueuedFrame {
     OutgoingFrame frame;
     Instant since;
     std::uint64_t number = 0;  // in order of pushing
   };
-  using Frames = std::list<Waiting>;
-  struct Place {
+  using Frames = std::list<QueuedFrame>;
+  struct FramePosition {
     Lane lane = small_lane;
     Frames::iterator at;
   };
   struct Load {
     std::size_t frames = 0;
     std::size_t bytes = 0;
-    std::size_t in_writing = 0;  // bytes
+    std::size_t being_written = 0;  // bytes
   };
 
   bool is_large(OutgoingFrame const& f) const { return f.head.length > limits_.large_above; }
@@ -101,22 +101,22 @@
   Lane lane_of(OutgoingFrame const& f) const;
   Lane next_lane() const;
   Admission admits(QueueBound bound, std::size_t bytes) const;
-  bool others_fill(QueueBound bound, std::size_t bytes) const;
-  OutgoingFrame remove(Place place);
+  bool others_exhaust_bound(QueueBound bound, std::size_t bytes) const;
+  OutgoingFrame remove(FramePosition place);
   void drop_oldest();
-  void put_in_writing(std::vector<OutgoingFrame>& batch, Lane lane, Instant now);
-  void count_sent(Waiting const& waiting, Instant now);
+  void move_to_batch(std::vector<OutgoingFrame>& batch, Lane lane, Instant now);
+  void count_sent(QueuedFrame const& waiting, Instant now);
 
   PeerLimits const limits_;
   std::shared_ptr<QueueTotals> const totals_;
   std::array<Frames, lane_count> lanes_;
   std::array<Load, queue_bounds> loads_;
-  std::map<std::uint64_t, Place> one_way_;  // by number: the oldest first
-  std::unordered_map<std::uint64_t, Place> requests_;
+  std::map<std::uint64_t, FramePosition> one_way_;  // by number: the oldest first
+  std::unordered_map<std::uint64_t, FramePosition> requests_;
   std::array<std::size_t, 256> large_one_way_{};  // how many wait, by kind
   std::uint64_t last_number_ = 0;
   std::size_t small_in_a_row_ = 0;
-  Lane last_of_large_ = large_lane;
+  Lane last_large_lane_ = large_lane;
   DroppedMessages dropped_;
 };
 
--- a/source/transport/peer_session.cpp
+++ b/source/transport/peer_session.cpp
@@ -5,12 +5,12 @@
 
 namespace {
 
-constexpr std::size_t handled_at_once = 4096;
-constexpr Duration nothing_to_write = 3600s;
-constexpr Duration look_for_room_every = 10ms;  // which other peers' queues may make
-std::function<void()> const no_note;            // nobody asks here how far a frame has come
+constexpr std::size_t max_concurrent_requests = 4096;
+constexpr Duration idle_wait = 3600s;
+constexpr Duration room_check_interval = 10ms;     // which other peers' queues may make
+std::function<void()> const no_progress_callback;  // nobody asks here how far a frame has come
 
-std::string name_of(PeerSocket const& socket) {
+std::string remote_address(PeerSocket const& socket) {
   boost::system::error_code ec;
   asio::ip::tcp::endpoint const from = socket.remote_endpoint(ec);
   return ec ? "gone" : from.address().to_string() + ":" + std::to_string(from.port());
@@ -18,20 +18,20 @@
 
 }  // namespace
 
-PeerSession::PeerSession(SocketWorld& world, PeerSocket socket)
-    : world_(world),
+PeerSession::PeerSession(SocketEnvironment& env, PeerSocket socket)
+    : env_(env),
       socket_(std::make_shared<PeerSocket>(std::move(socket))),
-      peer_(name_of(*socket_)),
-      queue_(world.limits_, world.totals_),
-      alarm_(world) {}
+      peer_(remote_address(*socket_)),
+      queue_(env.limits_, env.totals_),
+      alarm_(env) {}
 
 PeerSession::~PeerSession() {
   while (!held_back_.empty()) drop_held_back(held_back_.begin());
 }
 
 void PeerSession::start() {
-  world_.start(read_requests(), shared_from_this());
-  world_.start(write_responses(), shared_from_this());
+  env_.start(read_requests(), shared_from_this());
+  env_.start(write_responses(), shared_from_this());
 }
 
 void PeerSession::close() {
@@ -48,8 +48,8 @@
   auto const held_back = std::find_if(held_back_.begin(), held_back_.end(),
                                       [id](OutgoingFrame const& response) { return response.head.id == id; });
   if (held_back != held_back_.end()) drop_held_back(held_back);
-  auto const found = under_way_.find(id);
-  if (found == under_way_.end()) return;  // answered already
+  auto const found = in_progress_.find(id);
+  if (found == in_progress_.end()) return;  // answered already
   SharedCancellation const cancellation = found->second;
   cancellation->request();
 }
@@ -57,55 +57,55 @@
 // Their answers can't be delivered any more.
 void PeerSession::cancel_all() {
   std::vector<SharedCancellation> all;
-  for (auto const& [id, cancellation] : under_way_) all.push_back(cancellation);
-  under_way_.clear();
+  for (auto const& [id, cancellation] : in_progress_) all.push_back(cancellation);
+  in_progress_.clear();
   for (SharedCancellation const& cancellation : all) cancellation->request();
 }
 
 // Counts the bytes of a large request, as they are about to be read.
-bool PeerSession::has_room_to_take(FrameHead const& head) {
+bool PeerSession::try_accept(FrameHead const& head) {
   if (!is_large_request(head)) return true;
-  std::size_t& taken = world_.totals_->taken;
-  if (taken > 0 && taken + head.length > world_.limits_.taken_bytes) return false;
+  std::size_t& taken = env_.totals_->taken;
+  if (taken > 0 && taken + head.length > env_.limits_.accepted_request_bytes) return false;
   taken += head.length;
   return true;
 }
 
-void PeerSession::release_taken(FrameHead const& head) {
-  if (is_large_request(head)) world_.totals_->taken -= head.length;
+void PeerSession::release_accepted(FrameHead const& head) {
+  if (is_large_request(head)) env_.totals_->taken -= head.length;
 }
 
 bool PeerSession::is_large_request(FrameHead const& head) const {
-  return head.sort == Sort::ask && head.length > world_.limits_.large_above;
+  return head.type == FrameType::ask && head.length > env_.limits_.large_above;
 }
 
 Task<void> PeerSession::read_requests() {
   std::optional<FrameHead> being_read;
   FrameFilter const has_room = [this, &being_read](FrameHead const& head) {
-    bool const taken = has_room_to_take(head);
+    bool const taken = try_accept(head);
     if (taken) being_read = head;
     return taken;
   };
   while (!closed_) {
     being_read.reset();
-    Result<ReceivedFrame> frame = co_await read_frame(*socket_, no_note, has_room);
+    Result<ReceivedFrame> frame = co_await read_frame(*socket_, no_progress_callback, has_room);
     if (frame && frame->skipped) {
-      respond(OutgoingFrame::of(Sort::refused, frame->head.kind, frame->head.id, nullptr));
+      respond(OutgoingFrame::of(FrameType::refused, frame->head.kind, frame->head.id, nullptr));
       continue;
     }
-    if (frame && frame->head.sort == Sort::ask && frame->head.kind == ping_kind) {
-      respond(OutgoingFrame::of(Sort::reply, ping_kind, frame->head.id, nullptr));
+    if (frame && frame->head.type == FrameType::ask && frame->head.kind == ping_kind) {
+      respond(OutgoingFrame::of(FrameType::reply, ping_kind, frame->head.id, nullptr));
       continue;
     }
-    if (frame && frame->head.sort == Sort::cancel) {
+    if (frame && frame->head.type == FrameType::cancel) {
       cancel(frame->head.id);
       continue;
     }
-    if (frame && frame->head.sort != Sort::reply && world_.desk_->handlers[frame->head.kind]) {
-      while (has_enough_to_do() && !closed_) co_await sleep_for(world_, 1ms);
+    if (frame && frame->head.type != FrameType::reply && env_.dispatcher_->handlers[frame->head.kind]) {
+      while (is_at_capacity() && !closed_) co_await sleep_for(env_, 1ms);
       ++handling_;
       being_read.reset();
-      world_.start(answer(std::move(*frame)), shared_from_this());
+      env_.start(answer(std::move(*frame)), shared_from_this());
       continue;
     }
     std::string const reason =
@@ -114,21 +114,21 @@
       log_warn("bad_frame", {{"step", "read_frame"}, {"peer", peer_}, {"reason", reason}});
     break;
   }
-  if (being_read) release_taken(*being_read);
+  if (being_read) release_accepted(*being_read);
   close();
 }
 
 // A peer that asks for more than it reads is held up itself.
-bool PeerSession::has_enough_to_do() const { return handling_ >= handled_at_once || !held_back_.empty(); }
+bool PeerSession::is_at_capacity() const { return handling_ >= max_concurrent_requests || !held_back_.empty(); }
 
 Task<void> PeerSession::answer(ReceivedFrame request) {
   FrameHead const head = request.head;
   SharedCancellation const cancellation = std::make_shared<Cancellation>();
-  if (head.sort == Sort::ask) under_way_[head.id] = cancellation;
-  Result<Bytes> reply = co_await world_.desk_->handlers[head.kind](std::move(request.payload), cancellation);
+  if (head.type == FrameType::ask) in_progress_[head.id] = cancellation;
+  Result<Bytes> reply = co_await env_.dispatcher_->handlers[head.kind](std::move(request.payload), cancellation);
   --handling_;
-  release_taken(head);
-  under_way_.erase(head.id);
+  release_accepted(head);
+  in_progress_.erase(head.id);
   if (!reply) {
     log_warn("bad_frame", {{"step", reply.error().step},
                            {"peer", peer_},
@@ -138,33 +138,33 @@
     close();
     co_return;
   }
-  if (head.sort != Sort::ask || closed_) co_return;
+  if (head.type != FrameType::ask || closed_) co_return;
   SharedBytes const payload = std::make_shared<Bytes const>(std::move(*reply));
-  respond(OutgoingFrame::of(Sort::reply, head.kind, head.id, payload));
+  respond(OutgoingFrame::of(FrameType::reply, head.kind, head.id, payload));
 }
 
 void PeerSession::respond(OutgoingFrame response) {
   if (!queue_.has_room_for(response)) return hold_back(std::move(response));
-  queue_.push(std::move(response), world_.now());
+  queue_.push(std::move(response), env_.now());
   alarm_.wake();
 }
 
 // The requests behind the other responses have run as well: none of them is worth less than this one.
 void PeerSession::hold_back(OutgoingFrame response) {
-  if (world_.totals_->held_back + response.bytes() > world_.limits_.held_back_bytes) {
+  if (env_.totals_->held_back + response.bytes() > env_.limits_.held_back_bytes) {
     log_warn("response_dropped", {{"step", "respond"},
                                   {"peer", peer_},
                                   {"length", std::to_string(response.head.length)},
-                                  {"held_back", std::to_string(world_.totals_->held_back)}});
-    response = OutgoingFrame::of(Sort::reply, response.head.kind, response.head.id, nullptr);
+                                  {"held_back", std::to_string(env_.totals_->held_back)}});
+    response = OutgoingFrame::of(FrameType::reply, response.head.kind, response.head.id, nullptr);
   }
-  world_.totals_->held_back += response.bytes();
+  env_.totals_->held_back += response.bytes();
   held_back_.push_back(std::move(response));
   alarm_.wake();
 }
 
 std::list<OutgoingFrame>::iterator PeerSession::drop_held_back(std::list<OutgoingFrame>::iterator const at) {
-  world_.totals_->held_back -= at->bytes();
+  env_.totals_->held_back -= at->bytes();
   return held_back_.erase(at);
 }
 
@@ -174,7 +174,7 @@
       ++at;
       continue;
     }
-    queue_.push(*at, world_.now());
+    queue_.push(*at, env_.now());
     at = drop_held_back(at);
   }
 }
@@ -182,13 +182,14 @@
 Task<void> PeerSession::write_responses() {
   while (!closed_) {
     queue_held_back();
-    std::vector<OutgoingFrame> const batch = queue_.take(world_.now());
+    std::vector<OutgoingFrame> const batch = queue_.take(env_.now());
     if (batch.empty()) {
-      co_await alarm_.wait(world_.now() + (held_back_.empty() ? nothing_to_write : look_for_room_every));
+      co_await alarm_.wait(env_.now() + (held_back_.empty() ? idle_wait : room_check_interval));
       continue;
     }
-    boost::system::error_code const ec = co_await write_frames(socket_, batch, world_.limits_.write_stall, no_note);
-    queue_.written();
+    boost::system::error_code const ec =
+        co_await write_frames(socket_, batch, env_.limits_.write_stall, no_progress_callback);
+    queue_.finish_batch();
     if (ec) close();
   }
 }
--- a/source/transport/peer_session.hpp
+++ b/source/transport/peer_session.hpp
@@ -18,7 +18,7 @@
 
 class PeerSession : public std::enable_shared_from_this<PeerSession> {
  public:
-  PeerSession(SocketWorld& world, PeerSocket socket);
+  PeerSession(SocketEnvironment& env, PeerSocket socket);
   PeerSession(PeerSession const&) = delete;
   PeerSession& operator=(PeerSession const&) = delete;
   ~PeerSession();
@@ -29,9 +29,9 @@
 
  private:
   Task<void> read_requests();
-  bool has_enough_to_do() const;
-  bool has_room_to_take(FrameHead const& head);
-  void release_taken(FrameHead const& head);
+  bool is_at_capacity() const;
+  bool try_accept(FrameHead const& head);
+  void release_accepted(FrameHead const& head);
   bool is_large_request(FrameHead const& head) const;
   Task<void> answer(ReceivedFrame request);
   Task<void> write_responses();
@@ -42,14 +42,14 @@
   void queue_held_back();
   std::list<OutgoingFrame>::iterator drop_held_back(std::list<OutgoingFrame>::iterator at);
 
-  SocketWorld& world_;
+  SocketEnvironment& env_;
   std::shared_ptr<PeerSocket> const socket_;
   std::string const peer_;
   PeerQueue queue_;
   std::list<OutgoingFrame> held_back_;  // in the order of their coming
-  SocketWorld::Alarm alarm_;
+  SocketEnvironment::Alarm alarm_;
   std::size_t handling_ = 0;
-  tsl::robin_map<std::uint64_t, SharedCancellation> under_way_;  // requests by id
+  tsl::robin_map<std::uint64_t, SharedCancellation> in_progress_;  // requests by id
   bool closed_ = false;
 };
 
--- a/source/transport/peer_socket.cpp
+++ b/source/transport/peer_socket.cpp
@@ -12,28 +12,28 @@
 
 namespace {
 
-constexpr int unacknowledged_limit_ms = 1500;
-constexpr int unsent_in_kernel = 32 << 10;
-constexpr std::size_t read_piece = 64u << 10;
-constexpr std::size_t write_piece = 32u << 10;
-constexpr std::size_t joined_up_to = 8u << 10;
+constexpr int user_timeout_ms = 1500;
+constexpr int kernel_unsent_limit = 32 << 10;
+constexpr std::size_t read_chunk = 64u << 10;
+constexpr std::size_t write_chunk = 32u << 10;
+constexpr std::size_t max_copied_payload = 8u << 10;
 
 // The bytes of some frames, in order. Small payloads are copied next to their
 // heads, large ones are written from where they are.
 class FrameBytes {
  public:
   explicit FrameBytes(std::vector<OutgoingFrame> const& frames) {
-    std::size_t joined = 0;
-    for (OutgoingFrame const& f : frames) joined += FrameHead::size + (is_joined(f) ? f.head.length : 0);
-    joined_.reserve(joined);  // so that no part moves
+    std::size_t copied_bytes = 0;
+    for (OutgoingFrame const& f : frames) copied_bytes += FrameHead::size + (is_copied(f) ? f.head.length : 0);
+    copied_.reserve(copied_bytes);  // so that no part moves
     for (OutgoingFrame const& f : frames) add(f);
   }
 
-  bool done() const { return next_ == parts_.size(); }
+  bool all_consumed() const { return next_ == parts_.size(); }
 
-  std::vector<asio::const_buffer> piece() const {
+  std::vector<asio::const_buffer> chunk() const {
     std::vector<asio::const_buffer> out;
-    std::size_t left = write_piece;
+    std::size_t left = write_chunk;
     for (std::size_t i = next_; i < parts_.size() && left > 0; ++i) {
       out.push_back(asio::buffer(parts_[i], left));
       left -= out.back().size();
@@ -47,15 +47,15 @@
   }
 
  private:
-  static bool is_joined(OutgoingFrame const& f) { return f.head.length <= joined_up_to; }
+  static bool is_copied(OutgoingFrame const& f) { return f.head.length <= max_copied_payload; }
 
   void add(OutgoingFrame const& f) {
-    std::size_t const at = joined_.size();
-    joined_.resize(at + FrameHead::size);
-    f.head.write(joined_.data() + at);
-    if (f.payload && is_joined(f)) joined_ += *f.payload;
-    add_part(asio::buffer(joined_.data() + at, joined_.size() - at));
-    if (f.payload && !is_joined(f)) add_part(asio::buffer(*f.payload));
+    std::size_t const at = copied_.size();
+    copied_.resize(at + FrameHead::size);
+    f.head.write(copied_.data() + at);
+    if (f.payload && is_copied(f)) copied_ += *f.payload;
+    add_part(asio::buffer(copied_.data() + at, copied_.size() - at));
+    if (f.payload && !is_copied(f)) add_part(asio::buffer(*f.payload));
   }
 
   void add_part(asio::const_buffer const part) {
@@ -67,7 +67,7 @@
       parts_.push_back(part);
   }
 
-  Bytes joined_;
+  Bytes copied_;
   std::vector<asio::const_buffer> parts_;
   std::size_t next_ = 0;
 };
@@ -80,11 +80,11 @@
 }
 
 Task<boost::system::error_code> skip(PeerSocket& socket, std::size_t left, std::function<void()> const& on_progress) {
-  Bytes piece(std::min(left, read_piece), '\0');
+  Bytes chunk(std::min(left, read_chunk), '\0');
   boost::system::error_code ec;
   while (left > 0 && !ec) {
-    std::size_t const count = std::min(left, piece.size());
-    co_await asio::async_read(socket, asio::buffer(piece, count), asio::redirect_error(asio::use_awaitable, ec));
+    std::size_t const count = std::min(left, chunk.size());
+    co_await asio::async_read(socket, asio::buffer(chunk, count), asio::redirect_error(asio::use_awaitable, ec));
     left -= count;
     if (!ec && on_progress) on_progress();
   }
@@ -96,10 +96,10 @@
 void prepare(PeerSocket& socket) {
   boost::system::error_code ignored;
   socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-  ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &unacknowledged_limit_ms,
-               sizeof unacknowledged_limit_ms);
+  ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &user_timeout_ms, sizeof user_timeout_ms);
   // Where it is refused more waits in the kernel; nothing else changes.
-  ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_NOTSENT_LOWAT, &unsent_in_kernel, sizeof unsent_in_kernel);
+  ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_NOTSENT_LOWAT, &kernel_unsent_limit,
+               sizeof kernel_unsent_limit);
 }
 
 void reset(PeerSocket& socket) {
@@ -109,7 +109,7 @@
 }
 
 Task<Result<ReceivedFrame>> read_frame(PeerSocket& socket, std::function<void()> const& on_progress,
-                                       FrameFilter const& keeps) {
+                                       FrameFilter const& filter) {
   char raw[FrameHead::size];
   boost::system::error_code ec;
   co_await asio::async_read(socket, asio::buffer(raw), asio::redirect_error(asio::use_awaitable, ec));
@@ -118,7 +118,7 @@
   if (!head) co_return tl::unexpected<Error>(head.error());
   if (on_progress) on_progress();
   ReceivedFrame frame{*head, {}};
-  if (keeps && !keeps(*head)) {
+  if (filter && !filter(*head)) {
     frame.skipped = true;
     ec = co_await skip(socket, head->length, on_progress);
     if (ec) co_return make_error("read_frame", "", ec.message());
@@ -127,7 +127,7 @@
   frame.payload.reserve(head->length);  // memory is only used as the bytes come
   while (frame.payload.size() < head->length) {
     std::size_t const at = frame.payload.size();
-    frame.payload.resize(std::min<std::size_t>(head->length, at + read_piece));
+    frame.payload.resize(std::min<std::size_t>(head->length, at + read_chunk));
     co_await asio::async_read(socket, asio::buffer(&frame.payload[at], frame.payload.size() - at),
                               asio::redirect_error(asio::use_awaitable, ec));
     if (ec) co_return make_error("read_frame", "", ec.message());
@@ -142,11 +142,11 @@
   FrameBytes bytes(frames);
   asio::steady_timer stalled(socket->get_executor());
   boost::system::error_code ec;
-  while (!ec && !bytes.done()) {
+  while (!ec && !bytes.all_consumed()) {
     stalled.expires_after(stall_limit);
     close_unless_cancelled(stalled, socket);
-    std::vector<asio::const_buffer> const piece = bytes.piece();
-    std::size_t const count = co_await socket->async_write_some(piece, asio::redirect_error(asio::use_awaitable, ec));
+    std::vector<asio::const_buffer> const chunk = bytes.chunk();
+    std::size_t const count = co_await socket->async_write_some(chunk, asio::redirect_error(asio::use_awaitable, ec));
     bytes.consume(count);
     if (!ec && on_progress) on_progress();
   }
--- a/source/transport/peer_socket.hpp
+++ b/source/transport/peer_socket.hpp
@@ -29,7 +29,7 @@
 
 /** A mishap without a reason is the end of the connection between two frames. `on_progress` runs with every piece. */
 Task<Result<ReceivedFrame>> read_frame(PeerSocket& socket, std::function<void()> const& on_progress,
-                                       FrameFilter const& keeps = nullptr);
+                                       FrameFilter const& filter = nullptr);
 
 /** Closes the socket when the peer takes no byte for `stall_limit`. `on_progress` runs with every piece. */
 Task<boost::system::error_code> write_frames(std::shared_ptr<PeerSocket> socket,
--- a/source/transport/socket_world.cpp
+++ b/source/transport/socket_world.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-static_assert(Environment<SocketWorld>);
+static_assert(Environment<SocketEnvironment>);
 
 Result<asio::ip::tcp::endpoint> parse_address(Address const& a) {
   std::size_t const colon = a.rfind(':');
@@ -33,9 +33,9 @@
   (void)started;
 }
 
-SocketWorld::Alarm::Alarm(SocketWorld& env) : timer_(env.executor()) {}
+SocketEnvironment::Alarm::Alarm(SocketEnvironment& env) : timer_(env.executor()) {}
 
-Task<bool> SocketWorld::Alarm::wait(Instant const until) {
+Task<bool> SocketEnvironment::Alarm::wait(Instant const until) {
   if (woken_) {
     woken_ = false;
     co_return false;
@@ -48,21 +48,21 @@
   co_return ran_out;
 }
 
-void SocketWorld::Alarm::wake() {
+void SocketEnvironment::Alarm::wake() {
   woken_ = true;
   timer_.cancel();
 }
 
-SocketWorld::SocketWorld(PeerLimits const& limits)
+SocketEnvironment::SocketEnvironment(PeerLimits const& limits)
     : io_(crossplat::threadpool::shared_instance().service()),
       chance_(std::random_device{}()),
       limits_(limits),
       totals_(std::make_shared<QueueTotals>()),
       task_ended_(*this) {}
 
-SocketWorld::~SocketWorld() = default;
+SocketEnvironment::~SocketEnvironment() = default;
 
-Result<Address> SocketWorld::listen(Address const& at) {
+Result<Address> SocketEnvironment::listen(Address const& at) {
   Result<asio::ip::tcp::endpoint> ep = parse_address(at);
   if (!ep) return tl::unexpected<Error>(ep.error());
   boost::system::error_code ec;
@@ -75,13 +75,13 @@
   return ep->address().to_string() + ":" + std::to_string(acceptor_->local_endpoint().port());
 }
 
-void SocketWorld::serve(Dispatcher& dispatcher) {
+void SocketEnvironment::serve(Dispatcher& dispatcher) {
   desk_ = &dispatcher;
   start(accept());
 }
 
-Task<Result<Bytes>> SocketWorld::ask_raw(Address const peer, std::uint8_t const kind, Bytes payload,
-                                         Instant const deadline, SharedCancellation cancellation) {
+Task<Result<Bytes>> SocketEnvironment::ask_raw(Address const peer, std::uint8_t const kind, Bytes payload,
+                                               Instant const deadline, SharedCancellation cancellation) {
   if (payload.size() > frame_limit) co_return make_error("ask", peer, "frame over the limit", Proof::not_run);
   if (stopping_) co_return make_error("ask", peer, "stopping", Proof::not_run);
   std::shared_ptr<PeerConnection> const connection = connection_to(peer);
@@ -90,12 +90,12 @@
   co_return reply;
 }
 
-void SocketWorld::tell_raw(Address const& peer, std::uint8_t const kind, SharedBytes const& payload) {
+void SocketEnvironment::tell_raw(Address const& peer, std::uint8_t const kind, SharedBytes const& payload) {
   if (payload->size() > frame_limit || stopping_) return;
   connection_to(peer)->tell(kind, payload);
 }
 
-Task<void> SocketWorld::stop() {
+Task<void> SocketEnvironment::stop() {
   stopping_ = true;
   boost::system::error_code ignored;
   if (acceptor_) acceptor_->close(ignored);
@@ -107,7 +107,7 @@
   while (tasks_ > 0) co_await task_ended_.wait(now() + 1s);
 }
 
-void SocketWorld::start(Task<void> task, std::shared_ptr<void const> owner) {
+void SocketEnvironment::start(Task<void> task, std::shared_ptr<void const> owner) {
   ++tasks_;
   asio::co_spawn(io_, std::move(task), [this, owner = std::move(owner)](std::exception_ptr const e) {
     --tasks_;
@@ -121,7 +121,7 @@
   });
 }
 
-std::shared_ptr<PeerConnection> SocketWorld::connection_to(Address const& peer) {
+std::shared_ptr<PeerConnection> SocketEnvironment::connection_to(Address const& peer) {
   std::shared_ptr<PeerConnection>& connection = connections_[peer];
   if (!connection) connection = std::make_shared<PeerConnection>(*this, peer);
   std::shared_ptr<PeerConnection> const found = connection;
@@ -129,18 +129,18 @@
   return found;
 }
 
-Task<void> SocketWorld::keep(std::shared_ptr<PeerConnection> const connection) {
+Task<void> SocketEnvironment::keep(std::shared_ptr<PeerConnection> const connection) {
   co_await connection->keep();
   if (!connection->is_owed()) connections_.erase(connection->peer());
 }
 
 // Runs only while answers are owed.
-Duration SocketWorld::silence_of(Address const& peer) const {
+Duration SocketEnvironment::silence_of(Address const& peer) const {
   auto const found = connections_.find(peer);
   return found == connections_.end() ? Duration::zero() : found->second->silence();
 }
 
-Task<void> SocketWorld::watch_connections() {
+Task<void> SocketEnvironment::watch_connections() {
   bool owed = true;
   while (owed && !stopping_) {
     co_await sleep_for(*this, PeerConnection::watch_period);
@@ -153,11 +153,11 @@
   watching_ = false;
 }
 
-void SocketWorld::drop_late_messages() {
+void SocketEnvironment::drop_late_messages() {
   for (auto const& [peer, connection] : connections_) connection->drop_late(now());
 }
 
-Task<void> SocketWorld::accept() {
+Task<void> SocketEnvironment::accept() {
   while (!stopping_) {
     boost::system::error_code ec;
     PeerSocket socket = co_await acceptor_->async_accept(asio::redirect_error(asio::use_awaitable, ec));
--- a/source/transport/socket_world.hpp
+++ b/source/transport/socket_world.hpp
@@ -26,11 +26,11 @@
 /** Starts the library's pool, with the one thread that carries everything. */
 void start_pool();
 
-class SocketWorld {
+class SocketEnvironment {
  public:
   class Alarm {
    public:
-    explicit Alarm(SocketWorld& env);
+    explicit Alarm(SocketEnvironment& env);
     /** True when the time came, false when it was woken before. */
     Task<bool> wait(Instant until);
     void wake();
@@ -40,10 +40,10 @@
     bool woken_ = false;
   };
 
-  explicit SocketWorld(PeerLimits const& limits = {});
-  SocketWorld(SocketWorld const&) = delete;
-  SocketWorld& operator=(SocketWorld const&) = delete;
-  ~SocketWorld();
+  explicit SocketEnvironment(PeerLimits const& limits = {});
+  SocketEnvironment(SocketEnvironment const&) = delete;
+  SocketEnvironment& operator=(SocketEnvironment const&) = delete;
+  ~SocketEnvironment();
 
   Instant now() const { return std::chrono::steady_clock::now(); }
   std::mt19937_64& chance() { return chance_; }
--- a/tests/programs/client_leaves_test.cpp
+++ b/tests/programs/client_leaves_test.cpp
@@ -73,7 +73,7 @@
 
 TEST_P(ClientLeavesOnEachWay, what_waits_for_a_slot_never_reaches_the_backend) {
   play(GetParam(), 1, [](LeavingTrial& trial) -> Task<void> {
-    RequestPath<SocketWorld, LocalBackend<SocketWorld>>& path = trial.taker().node().path();
+    RequestPath<SocketEnvironment, LocalBackend<SocketEnvironment>>& path = trial.taker().node().path();
     std::shared_ptr<TestClient> const first = co_await ask(trial, "orders", "a-1");
     std::shared_ptr<Peer> const run = co_await run_of(trial, "a-1");
     // Neither idempotent nor other requests may reach the backend after their client left.
@@ -161,7 +161,7 @@
     std::shared_ptr<Peer> const run = co_await run_of(trial, "a-1");
     leaver->close();
     EXPECT_TRUE(co_await ends(run));
-    RequestPath<SocketWorld, LocalBackend<SocketWorld>>& path = trial.taker().node().path();
+    RequestPath<SocketEnvironment, LocalBackend<SocketEnvironment>>& path = trial.taker().node().path();
     EXPECT_TRUE(co_await until([&] { return path.in_flight() == 0; }));
     EXPECT_EQ(path.counts().failed, 0u);
     EXPECT_EQ(path.counts().refused, 0u);
--- a/tests/programs/client_leaves_trial.hpp
+++ b/tests/programs/client_leaves_trial.hpp
@@ -122,7 +122,7 @@
     ConnectionsFactory const factory = [this](Address const& address, std::size_t const limit) {
       return std::make_unique<BackendConnections>(world_.io(), address, limit);
     };
-    node_ = std::make_unique<MeshNode<SocketWorld>>(world_, settings, adapter_, factory);
+    node_ = std::make_unique<MeshNode<SocketEnvironment>>(world_, settings, adapter_, factory);
     HttpHandler const handler = [this](HttpRequest q, std::shared_ptr<HttpExchange> x) {
       return node_->request(std::move(q), std::move(x));
     };
@@ -136,7 +136,7 @@
 
   Address const& clients() const { return clients_; }
   Address const& peers() const { return peers_; }
-  MeshNode<SocketWorld>& node() { return *node_; }
+  MeshNode<SocketEnvironment>& node() { return *node_; }
   HttpServer& server() { return *server_; }
 
   /// Sends the node the first heartbeat of a backend.
@@ -171,13 +171,13 @@
     adapter_.heartbeat_reply = [](HeartbeatAnswer const&) { return InterfaceReply{200, "", "", "", ""}; };
   }
 
-  SocketWorld world_;
+  SocketEnvironment world_;
   Address const peers_;
   Address clients_;
   Dispatcher dispatcher_;
   InterfaceAdapter adapter_;
   BackendHeartbeat beat_;
-  std::unique_ptr<MeshNode<SocketWorld>> node_;
+  std::unique_ptr<MeshNode<SocketEnvironment>> node_;
   std::unique_ptr<HttpServer> server_;
 };
 
--- a/tests/transport/http_edge_test.cpp
+++ b/tests/transport/http_edge_test.cpp
@@ -66,7 +66,7 @@
 inline testing::Environment* const pool_emptied = testing::AddGlobalTestEnvironment(new PoolEmptied());
 
 // They stay for the whole test run, as the pool does.
-inline CrookedBackend* crooked(SocketWorld& env, std::string const& bytes) {
+inline CrookedBackend* crooked(SocketEnvironment& env, std::string const& bytes) {
   static std::vector<CrookedBackend*>* const all = new std::vector<CrookedBackend*>();
   return on_pool([&]() {
     all->push_back(new CrookedBackend(env.io(), bytes));
@@ -74,8 +74,8 @@
   });
 }
 
-inline Result<HttpReply> call_port(SocketWorld& env, std::uint16_t const port, HttpRequest q) {
-  HttpCaller<SocketWorld> caller(env);
+inline Result<HttpReply> call_port(SocketEnvironment& env, std::uint16_t const port, HttpRequest q) {
+  HttpCaller<SocketEnvironment> caller(env);
   std::promise<Result<HttpReply>> p;
   on_pool([&]() {
     asio::co_spawn(env.executor(), caller.run(port, std::move(q), env.now() + 20s),
@@ -89,7 +89,7 @@
 
 TEST(HttpEdge, only_a_whole_reply_is_an_answer_and_nothing_is_sent_twice) {
   start_pool();
-  SocketWorld env;
+  SocketEnvironment env;
   struct Trap {
     std::string bytes;
     bool good;
@@ -122,7 +122,7 @@
 
 TEST(HttpEdge, a_refused_connection_is_proof_that_nothing_ran) {
   start_pool();
-  SocketWorld env;
+  SocketEnvironment env;
   std::uint16_t const port = on_pool([&]() {
     return asio::ip::tcp::acceptor(env.io(), {asio::ip::address_v4::loopback(), 0}).local_endpoint().port();
   });
@@ -134,7 +134,7 @@
 
 TEST(HttpEdge, method_path_query_headers_and_body_go_as_they_came) {
   start_pool();
-  SocketWorld env;
+  SocketEnvironment env;
   CrookedBackend* const b = crooked(env, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   for (std::string const bad : {"//a/../b", "x", "/a b"}) {
     Result<HttpReply> const r = call_port(env, b->port(), HttpRequest{"POST", bad, {}, ""});
@@ -165,7 +165,7 @@
   return got;
 }
 
-inline Address free_address(SocketWorld& env) {
+inline Address free_address(SocketEnvironment& env) {
   return "127.0.0.1:" + std::to_string(on_pool([&]() {
            return asio::ip::tcp::acceptor(env.io(), {asio::ip::address_v4::loopback(), 0}).local_endpoint().port();
          }));
@@ -173,7 +173,7 @@
 
 TEST(HttpEdge, every_cookie_arrives_on_its_own_line_or_the_answer_is_no_answer) {
   start_pool();
-  SocketWorld env;
+  SocketEnvironment env;
   CrookedBackend* const b = crooked(
       env,
       "HTTP/1.1 200 OK\r\nSet-Cookie: a=1; Expires=Wed, 21 Oct 2026 07:28:00 GMT\r\nSet-Cookie: b=2; Path=/\r\nSet-Cookie: c=\r\nVary: x\r\nVary: y\r\nContent-Length: 0\r\n\r\n");
--- a/tests/transport/peer_queue_test.cpp
+++ b/tests/transport/peer_queue_test.cpp
@@ -21,8 +21,9 @@
   return limits;
 }
 
-OutgoingFrame frame(Sort const sort, std::uint64_t const id, std::size_t const size, std::uint8_t const of = kind) {
-  return OutgoingFrame::of(sort, of, id, std::make_shared<Bytes const>(size, 'x'));
+OutgoingFrame frame(FrameType const type, std::uint64_t const id, std::size_t const size,
+                    std::uint8_t const of = kind) {
+  return OutgoingFrame::of(type, of, id, std::make_shared<Bytes const>(size, 'x'));
 }
 
 using Ids = std::vector<std::uint64_t>;
@@ -36,15 +37,15 @@
 class Fixture {
  public:
   explicit Fixture(PeerLimits const& l = small_limits()) : limits(l) {}
-  Admission push(Sort const sort, std::uint64_t const id, std::size_t const size, std::uint8_t const of = kind) {
-    return queue.push(frame(sort, id, size, of), now);
+  Admission push(FrameType const type, std::uint64_t const id, std::size_t const size, std::uint8_t const of = kind) {
+    return queue.push(frame(type, id, size, of), now);
   }
   // Everything in the order in which it is written.
-  Ids written() {
+  Ids finish_batch() {
     Ids all;
     while (true) {
       Ids const batch = ids_of(queue.take(now));
-      queue.written();
+      queue.finish_batch();
       if (batch.empty()) return all;
       all.insert(all.end(), batch.begin(), batch.end());
     }
@@ -75,7 +76,7 @@
   std::size_t over_bound = 0, late = 0;
 
   static QueueBound bound(PeerLimits const& limits, OutgoingFrame const& f) {
-    if (f.head.sort == Sort::tell) return QueueBound::one_way;
+    if (f.head.type == FrameType::tell) return QueueBound::one_way;
     return f.head.length > limits.large_above ? QueueBound::large : QueueBound::small;
   }
   std::size_t bytes_waiting(QueueBound const b) const {
@@ -98,7 +99,7 @@
     drop_late(now);
     QueueBound const b = bound(limits_, f);
     QueueLimit const& limit = limits_.of(b);
-    bool const one_way = f.head.sort == Sort::tell;
+    bool const one_way = f.head.type == FrameType::tell;
     while (true) {
       std::size_t const all = bytes_of_all(b), others = all - bytes_waiting(b);
       std::size_t frames = 0;
@@ -122,13 +123,13 @@
 
   void drop_late(Instant const now) {
     late += std::erase_if(waiting, [&](ModelEntry const& e) {
-      return e.frame.head.sort == Sort::tell && now - e.since > limits_.one_way_wait;
+      return e.frame.head.type == FrameType::tell && now - e.since > limits_.one_way_wait;
     });
   }
 
   bool withdraw(std::uint64_t const id) {
     return std::erase_if(waiting, [&](ModelEntry const& e) {
-             return e.frame.head.sort == Sort::ask && e.frame.head.id == id;
+             return e.frame.head.type == FrameType::ask && e.frame.head.id == id;
            }) > 0;
   }
 
@@ -156,7 +157,7 @@
  private:
   ModelLane lane(OutgoingFrame const& f) const {
     bool const large = f.head.length > limits_.large_above;
-    if (f.head.sort != Sort::tell) return large ? ModelLane::large : ModelLane::small;
+    if (f.head.type != FrameType::tell) return large ? ModelLane::large : ModelLane::small;
     bool const follows = std::any_of(waiting.begin(), waiting.end(), [&](ModelEntry const& e) {
       return e.lane == ModelLane::news && e.frame.head.kind == f.head.kind;
     });
@@ -173,7 +174,7 @@
   }
   void erase_first_one_way() {
     waiting.erase(std::find_if(waiting.begin(), waiting.end(),
-                               [](ModelEntry const& e) { return e.frame.head.sort == Sort::tell; }));
+                               [](ModelEntry const& e) { return e.frame.head.type == FrameType::tell; }));
   }
 
   PeerLimits const limits_;
@@ -206,7 +207,7 @@
       ASSERT_EQ(ids_of(queue.take(now_)), ids_of(model.take(now_)));
       taken_ += model.in_writing.size();
     } else if (what < 97) {
-      queue.written();
+      queue.finish_batch();
       model.in_writing.clear();
     } else if (what < 98) {
       ASSERT_EQ(queue.take_all().size(), model.waiting.size());
@@ -242,11 +243,11 @@
 
  private:
   void push(PeerQueue& queue, Model& model) {
-    Sort const sort = static_cast<Sort>(chance_() % 3);
+    FrameType const type = static_cast<FrameType>(chance_() % 3);
     std::size_t const size = chance_() % 40 == 0  ? chance_() % 5000
                              : chance_() % 4 == 0 ? chance_() % 500
                                                   : chance_() % 80;
-    OutgoingFrame const f = frame(sort, ++last_id_, size, chance_() % 2 == 0 ? kind : other_kind);
+    OutgoingFrame const f = frame(type, ++last_id_, size, chance_() % 2 == 0 ? kind : other_kind);
     Admission const admission = queue.push(f, now_);
     ASSERT_EQ(admission, model.push(f, now_));
     ++admissions[static_cast<std::size_t>(admission)];
@@ -286,22 +287,22 @@
 
 TEST(PeerQueue, small_frames_go_first_and_each_lane_keeps_its_order) {
   Fixture f;
-  f.push(Sort::ask, 1, 300);
-  f.push(Sort::ask, 2, 10);
-  f.push(Sort::ask, 3, 300);
-  f.push(Sort::ask, 4, 10);
-  f.push(Sort::tell, 5, 10);
-  EXPECT_EQ(f.written(), (Ids{2, 4, 5, 1, 3}));
+  f.push(FrameType::ask, 1, 300);
+  f.push(FrameType::ask, 2, 10);
+  f.push(FrameType::ask, 3, 300);
+  f.push(FrameType::ask, 4, 10);
+  f.push(FrameType::tell, 5, 10);
+  EXPECT_EQ(f.finish_batch(), (Ids{2, 4, 5, 1, 3}));
 }
 
 TEST(PeerQueue, large_frames_have_their_turn_while_small_ones_keep_coming) {
   Fixture f;
-  f.push(Sort::ask, 1, 300);
+  f.push(FrameType::ask, 1, 300);
   std::size_t small_before = 0;
   for (std::uint64_t id = 2; id < 1000; ++id) {
-    ASSERT_EQ(f.push(Sort::ask, id, 50), Admission::taken);
+    ASSERT_EQ(f.push(FrameType::ask, id, 50), Admission::taken);
     Ids const batch = ids_of(f.queue.take(f.now));
-    f.queue.written();
+    f.queue.finish_batch();
     if (batch == Ids{1}) break;
     ++small_before;
   }
@@ -312,68 +313,68 @@
 TEST(PeerQueue, small_frames_sent_while_nothing_else_waited_give_no_turn_away) {
   Fixture f;
   for (std::uint64_t id = 1; id <= 30; ++id) {
-    ASSERT_EQ(f.push(Sort::ask, id, 50), Admission::taken);
-    f.written();
+    ASSERT_EQ(f.push(FrameType::ask, id, 50), Admission::taken);
+    f.finish_batch();
   }
-  f.push(Sort::ask, 100, 300);
-  f.push(Sort::ask, 101, 10);
-  EXPECT_EQ(f.written(), (Ids{101, 100}));
+  f.push(FrameType::ask, 100, 300);
+  f.push(FrameType::ask, 101, 10);
+  EXPECT_EQ(f.finish_batch(), (Ids{101, 100}));
 }
 
 TEST(PeerQueue, large_requests_and_large_news_take_turns) {
   Fixture f;
-  for (std::uint64_t id = 1; id <= 3; ++id) f.push(Sort::ask, id, 200);
-  for (std::uint64_t id = 11; id <= 13; ++id) f.push(Sort::tell, id, 200);
-  EXPECT_EQ(f.written(), (Ids{11, 1, 12, 2, 13, 3}));
+  for (std::uint64_t id = 1; id <= 3; ++id) f.push(FrameType::ask, id, 200);
+  for (std::uint64_t id = 11; id <= 13; ++id) f.push(FrameType::tell, id, 200);
+  EXPECT_EQ(f.finish_batch(), (Ids{11, 1, 12, 2, 13, 3}));
 }
 
 TEST(PeerQueue, a_one_way_message_does_not_overtake_one_of_its_kind) {
   Fixture f;
-  f.push(Sort::tell, 1, 300);
-  f.push(Sort::tell, 2, 10);
-  f.push(Sort::tell, 3, 10, other_kind);
-  EXPECT_EQ(f.written(), (Ids{3, 1, 2}));
-  f.push(Sort::tell, 4, 10);
-  f.push(Sort::ask, 5, 10);
-  EXPECT_EQ(f.written(), (Ids{4, 5}));
+  f.push(FrameType::tell, 1, 300);
+  f.push(FrameType::tell, 2, 10);
+  f.push(FrameType::tell, 3, 10, other_kind);
+  EXPECT_EQ(f.finish_batch(), (Ids{3, 1, 2}));
+  f.push(FrameType::tell, 4, 10);
+  f.push(FrameType::ask, 5, 10);
+  EXPECT_EQ(f.finish_batch(), (Ids{4, 5}));
 }
 
 TEST(PeerQueue, the_oldest_one_way_messages_make_room_and_requests_stay) {
   Fixture f;
-  f.push(Sort::ask, 100, 10);
-  for (std::uint64_t id = 1; id <= 9; ++id) EXPECT_EQ(f.push(Sort::tell, id, 300), Admission::taken);
+  f.push(FrameType::ask, 100, 10);
+  for (std::uint64_t id = 1; id <= 9; ++id) EXPECT_EQ(f.push(FrameType::tell, id, 300), Admission::taken);
   EXPECT_EQ(f.queue.take_dropped().over_bound, 6u);
-  EXPECT_EQ(f.written(), (Ids{100, 7, 8, 9}));
+  EXPECT_EQ(f.finish_batch(), (Ids{100, 7, 8, 9}));
 }
 
 TEST(PeerQueue, the_count_of_one_way_messages_is_bounded_too) {
   Fixture f;
-  for (std::uint64_t id = 1; id <= 20; ++id) f.push(Sort::tell, id, 1);
+  for (std::uint64_t id = 1; id <= 20; ++id) f.push(FrameType::tell, id, 1);
   EXPECT_EQ(f.queue.frames(), f.limits.one_way.frames);
-  EXPECT_EQ(f.written().front(), 9u);
+  EXPECT_EQ(f.finish_batch().front(), 9u);
 }
 
 TEST(PeerQueue, a_request_that_does_not_fit_is_refused_and_nothing_is_dropped_for_it) {
   Fixture f;
-  f.push(Sort::tell, 1, 300);
+  f.push(FrameType::tell, 1, 300);
   std::uint64_t id = 10;
-  while (f.push(Sort::ask, id, 400) == Admission::taken) ++id;
-  EXPECT_EQ(f.push(Sort::ask, id, 400), Admission::too_many_bytes);
-  EXPECT_EQ(f.push(Sort::ask, 50, 10), Admission::taken);  // small ones have room of their own
+  while (f.push(FrameType::ask, id, 400) == Admission::taken) ++id;
+  EXPECT_EQ(f.push(FrameType::ask, id, 400), Admission::too_many_bytes);
+  EXPECT_EQ(f.push(FrameType::ask, 50, 10), Admission::taken);  // small ones have room of their own
   EXPECT_EQ(f.queue.take_dropped().sum(), 0u);
-  for (std::uint64_t more = 60; more < 70; ++more) f.push(Sort::ask, more, 1);
-  EXPECT_EQ(f.push(Sort::ask, 70, 1), Admission::too_many_frames);
+  for (std::uint64_t more = 60; more < 70; ++more) f.push(FrameType::ask, more, 1);
+  EXPECT_EQ(f.push(FrameType::ask, 70, 1), Admission::too_many_frames);
 }
 
 TEST(PeerQueue, what_is_sent_is_counted_by_kind_and_how_long_news_waited) {
   Fixture f;
-  f.push(Sort::ask, 1, 10);
-  f.push(Sort::ask, 2, 20, other_kind);
-  f.push(Sort::reply, 3, 30);
-  f.push(Sort::tell, 0, 40);
+  f.push(FrameType::ask, 1, 10);
+  f.push(FrameType::ask, 2, 20, other_kind);
+  f.push(FrameType::reply, 3, 30);
+  f.push(FrameType::tell, 0, 40);
   f.now += 70ms;
   EXPECT_EQ(f.totals->sent.requests[kind], 0u);
-  f.written();
+  f.finish_batch();
   EXPECT_EQ(f.totals->sent.requests[kind], 10u + 40u + 2 * FrameHead::size);
   EXPECT_EQ(f.totals->sent.requests[other_kind], 20u + FrameHead::size);
   EXPECT_EQ(f.totals->sent.responses[kind], 30u + FrameHead::size);
@@ -382,45 +383,45 @@
 
 TEST(PeerQueue, a_frame_over_its_bound_is_taken_if_nothing_else_waits) {
   Fixture f;
-  EXPECT_EQ(f.push(Sort::ask, 1, 50000), Admission::taken);
-  EXPECT_EQ(f.push(Sort::ask, 2, 100), Admission::too_many_bytes);
-  EXPECT_EQ(f.push(Sort::tell, 3, 50000), Admission::taken);
-  EXPECT_EQ(f.push(Sort::tell, 4, 100), Admission::taken);  // in place of the older one
-  EXPECT_EQ(f.written(), (Ids{4, 1}));
+  EXPECT_EQ(f.push(FrameType::ask, 1, 50000), Admission::taken);
+  EXPECT_EQ(f.push(FrameType::ask, 2, 100), Admission::too_many_bytes);
+  EXPECT_EQ(f.push(FrameType::tell, 3, 50000), Admission::taken);
+  EXPECT_EQ(f.push(FrameType::tell, 4, 100), Admission::taken);  // in place of the older one
+  EXPECT_EQ(f.finish_batch(), (Ids{4, 1}));
 }
 
 TEST(PeerQueue, what_is_being_written_counts_until_it_is) {
   Fixture f;
-  f.push(Sort::ask, 1, 300);
+  f.push(FrameType::ask, 1, 300);
   std::size_t const bytes = f.queue.bytes();
   EXPECT_EQ(ids_of(f.queue.take(f.now)), Ids{1});
   EXPECT_TRUE(f.queue.empty());
   EXPECT_EQ(f.queue.bytes(), bytes);
   EXPECT_EQ(f.totals->sum(), bytes);
-  f.queue.written();
+  f.queue.finish_batch();
   EXPECT_EQ(f.queue.bytes(), 0u);
   EXPECT_EQ(f.totals->sum(), 0u);
 }
 
 TEST(PeerQueue, a_withdrawn_request_is_never_written_and_frees_its_bytes) {
   Fixture f;
-  f.push(Sort::ask, 1, 300);
-  f.push(Sort::ask, 2, 300);
+  f.push(FrameType::ask, 1, 300);
+  f.push(FrameType::ask, 2, 300);
   EXPECT_TRUE(f.queue.withdraw(1));
   EXPECT_FALSE(f.queue.withdraw(1));
   EXPECT_EQ(f.queue.bytes(), 300 + FrameHead::size);
-  EXPECT_EQ(f.written(), Ids{2});
+  EXPECT_EQ(f.finish_batch(), Ids{2});
   EXPECT_FALSE(f.queue.withdraw(2));
 }
 
 TEST(PeerQueue, one_way_messages_that_waited_too_long_are_not_sent) {
   Fixture f;
-  f.push(Sort::tell, 1, 10);
-  f.push(Sort::ask, 2, 10);
+  f.push(FrameType::tell, 1, 10);
+  f.push(FrameType::ask, 2, 10);
   f.now += f.limits.one_way_wait;
-  f.push(Sort::tell, 3, 10);
+  f.push(FrameType::tell, 3, 10);
   f.now += 1ms;
-  EXPECT_EQ(f.written(), (Ids{2, 3}));
+  EXPECT_EQ(f.finish_batch(), (Ids{2, 3}));
   EXPECT_EQ(f.queue.take_dropped().late, 1u);
 }
 
@@ -428,24 +429,24 @@
   Fixture f;
   PeerQueue second(f.limits, f.totals), third(f.limits, f.totals);
   auto const fill = [&](PeerQueue& queue) {
-    for (std::uint64_t id = 1; id <= 3; ++id) queue.push(frame(Sort::tell, id, 310), f.now);
+    for (std::uint64_t id = 1; id <= 3; ++id) queue.push(frame(FrameType::tell, id, 310), f.now);
   };
   fill(f.queue);
   fill(second);
-  EXPECT_EQ(third.push(frame(Sort::tell, 1, 310), f.now), Admission::too_many_bytes_of_all);
+  EXPECT_EQ(third.push(frame(FrameType::tell, 1, 310), f.now), Admission::too_many_bytes_of_all);
   EXPECT_EQ(third.take_dropped().over_bound, 1u);
-  EXPECT_EQ(third.push(frame(Sort::ask, 2, 60), f.now), Admission::taken);
-  EXPECT_EQ(third.push(frame(Sort::ask, 3, 600), f.now), Admission::taken);
+  EXPECT_EQ(third.push(frame(FrameType::ask, 2, 60), f.now), Admission::taken);
+  EXPECT_EQ(third.push(frame(FrameType::ask, 3, 600), f.now), Admission::taken);
   f.queue.take_all();
-  EXPECT_EQ(third.push(frame(Sort::tell, 4, 310), f.now), Admission::taken);
+  EXPECT_EQ(third.push(frame(FrameType::tell, 4, 310), f.now), Admission::taken);
 }
 
 TEST(PeerQueue, gives_its_bytes_back_when_it_goes) {
   std::shared_ptr<QueueTotals> const totals = std::make_shared<QueueTotals>();
   {
     PeerQueue queue(small_limits(), totals);
-    queue.push(frame(Sort::ask, 1, 300), start);
-    queue.push(frame(Sort::tell, 2, 300), start);
+    queue.push(frame(FrameType::ask, 1, 300), start);
+    queue.push(frame(FrameType::tell, 2, 300), start);
     queue.take(start);
     EXPECT_GT(totals->sum(), 600u);
   }
@@ -456,8 +457,8 @@
   SharedBytes const payload = std::make_shared<Bytes const>(300, 'x');
   std::shared_ptr<QueueTotals> const totals = std::make_shared<QueueTotals>();
   PeerQueue first(small_limits(), totals), second(small_limits(), totals);
-  first.push(OutgoingFrame::of(Sort::tell, kind, 1, payload), start);
-  second.push(OutgoingFrame::of(Sort::tell, kind, 1, payload), start);
+  first.push(OutgoingFrame::of(FrameType::tell, kind, 1, payload), start);
+  second.push(OutgoingFrame::of(FrameType::tell, kind, 1, payload), start);
   EXPECT_EQ(payload.use_count(), 3);
   EXPECT_EQ(first.take(start).front().payload.get(), payload.get());
 }
--- a/tests/transport/socket_world_test.cpp
+++ b/tests/transport/socket_world_test.cpp
@@ -58,12 +58,13 @@
 }
 
 // Whatever is due on the thread runs before it returns.
-Task<void> let_others_run(SocketWorld& world) { co_await asio::post(world.executor(), asio::use_awaitable); }
+Task<void> let_others_run(SocketEnvironment& world) { co_await asio::post(world.executor(), asio::use_awaitable); }
 
 // A peer that accepts connections, and reads and answers only once it is let.
 class SlowPeer {
  public:
-  explicit SlowPeer(SocketWorld& world) : world_(world), acceptor_(world.io(), {asio::ip::address_v4::loopback(), 0}) {}
+  explicit SlowPeer(SocketEnvironment& world)
+      : world_(world), acceptor_(world.io(), {asio::ip::address_v4::loopback(), 0}) {}
   Address address() const { return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port()); }
 
   Task<void> accept() {
@@ -107,28 +108,29 @@
     while (true) {
       Result<ReceivedFrame> const frame = co_await read_frame(*socket, no_note);
       if (!frame) break;
-      if (frame->head.sort == Sort::tell) notes.insert(unpack<Note>(frame->payload)->number);
-      if (frame->head.sort != Sort::ask) continue;
+      if (frame->head.sort == FrameType::tell) notes.insert(unpack<Note>(frame->payload)->number);
+      if (frame->head.sort != FrameType::ask) continue;
       SharedBytes const payload = std::make_shared<Bytes const>(frame->payload);
-      std::vector<OutgoingFrame> const back{OutgoingFrame::of(Sort::reply, frame->head.kind, frame->head.id, payload)};
+      std::vector<OutgoingFrame> const back{
+          OutgoingFrame::of(FrameType::reply, frame->head.kind, frame->head.id, payload)};
       boost::system::error_code const ec = co_await write_frames(socket, back, long_enough, no_note);
       if (ec) break;
     }
   }
 
-  SocketWorld& world_;
+  SocketEnvironment& world_;
   asio::ip::tcp::acceptor acceptor_;
   std::vector<std::shared_ptr<PeerSocket>> sockets_;
   bool reading_ = false;
   std::size_t tasks_ = 0;
 };
 
-SocketWorld* serving_world = nullptr;  // whose alarms the handlers below use
+SocketEnvironment* serving_world = nullptr;  // whose alarms the handlers below use
 
 // Answers a request once it is cancelled, and says so.
 void serve_until_cancelled(Dispatcher& dispatcher, std::size_t& under_way, std::size_t& cancelled) {
   dispatcher.on<Echo>([&](Echo, SharedCancellation cancellation) -> Task<Echo::Reply> {
-    std::shared_ptr<SocketWorld::Alarm> const alarm = std::make_shared<SocketWorld::Alarm>(*serving_world);
+    std::shared_ptr<SocketEnvironment::Alarm> const alarm = std::make_shared<SocketEnvironment::Alarm>(*serving_world);
     ++under_way;
     {
       CancellationListener const listener(cancellation, [alarm] { alarm->wake(); });
@@ -140,9 +142,9 @@
   });
 }
 
-TEST(SocketWorld, a_cancelled_request_is_cancelled_at_its_handler_which_still_answers) {
+TEST(SocketEnvironment, a_cancelled_request_is_cancelled_at_its_handler_which_still_answers) {
   start_pool();
-  SocketWorld server, client;
+  SocketEnvironment server, client;
   serving_world = &server;
   Address const there = *server.listen("127.0.0.1:0");
   Dispatcher dispatcher;
@@ -154,13 +156,13 @@
     SharedCancellation const second = std::make_shared<Cancellation>();
     std::vector<Result<Echo::Reply>> replies;
     for (SharedCancellation const& one : {first, second})
-      spawn(
-          client,
-          [](SocketWorld& env, Address peer, SharedCancellation c, std::vector<Result<Echo::Reply>>& to) -> Task<void> {
-            Echo const question{"q"};
-            Result<Echo::Reply> reply = co_await ask_cancellable(env, peer, question, env.now() + long_enough, c);
-            to.push_back(std::move(reply));
-          }(client, there, one, replies));
+      spawn(client,
+            [](SocketEnvironment& env, Address peer, SharedCancellation c,
+               std::vector<Result<Echo::Reply>>& to) -> Task<void> {
+              Echo const question{"q"};
+              Result<Echo::Reply> reply = co_await ask_cancellable(env, peer, question, env.now() + long_enough, c);
+              to.push_back(std::move(reply));
+            }(client, there, one, replies));
     while (under_way < 2) co_await let_others_run(client);
     second->request();
     while (replies.empty()) co_await let_others_run(client);
@@ -174,9 +176,9 @@
   });
 }
 
-TEST(SocketWorld, what_a_peer_has_asked_is_cancelled_when_its_connection_ends) {
+TEST(SocketEnvironment, what_a_peer_has_asked_is_cancelled_when_its_connection_ends) {
   start_pool();
-  SocketWorld server, client;
+  SocketEnvironment server, client;
   serving_world = &server;
   Address const there = *server.listen("127.0.0.1:0");
   Dispatcher dispatcher;
@@ -185,7 +187,7 @@
   run_on_pool([&]() -> Task<void> {
     server.serve(dispatcher);
     for (int i = 0; i < 3; ++i)
-      spawn(client, [](SocketWorld& env, Address peer) -> Task<void> {
+      spawn(client, [](SocketEnvironment& env, Address peer) -> Task<void> {
         Echo const question{"q"};
         Result<Echo::Reply> const reply = co_await ask(env, peer, question, env.now() + long_enough);
         EXPECT_FALSE(reply);
@@ -198,9 +200,9 @@
   });
 }
 
-TEST(SocketWorld, a_request_that_is_cancelled_before_it_was_sent_has_not_run) {
+TEST(SocketEnvironment, a_request_that_is_cancelled_before_it_was_sent_has_not_run) {
   start_pool();
-  SocketWorld server, client;
+  SocketEnvironment server, client;
   Address const there = *server.listen("127.0.0.1:0");
   Dispatcher dispatcher;
   std::size_t handled = 0;
@@ -229,9 +231,9 @@
   });
 }
 
-TEST(SocketWorld, answers_come_back_refusals_are_proof_and_a_bad_frame_only_costs_its_connection) {
+TEST(SocketEnvironment, answers_come_back_refusals_are_proof_and_a_bad_frame_only_costs_its_connection) {
   start_pool();
-  SocketWorld env;
+  SocketEnvironment env;
   Dispatcher dispatcher;
   dispatcher.on<Echo>([](Echo q) -> Task<Echo::Reply> { co_return Echo::Reply{q.text + "!"}; });
   Address const here = *env.listen("127.0.0.1:0");
@@ -250,7 +252,7 @@
       std::string junk(1 + chance() % 60, '\0');
       for (char& c : junk) c = static_cast<char>(chance());
       if (i % 2 == 0)
-        FrameHead{static_cast<std::uint32_t>(chance() % 8), wire_number, Sort::ask, 200, 1}.write(
+        FrameHead{static_cast<std::uint32_t>(chance() % 8), protocol_version, FrameType::ask, 200, 1}.write(
             (junk.resize(40), junk.data()));
       co_await asio::async_write(s, asio::buffer(junk), asio::use_awaitable);
       boost::system::error_code ec;
@@ -267,9 +269,9 @@
   over.get_future().get();
 }
 
-TEST(SocketWorld, a_peer_that_answers_no_ping_is_known_as_silent_while_it_owes_an_answer) {
+TEST(SocketEnvironment, a_peer_that_answers_no_ping_is_known_as_silent_while_it_owes_an_answer) {
   start_pool();
-  SocketWorld env;
+  SocketEnvironment env;
   SlowPeer peer(env);
   Duration longest{};
   run_on_pool([&]() -> Task<void> {
@@ -293,11 +295,11 @@
 }
 
 // Sends more than the bound to a peer that doesn't read, then lets it read.
-TEST(SocketWorld, a_peer_that_does_not_read_costs_no_more_than_its_bounds) {
+TEST(SocketEnvironment, a_peer_that_does_not_read_costs_no_more_than_its_bounds) {
   start_pool();
   PeerLimits limits;
   limits.one_way_wait = 1h;  // so that a busy machine drops nothing for its age
-  SocketWorld env(limits);
+  SocketEnvironment env(limits);
   SlowPeer peer(env);
   constexpr std::uint64_t notes = 1000;
   constexpr std::size_t note_size = 30000;
@@ -356,10 +358,10 @@
 }
 
 // Asks for large answers and reads none of them.
-TEST(SocketWorld, a_peer_that_reads_no_answers_loses_its_connection_and_costs_no_more_than_the_bound) {
+TEST(SocketEnvironment, a_peer_that_reads_no_answers_loses_its_connection_and_costs_no_more_than_the_bound) {
   start_pool();
   PeerLimits limits;
-  SocketWorld server(limits);
+  SocketEnvironment server(limits);
   Dispatcher dispatcher;
   std::string const large(256u << 10, 'x');
   dispatcher.on<Echo>([&large](Echo) -> Task<Echo::Reply> {
@@ -378,7 +380,7 @@
     std::string request(FrameHead::size, '\0');
     boost::system::error_code ec;
     for (std::uint64_t id = 1; !ec; ++id) {
-      OutgoingFrame const frame = OutgoingFrame::of(Sort::ask, Echo::kind, id, payload);
+      OutgoingFrame const frame = OutgoingFrame::of(FrameType::ask, Echo::kind, id, payload);
       request.resize(FrameHead::size);
       frame.head.write(request.data());
       request += *payload;
@@ -393,11 +395,11 @@
   EXPECT_EQ(server.queued().sum(), 0u);
 }
 
-TEST(SocketWorld, a_peer_that_stops_reading_an_answer_loses_its_connection) {
+TEST(SocketEnvironment, a_peer_that_stops_reading_an_answer_loses_its_connection) {
   start_pool();
   PeerLimits limits;
   limits.write_stall = 20ms;
-  SocketWorld server(limits);
+  SocketEnvironment server(limits);
   Dispatcher dispatcher;
   dispatcher.on<Echo>([](Echo) -> Task<Echo::Reply> {
     Echo::Reply reply{std::string(48u << 20, 'x')};  // more than the kernel takes
@@ -410,7 +412,7 @@
     asio::ip::tcp::socket asker(server.io());
     co_await asker.async_connect(*parse_address(here), asio::use_awaitable);
     Echo const question{"?"};
-    std::vector<OutgoingFrame> const request{OutgoingFrame::of(Sort::ask, Echo::kind, 1, pack_shared(question))};
+    std::vector<OutgoingFrame> const request{OutgoingFrame::of(FrameType::ask, Echo::kind, 1, pack_shared(question))};
     std::string bytes(FrameHead::size, '\0');
     request.front().head.write(bytes.data());
     bytes += *request.front().payload;
@@ -427,10 +429,10 @@
 }
 
 // Guards against LOST: responses that didn't fit the queue to a peer ended all that was under way with it.
-TEST(SocketWorld, responses_that_dont_fit_the_queue_cost_no_other_request_its_answer) {
+TEST(SocketEnvironment, responses_that_dont_fit_the_queue_cost_no_other_request_its_answer) {
   start_pool();
   for (std::size_t const size : {std::size_t{690} << 10, std::size_t{700} << 10, std::size_t{3} << 20}) {
-    SocketWorld server, asker;
+    SocketEnvironment server, asker;
     Dispatcher dispatcher;
     dispatcher.on<Echo>([&server, size](Echo q) -> Task<Echo::Reply> {
       bool const small = q.text == "slow";
@@ -461,11 +463,11 @@
   }
 }
 
-TEST(SocketWorld, what_a_peer_reads_too_slowly_is_bounded_and_costs_single_responses_only) {
+TEST(SocketEnvironment, what_a_peer_reads_too_slowly_is_bounded_and_costs_single_responses_only) {
   start_pool();
   PeerLimits limits;
   limits.held_back_bytes = 2u << 20;
-  SocketWorld server(limits), asker;
+  SocketEnvironment server(limits), asker;
   Dispatcher dispatcher;
   constexpr std::size_t size = 1u << 20;
   dispatcher.on<Echo>([&server](Echo) -> Task<Echo::Reply> {
@@ -497,11 +499,11 @@
 }
 
 // Guards against LOST: large bodies from several peers at once ended the process for its memory.
-TEST(SocketWorld, a_large_request_without_room_is_refused_unrun_and_small_ones_go_on) {
+TEST(SocketEnvironment, a_large_request_without_room_is_refused_unrun_and_small_ones_go_on) {
   start_pool();
   PeerLimits limits;
-  limits.taken_bytes = 1u << 20;
-  SocketWorld server(limits), asker;
+  limits.accepted_request_bytes = 1u << 20;
+  SocketEnvironment server(limits), asker;
   Dispatcher dispatcher;
   std::size_t run = 0;
   dispatcher.on<Echo>([&server, &run](Echo q) -> Task<Echo::Reply> {
@@ -532,14 +534,14 @@
     co_await server.stop();
   });
   EXPECT_EQ(run, 3u);
-  EXPECT_EQ(refusals, std::vector<std::string>{no_room_step});
+  EXPECT_EQ(refusals, std::vector<std::string>{rejected_step});
   std::sort(answers.begin(), answers.end());
   EXPECT_EQ(answers, (std::vector<std::string>{"100", "2000000", "700000"}));
 }
 
-TEST(SocketWorld, small_requests_are_answered_before_large_ones_that_were_asked_first) {
+TEST(SocketEnvironment, small_requests_are_answered_before_large_ones_that_were_asked_first) {
   start_pool();
-  SocketWorld env;
+  SocketEnvironment env;
   Dispatcher dispatcher;
   std::vector<std::size_t> order;
   dispatcher.on<Echo>([&order](Echo q) -> Task<Echo::Reply> {
