--- a/source/coordination/acceptor.hpp
+++ b/source/coordination/acceptor.hpp
@@ -1,6 +1,6 @@
 // The acceptor: one voter of the register. A promise or an acceptance is synced
 // to disk before it is answered. A voter with an empty disk never votes: the
-// register can only be founded while every configured voter is empty, and a voter
+// register can only be bootstrapped while every configured voter is empty, and a voter
 // that lost its disk votes again only after a recovery quorum of the others has
 // completed a round at a new ballot whose result it has stored.
 #pragma once
@@ -38,7 +38,7 @@
   /// A voter of a fixed list, which stays the set of epoch 0.
   Acceptor(Env& env, D& d, std::vector<Address> voters, std::size_t const own_index)
       : env_(env), disk_(d), fixed_(std::move(voters)), own_address_(fixed_.at(own_index)), turn_(env) {}
-  /// A store whose voter set is on its disk, or that has yet to found or join one.
+  /// A store whose voter set is on its disk, or that has yet to bootstrap or join one.
   Acceptor(Env& env, D& d, Address own_address)
       : env_(env), disk_(d), own_address_(std::move(own_address)), turn_(env) {}
 
@@ -83,7 +83,7 @@
                         {"catalogue", std::to_string(slot(Register::catalogue).held.revision)}});
   }
 
-  /// Makes one attempt to found the recorded set or to rejoin it.
+  /// Makes one attempt to bootstrap the recorded set or to rejoin it.
   Task<void> bootstrap_or_rejoin() {
     std::vector<Address> const others = other_voters(record_.set);
     Bootstrap request{Phase::blank, record_.bootstrap_id};
@@ -113,7 +113,7 @@
     }
   }
 
-  /// Assigns an identifier to an empty disk and records the set to be founded if this store is a founder.
+  /// Assigns an identifier to an empty disk and records the set to be bootstrapped if this store belongs to it.
   Task<bool> initialize(VoterSet const initial_voters) {
     std::uint64_t const id = env_.chance()() | 1;
     co_return co_await change([&](VoterRecord& r) {
@@ -380,7 +380,7 @@
     co_await ask_all<Bootstrap>(env_, others, open, env_.now() + 2s, [](auto const&) { return false; });
   }
 
-  /// The founding identifier that at least `enough` of these voters report; 0 if there is none.
+  /// The bootstrap identifier that at least `enough` of these voters report; 0 if there is none.
   Task<std::uint64_t> agreed_bootstrap_id(std::vector<Address> const others, std::size_t const enough) {
     auto const most_frequent = [](auto const& replies) {
       std::map<std::uint64_t, std::size_t> named;
--- a/source/coordination/membership.hpp
+++ b/source/coordination/membership.hpp
@@ -1,4 +1,4 @@
-// A store's membership in the voter set: it founds the first set with the other
+// A store's membership in the voter set: it bootstraps the first set with the other
 // seeds, requests to be added, rejoins after losing its disk, probes the other
 // voters, and drives the set changes that others request or have left incomplete
 // (voter_set_change.hpp).
@@ -19,7 +19,7 @@
 /// A store's settings for its membership.
 struct MembershipSettings {
   std::vector<Address> seeds;
-  bool initial_start = false;  // the seeds have empty disks and are to found the register
+  bool initial_start = false;  // the seeds have empty disks and are to bootstrap the register
   std::uint32_t losses = 1;    // how many stores may lose their disks at once
   Duration remove_after = 6s;  // without an answer
 };
--- a/tests/coordination/register_stand_in.hpp
+++ b/tests/coordination/fake_register_client.hpp
@@ -1,15 +1,15 @@
-// One register that is changed at a distance: linearizable, and unreachable when told.
+// A fake register client: a linearizable shared value with delays that tests can make unreachable.
 #pragma once
 
 #include "simulation/sim_world.hpp"
 
 namespace banktide {
 
-/** The register as a registry's client sees it: one value, changed at a distance. */
+/** The state shared by all fake clients. */
 struct SharedRegister {
   RegisterValue held;
   bool reachable = true;
-  std::size_t writings = 0;
+  std::size_t writes = 0;
 };
 
 class FakeRegisterClient {
@@ -20,7 +20,7 @@
     co_await sleep_for(process_, std::chrono::milliseconds(1 + process_.chance()() % 30));
     if (!shared_.reachable) co_return make_error("change", "", "no majority", Proof::not_run);
     Result<RegisterValue> next = step(shared_.held);
-    if (next && next->revision != shared_.held.revision) ++shared_.writings;
+    if (next && next->revision != shared_.held.revision) ++shared_.writes;
     if (next) shared_.held = *next;
     co_await sleep_for(process_, std::chrono::milliseconds(1 + process_.chance()() % 30));
     co_return next;
--- a/tests/coordination/lease_voter_test.cpp
+++ b/tests/coordination/lease_voter_test.cpp
@@ -1,4 +1,4 @@
-// Leases of slices: when a voter abstains, and when a new holder is let in.
+// Slice leases: when a voter abstains, and when it grants a slice to a new holder.
 #include "coordination/lease_voter.hpp"
 
 #include "simulation/sim_world.hpp"
@@ -22,7 +22,7 @@
   }
 };
 
-TEST_F(LeaseVoterTest, abstains_for_a_term_and_until_epochs_have_a_floor) {
+TEST_F(LeaseVoterTest, abstains_for_a_term_and_until_it_has_an_epoch_floor) {
   Slice const s{"till", 1, 3};
   v.set_floor(100);
   EXPECT_FALSE(grants("a", s, 101));
@@ -43,14 +43,14 @@
   EXPECT_FALSE(grants("b", s, 6));
   release("b", s, 5);
   EXPECT_FALSE(grants("b", s, 6));
-  release("a", s, 4);  // late news of a lease that it has taken anew since
+  release("a", s, 4);  // a delayed release of a lease that has been renewed since
   EXPECT_FALSE(grants("b", s, 6));
   release("a", s, 5);
   EXPECT_FALSE(grants("b", s, 5));
   EXPECT_TRUE(grants("b", s, 6));
 }
 
-TEST_F(LeaseVoterTest, another_mapping_waits_for_every_lease_of_the_former) {
+TEST_F(LeaseVoterTest, another_mapping_waits_for_every_lease_of_the_previous_one) {
   v.set_floor(1);
   sim.run_until(sim.now + lease_term);
   EXPECT_TRUE(grants("a", Slice{"till", 32, 3}, 2));
@@ -60,7 +60,7 @@
   release("a", Slice{"till", 32, 3}, 2);
   EXPECT_FALSE(grants("c", Slice{"till", 64, 9}, 2));
   sim.run_until(sim.now + lease_term);
-  EXPECT_FALSE(grants("c", Slice{"till", 64, 9}, 2));  // epochs rise over mappings too
+  EXPECT_FALSE(grants("c", Slice{"till", 64, 9}, 2));  // epochs increase across mappings too
   EXPECT_TRUE(grants("c", Slice{"till", 64, 9}, 3));
   EXPECT_FALSE(grants("b", Slice{"till", 32, 4}, 4));
 }
--- a/tests/coordination/maintenance_keeper_test.cpp
+++ b/tests/coordination/maintenance_keeper_test.cpp
@@ -1,11 +1,11 @@
-// Registries that count one window down: whoever acts, whichever of them start
-// again, the phases come in order, never sooner than on one clock, and later by
-// no more than what was lost between two writings and while all were down.
+// Registries that count a maintenance window down. Regardless of which registry acts
+// and which ones restart, the phases come in order, never earlier than on a single
+// clock, and later by at most the time lost between two writes and while all were down.
 #include "coordination/maintenance_keeper.hpp"
 
 #include <gtest/gtest.h>
 
-#include "coordination/register_stand_in.hpp"
+#include "coordination/fake_register_client.hpp"
 
 namespace banktide {
 namespace {
@@ -75,7 +75,7 @@
   std::vector<Registry> registries;
 };
 
-TEST(MaintenanceKeeper, every_registry_goes_through_the_phases_at_the_same_time) {
+TEST(MaintenanceKeeper, all_registries_change_phase_at_the_same_time) {
   KeeperTrial trial(1);
   trial.mark(0, 60s, 30s);
   trial.run_for(30s);
@@ -94,7 +94,7 @@
   EXPECT_EQ(trial.shared.writes, writes) << "nothing is left to count";
 }
 
-TEST(MaintenanceKeeper, a_restart_of_all_costs_only_the_time_since_the_last_writing) {
+TEST(MaintenanceKeeper, a_restart_of_all_loses_only_the_time_since_the_last_write) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     KeeperTrial trial(seed);
     trial.mark(0, 300s, 30s);
@@ -111,12 +111,12 @@
     trial.run_for(500ms);
     Duration const passed = trial.sim.now - marked_at;
     std::int64_t const on_one_clock = as_ms(Duration(300s) - passed);
-    EXPECT_GE(trial.window(0).left, on_one_clock) << "never sooner; seed " << seed;
+    EXPECT_GE(trial.window(0).left, on_one_clock) << "never earlier; seed " << seed;
     EXPECT_LE(trial.window(0).left, on_one_clock + as_ms(lost)) << "seed " << seed;
   }
 }
 
-TEST(MaintenanceKeeper, two_that_act_at_once_or_in_turn_count_no_time_twice) {
+TEST(MaintenanceKeeper, registries_that_act_at_once_or_in_turn_count_no_time_twice) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     KeeperTrial trial(seed);
     trial.mark(1, 200s, 30s);
@@ -132,7 +132,7 @@
   }
 }
 
-TEST(MaintenanceKeeper, without_a_majority_the_phases_go_on_and_are_written_afterwards) {
+TEST(MaintenanceKeeper, without_a_majority_the_phases_continue_and_are_written_afterwards) {
   KeeperTrial trial(1);
   trial.mark(0, 60s, 30s);
   trial.shared.reachable = false;
--- a/tests/coordination/register_client_test.cpp
+++ b/tests/coordination/register_client_test.cpp
@@ -1,4 +1,4 @@
-// The register against a plain list of changes, under cuts, kills, stalls and lost disks.
+// The register compared with a reference list of changes under partitions, crashes, disk stalls and lost disks.
 #include "coordination/register_client.hpp"
 
 #include "simulation/sim_world.hpp"
@@ -8,10 +8,10 @@
 namespace banktide {
 namespace {
 
-// Four voters and three racing coordinators under cuts, kills, stalls and a
-// lost disk. The value is the list of all changes made; the plain model is that
-// list: each acknowledged change once and in order, none that was said not
-// taken, and no reading older than what was acknowledged before it.
+// Four voters and three concurrent clients under partitions, crashes, disk stalls
+// and lost disks. The value is the list of all changes. Every acknowledged change
+// must occur in it exactly once and in order, no change reported as not executed may
+// occur, and no read may be older than a change acknowledged before it.
 struct RegisterTrial {
   explicit RegisterTrial(std::uint64_t const seed) : sim(seed), net(sim), disks(4) {
     for (int i = 0; i < 4; ++i) voters.push_back("store-" + std::to_string(i) + ":1");
@@ -137,7 +137,7 @@
   bool over = false, voter_down = false;
 };
 
-TEST(RegisterClient, agrees_with_a_plain_list_of_changes_whatever_fails) {
+TEST(RegisterClient, matches_the_reference_list_of_changes_under_faults) {
   std::size_t acked = 0;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     RegisterTrial t(seed);
@@ -161,9 +161,9 @@
   EXPECT_GT(acked, 1000u);
 }
 
-// A value that only two of the others hold: a lost disk must have it again
-// before the next may be lost.
-TEST(RegisterClient, a_voter_that_lost_its_disk_holds_again_what_it_had_before_the_next_one_is_lost) {
+// A voter that lost its disk must recover a value that only two others hold before
+// it votes again. Otherwise the next lost disk would lose the value.
+TEST(RegisterClient, a_voter_that_lost_its_disk_recovers_its_values_before_it_votes) {
   for (std::string const name : {"", "votes_blank"}) {
     mutant_name = name;
     RegisterTrial t(3);
--- a/tests/coordination/register_test.cpp
+++ b/tests/coordination/register_test.cpp
@@ -1,5 +1,5 @@
-// The register: operators' numbers, readings that leases rest on, and what
-// outlives lost disks and lost power.
+// The register: revisions set by operators, the confirmed reads on which leases
+// depend, and durability under lost disks and lost power.
 #include "tests/coordination/store_trial.hpp"
 
 namespace banktide {
@@ -10,7 +10,7 @@
   std::uint32_t losses;
 };
 
-TEST(Register, the_highest_number_wins_and_an_older_one_changes_nothing_yet_is_acknowledged) {
+TEST(Register, the_highest_revision_wins_and_an_older_one_is_acknowledged_without_effect) {
   StoreTrial t(1, 4, 1);
   t.start_all(true);
   ASSERT_TRUE(t.run_until([&] { return t.all_vote(4); }, 20s));
@@ -29,7 +29,7 @@
   EXPECT_EQ(t.get(0, Register::keys)->revision, 0u);
 }
 
-TEST(Register, two_racing_operators_leave_the_higher_number_with_its_own_bytes) {
+TEST(Register, concurrent_writes_leave_the_higher_revision_with_its_own_bytes) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     StoreTrial t(seed, 4, 1);
     t.start_all(true);
@@ -53,7 +53,7 @@
   }
 }
 
-TEST(Register, a_confirmed_reading_has_every_change_completed_before_it_was_asked) {
+TEST(Register, a_confirmed_read_includes_every_change_completed_before_the_request) {
   StoreTrial t(2, 4, 1);
   t.start_all(true);
   ASSERT_TRUE(t.run_until([&] { return t.all_vote(4); }, 20s));
@@ -64,7 +64,7 @@
     t.sim.heal();
     Instant const before = t.clients[1]->now();
     Result<ConfirmedValue> const seen = t.confirm(1, Register::keys, known, 2s);
-    if (!seen) continue;  // a voter may still hold an older ballot: not agreed
+    if (!seen) continue;  // no agreement: a voter may still hold an older ballot
     EXPECT_EQ(seen->held.bytes, std::to_string(n));
     EXPECT_GE(seen->as_of, before);
     known = seen->held;
@@ -72,14 +72,14 @@
   EXPECT_GT(known.revision, 20u);
 }
 
-TEST(Register, one_question_bounds_the_revisions_of_all_registers_from_above) {
+TEST(Register, one_request_bounds_the_revisions_of_all_registers_from_above) {
   StoreTrial t(4, 4, 1);
   EXPECT_FALSE(t.newest_revisions(0, 1s));
   t.start_all(true);
   ASSERT_TRUE(t.run_until([&] { return t.all_vote(4); }, 20s));
   for (Revision n = 1; n <= 20; ++n) {
     Register const changed = n % 2 == 0 ? Register::keys : Register::routing;
-    // One voter misses the change, and the reader hears another three.
+    // One voter misses the change, and the reader is cut off from another voter.
     t.net.sim.cut("core-" + std::to_string(n % 4), "client-0");
     t.net.sim.cut("client-1", "core-" + std::to_string((n + 1) % 4));
     ASSERT_TRUE(t.put(0, changed, n, std::to_string(n)));
@@ -94,7 +94,7 @@
   EXPECT_FALSE(t.newest_revisions(1, 1s));
 }
 
-TEST(Register, confirm_says_no_without_a_majority_and_without_a_set_told_by_a_voter) {
+TEST(Register, confirm_fails_without_a_majority_and_without_a_reported_voter_set) {
   StoreTrial t(3, 4, 1);
   EXPECT_FALSE(t.confirm(0, Register::keys, RegisterValue{}, 1s));
   EXPECT_FALSE(t.registers[0]->knows_voters());
@@ -106,9 +106,9 @@
   EXPECT_FALSE(t.confirm(0, Register::keys, RegisterValue{}, 1s));
 }
 
-// For each set of up to `losses` disks: a value that was just acknowledged is
-// read back after these are wiped while all the others lose power; written
-// while some voter was away, so that it has as few copies as it may.
+// For each set of up to `losses` disks: a value that was just acknowledged can be
+// read after these disks are wiped while all the other voters lose power. The value
+// is written while some voters are unreachable, so that it has the minimum of copies.
 void wipe_every_subset(SetSize const size, std::uint64_t const seed, bool const recently_added) {
   std::size_t const subsets = std::size_t{1} << size.voters;
   for (std::size_t wiped = 0; wiped < subsets; ++wiped) {
@@ -125,7 +125,7 @@
     ASSERT_TRUE(t.get(0, Register::routing)) << "a client that has learned the voters";
     std::size_t const copies = quorum_size(size.voters, size.losses);
     for (std::size_t k = 0, away = size.voters - copies; k < size.voters && away > 0; ++k) {
-      if ((wiped >> k & 1) != 0) continue;  // those to be wiped have a copy
+      if ((wiped >> k & 1) != 0) continue;  // the voters to be wiped hold a copy
       t.sim.cut("client-0", "core-" + std::to_string(k));
       --away;
     }
@@ -144,7 +144,7 @@
   }
 }
 
-TEST(Register, an_acknowledged_value_outlives_any_disks_that_may_be_lost_with_the_power_of_the_others) {
+TEST(Register, an_acknowledged_value_survives_the_tolerated_disk_losses_and_a_power_loss_of_the_others) {
   for (SetSize const size : {SetSize{3, 1}, SetSize{4, 1}, SetSize{5, 2}}) wipe_every_subset(size, 100, false);
 }
 TEST(Register, the_same_holds_with_seven_voters_and_three_losses) { wipe_every_subset(SetSize{7, 3}, 1000, false); }
--- a/tests/coordination/shared_reading_test.cpp
+++ b/tests/coordination/shared_reading_test.cpp
@@ -1,4 +1,4 @@
-// Readings that askers share: how many there are, and whom each of them serves.
+// Coalesced reads: how many there are, and which callers each of them serves.
 #include "coordination/shared_reading.hpp"
 
 #include "simulation/sim_world.hpp"
@@ -51,7 +51,7 @@
   Duration longest{};
 };
 
-TEST(SharedReading, all_who_ask_while_one_is_under_way_share_the_next_one) {
+TEST(SharedReading, callers_that_arrive_during_a_read_share_the_next_one) {
   SharedReadingTrial t;
   t.run_for(1s);
   std::size_t const before = t.reads;
@@ -61,11 +61,11 @@
   }
   t.run_for(300ms);
   EXPECT_EQ(t.served, 1000u);
-  EXPECT_EQ(t.stale, 0u) << "served by a reading that began before it was asked for";
+  EXPECT_EQ(t.stale, 0u) << "served by a read that began before the call";
   EXPECT_LE(t.reads - before, 4u);
 }
 
-TEST(SharedReading, goes_on_by_itself_and_at_a_bounded_rate_however_often_it_is_asked) {
+TEST(SharedReading, reads_periodically_and_at_a_bounded_rate_regardless_of_callers) {
   SharedReadingTrial t;
   t.run_for(2s);
   std::size_t const alone = t.reads;
@@ -80,7 +80,7 @@
   EXPECT_LE(t.reads - alone, static_cast<std::size_t>(2300ms / (t.read_time + t.settings.min_pause)) + 1);
 }
 
-TEST(SharedReading, an_asker_is_told_no_at_its_deadline_while_readings_fail) {
+TEST(SharedReading, a_caller_gets_a_failure_at_its_deadline_while_reads_fail) {
   SharedReadingTrial t;
   t.run_for(500ms);
   t.succeeds = false;
@@ -98,7 +98,7 @@
   EXPECT_EQ(t.served, 1u);
 }
 
-TEST(SharedReading, a_process_that_ends_leaves_no_asker_behind) {
+TEST(SharedReading, callers_end_with_their_process) {
   SharedReadingTrial t;
   t.read_time = 10s;
   t.run_for(100ms);
--- a/tests/coordination/store_trial.hpp
+++ b/tests/coordination/store_trial.hpp
@@ -1,5 +1,5 @@
-// Stores and clients on the simulated network, for the tests of the register:
-// stores found it, join it, lose power and lose their disks.
+// Stores and clients on the simulated network for the tests of the register: stores
+// bootstrap it, join it, lose power and lose their disks.
 #pragma once
 
 #include "coordination/membership.hpp"
@@ -10,7 +10,7 @@
 namespace banktide {
 
 struct StoreTrial {
-  /// `stores` machines, the first three of which are the seeds.
+  /// Creates `stores` machines; the first three are the seeds.
   StoreTrial(std::uint64_t const seed, std::size_t const stores, std::uint32_t const losses)
       : sim(seed), net(sim), losses(losses), disks(stores), memberships(stores), acceptors(stores) {
     for (std::size_t i = 0; i < stores; ++i) addresses.push_back("store-" + std::to_string(i) + ":1");
@@ -23,7 +23,7 @@
       registers.push_back(std::make_unique<RegisterClient<SimProcess>>(*clients.back(), StoreSeeds{seeds}));
     }
   }
-  // What was spawned last starts first, so that it ends with its process.
+  // Starts the coroutines spawned last, so that they end with their processes.
   ~StoreTrial() {
     sim.settle();
     for (std::shared_ptr<SimProcess> const& p : all) p->kill();
@@ -63,9 +63,9 @@
   void wipe(std::size_t const i) { disks[i].durable = VoterRecord{}; }
 
   void run_for(Duration const d) { sim.run_until(sim.now + d); }
-  /// Runs until the condition holds; false if it didn't within `most`.
-  bool run_until(std::function<bool()> const& holds, Duration const most) {
-    Instant const end = sim.now + most;
+  /// Runs until the condition holds; returns false if it doesn't within `limit`.
+  bool run_until(std::function<bool()> const& holds, Duration const limit) {
+    Instant const end = sim.now + limit;
     while (!holds() && sim.now < end) run_for(20ms);
     return holds();
   }
@@ -151,7 +151,7 @@
   std::uint32_t const losses;
   std::vector<Address> addresses, seeds;
   std::vector<SimDisk> disks;
-  // The processes outlive what runs on them: its alarms sign off there as they go.
+  // The processes must outlive the objects that run on them, whose alarms deregister there on destruction.
   std::vector<std::shared_ptr<SimProcess>> all, clients;
   std::vector<std::shared_ptr<Membership<SimProcess, SimDisk>>> memberships;
   std::vector<std::shared_ptr<Acceptor<SimProcess, SimDisk>>> acceptors;
--- a/tests/coordination/voter_replacement_test.cpp
+++ b/tests/coordination/voter_replacement_test.cpp
@@ -1,5 +1,5 @@
-// Every order of troubles up to a depth, each allowed by what the set is to bear:
-// nothing acknowledged is lost, and the register is available throughout.
+// All sequences of faults up to a given length, each within what the voter set must
+// tolerate: no acknowledged value is lost, and the register stays available.
 #include "tests/coordination/voter_replacement_trial.hpp"
 
 namespace banktide {
@@ -33,7 +33,7 @@
 
 class VoterReplacement : public testing::TestWithParam<SequenceParameters> {};
 
-TEST_P(VoterReplacement, every_pair_of_troubles_is_borne) {
+TEST_P(VoterReplacement, every_pair_of_faults_is_tolerated) {
   for (Fault const second : all_faults)
     for (bool const first_oldest : {true, false})
       for (bool const second_oldest : {true, false})
@@ -53,7 +53,7 @@
 
 class VoterReplacementTriples : public testing::TestWithParam<SequenceParameters> {};
 
-TEST_P(VoterReplacementTriples, every_order_is_borne) {
+TEST_P(VoterReplacementTriples, every_sequence_of_three_is_tolerated) {
   for (Fault const second : all_faults)
     for (Fault const third : all_faults)
       for (bool const second_oldest : {true, false})
@@ -63,8 +63,8 @@
 }
 INSTANTIATE_TEST_SUITE_P(Threes, VoterReplacementTriples, testing::ValuesIn(sets_and_first_faults()), name_of_sequence);
 
-// Two machines go for good in one moment, as often as the set is to bear it.
-TEST(VoterReplacementCases, two_voters_that_are_gone_at_once_are_both_replaced_in_time) {
+// Two machines fail permanently at the same moment, twice in a row.
+TEST(VoterReplacementCases, two_voters_that_fail_at_once_are_both_replaced_in_time) {
   for (std::size_t const voters : {5u, 6u, 7u}) {
     StoreTrial t(3, voters + 4, 2);
     for (std::size_t i = 0; i < voters; ++i) t.start(i, true);
@@ -84,9 +84,9 @@
   }
 }
 
-// The disk's age decides nothing: what was acknowledged a moment ago outlives a loss
-// of the voters that have been there longest, just after others were replaced.
-TEST(VoterReplacementCases, a_voter_that_was_replaced_while_dark_comes_back_as_a_newcomer) {
+// A voter that was removed while it was without power must not reuse its old state: it
+// joins under a new disk identifier and receives the values written meanwhile.
+TEST(VoterReplacementCases, a_voter_that_was_replaced_while_without_power_returns_as_a_newcomer) {
   StoreTrial t(4, 5, 1);
   for (std::size_t i = 0; i < 4; ++i) t.start(i, true);
   ASSERT_TRUE(t.run_until([&] { return t.all_vote(4); }, 20s));
@@ -106,9 +106,9 @@
   EXPECT_EQ(t.disks[1].durable.slots[0].held.bytes, "two");
 }
 
-// Voters that slept through a replacement can't form a quorum of the set before it
-// with a voter that lost its disk.
-TEST(VoterReplacementCases, sleepers_and_an_empty_disk_make_no_quorum_of_a_set_that_was_replaced) {
+// Voters that were down during a replacement can't form a quorum of the replaced set
+// together with a voter that lost its disk.
+TEST(VoterReplacementCases, outdated_voters_and_an_empty_disk_form_no_quorum_of_a_replaced_set) {
   StoreTrial t(5, 5, 1);
   for (std::size_t i = 0; i < 4; ++i) t.start(i, true);
   ASSERT_TRUE(t.run_until([&] { return t.all_vote(4); }, 20s));
@@ -125,7 +125,7 @@
   t.run_for(1s);
   t.start(4, false);
   ASSERT_TRUE(t.run_until([&] { return t.acceptors[4]->voting(); }, 4s));
-  // store-3 misses the newest value; store-1 loses its disk; the other two go dark.
+  // store-3 misses the newest value, store-1 loses its disk, and the other two lose power.
   cut_power(3);
   ASSERT_TRUE(t.put(0, Register::routing, 2, "new"));
   for (std::size_t const i : {1u, 2u, 4u}) cut_power(i);
@@ -142,7 +142,7 @@
   EXPECT_EQ(seen->bytes, "new");
 }
 
-TEST(VoterReplacementCases, a_voter_that_lost_its_disk_votes_again_within_two_seconds_though_another_is_dark) {
+TEST(VoterReplacementCases, a_voter_that_lost_its_disk_votes_again_within_two_seconds_while_another_is_down) {
   StoreTrial t(6, 5, 2);
   t.start_all(true);
   ASSERT_TRUE(t.run_until([&] { return t.all_vote(5); }, 20s));
--- a/tests/coordination/voter_replacement_trial.hpp
+++ b/tests/coordination/voter_replacement_trial.hpp
@@ -1,7 +1,7 @@
-// Orders of replacements, lost disks, lost power and changes cut short, played on the
-// real stores beside a plain model: which machines are members, and which value was
-// acknowledged last. The model says when the register must be available (no more
-// machines are lost than the set is to bear) and what a reader must see.
+// Runs sequences of replacements, lost disks, lost power and interrupted changes on
+// the real stores beside a reference model: which machines are members, and which
+// value was acknowledged last. The model determines when the register must be
+// available (no more failures than the set must tolerate) and what a reader must see.
 #pragma once
 
 #include "tests/coordination/store_trial.hpp"
@@ -11,13 +11,13 @@
 namespace banktide {
 
 enum class Fault {
-  replace,          // gone for good, an empty machine comes a second later at another address
-  replace_planned,  // the new machine first, then the old one leaves
-  lose_disk,        // back at once with an empty disk
-  lose_power,       // dark for a few seconds
-  stay_away,        // dark for so long that it is removed, then back with its old disk
-  interrupted,      // a replacement during whose change every machine loses power
-  closing,          // as many disks as may be lost, and the power of all others, at one moment
+  replace,          // fails permanently; an empty machine follows a second later at another address
+  replace_planned,  // the new machine joins first, then the old one leaves
+  lose_disk,        // returns at once with an empty disk
+  lose_power,       // without power for a few seconds
+  stay_away,        // without power until it is removed, then returns with its old disk
+  interrupted,      // every machine loses power during the set change of a replacement
+  closing,          // the tolerated number of disks is lost while all other machines lose power
 };
 
 inline char const* name_of(Fault const t) {
@@ -40,7 +40,7 @@
   return "";
 }
 
-/// Strikes the member that has been there longest, or the one that came last.
+/// A fault that affects the oldest or the newest member.
 struct FaultStep {
   Fault fault{};
   bool oldest = true;
@@ -51,7 +51,7 @@
 
 class ReplacementTrial {
  public:
-  /// How long a machine counts as lost after it is back.
+  /// How long a machine still counts as failed after it returns.
   static constexpr Duration catch_up = 4s;
 
   ReplacementTrial(std::uint64_t const seed, std::size_t const voters, std::uint32_t const losses,
@@ -68,7 +68,7 @@
     return stores_.run_until([&] { return stores_.all_vote(voters); }, 30s) && acknowledge("formed");
   }
 
-  /// Plays the steps; true if the register was available and right after each.
+  /// Runs the steps; true if the register was available and correct after each.
   bool run_steps(std::vector<FaultStep> const& steps) {
     return std::all_of(steps.begin(), steps.end(), [this](FaultStep const& s) { return run_step(s); });
   }
@@ -129,7 +129,7 @@
     return acknowledge("just left");
   }
 
-  // Power goes at another moment of the change in each place of an order.
+  // Each interruption of a sequence cuts the power at a different moment of the change.
   bool interrupt_replacement(std::size_t const failed) {
     cut_power(failed);
     std::erase(members_, failed);
@@ -162,7 +162,7 @@
     stores_.net.dark.erase("core-" + std::to_string(i));
     stores_.start(i, false);
   }
-  // The operators' list of machines follows the replacements, and lags by one.
+  // The operators' list of seeds follows the replacements with a delay of one.
   void add_spare() {
     stores_.seeds.clear();
     for (std::size_t k = 0; k < 3 && k < members_.size(); ++k) stores_.seeds.push_back(stores_.addresses[members_[k]]);
@@ -171,13 +171,13 @@
     ++next_spare_;
   }
 
-  // From now on all count as there: the next trouble may come.
+  // After this, all members count as recovered and the next fault may follow.
   bool settle() {
     stores_.run_for(catch_up);
     return tolerates_losses_again() && read_back() && acknowledge("settled");
   }
 
-  // All members vote in one set, and as many may be lost as ever.
+  // All members vote in the same set, and it tolerates the configured losses.
   bool tolerates_losses_again() {
     VoterSet const& set = stores_.acceptors[members_.front()]->set();
     bool const all_vote = std::all_of(members_.begin(), members_.end(), [&](std::size_t const m) {
@@ -205,7 +205,7 @@
 
   StoreTrial stores_;
   std::size_t const losses_;
-  std::vector<std::size_t> members_;  // in the order in which they came
+  std::vector<std::size_t> members_;  // in the order in which they joined
   std::size_t next_spare_;
   std::size_t interruptions_ = 0;
   Revision last_ = 0;
--- a/tests/coordination/voter_set_test.cpp
+++ b/tests/coordination/voter_set_test.cpp
@@ -1,13 +1,13 @@
-// The set of voters: how many must agree, founding from seeds, joining,
-// removal, and changes that race, stop half done, or meet lost disks.
+// The voter set: quorum sizes, bootstrapping from seeds, joining and removal, and
+// changes that run concurrently, are interrupted or coincide with lost disks.
 #include "tests/coordination/store_trial.hpp"
 
 namespace banktide {
 namespace {
 
-// A plain model: every quorum, every set of lost disks, every group that a
-// voter without a disk may hear.
-TEST(VoterSet, whoever_recovers_hears_one_that_holds_what_any_quorum_holds_and_never_needs_more_than_are_left) {
+// Exhaustive: every quorum, every set of lost disks, every group of voters from which
+// a recovering voter may receive answers.
+TEST(VoterSet, a_recovery_quorum_intersects_every_quorum_and_never_needs_more_voters_than_are_left) {
   struct SetSize {
     std::size_t voters, losses;
   };
@@ -37,7 +37,7 @@
   }
 }
 
-// One voter by itself, asked directly.
+// Single voters that are sent requests directly.
 struct SingleVoters {
   SingleVoters() : trial(1, 3, 1), asker(*trial.clients[0]) {
     before = initial_set({"store-0:1", "a:1", "b:1"}, 1);
@@ -103,7 +103,7 @@
   VoterSet before, after;
 };
 
-TEST(VoterSet, a_sealed_voter_says_what_it_holds_and_votes_in_neither_set_until_it_is_activated) {
+TEST(VoterSet, a_sealed_voter_reports_its_slots_and_votes_in_neither_set_until_it_is_activated) {
   SingleVoters v;
   EXPECT_TRUE(v.reply_to(0, SingleVoters::value(0, 4, "own")).accepted);
   SealReply const sealed = v.reply_to(0, v.seal());
@@ -117,16 +117,16 @@
   look.reg = Register::keys;
   EXPECT_FALSE(v.reply_to(0, look).voting);
   EXPECT_FALSE(v.reply_to(0, SingleVoters::value(1, 5, "early")).voting);
-  EXPECT_EQ(v.trial.disks[0].durable.set, v.after);  // kept, for a restart
+  EXPECT_EQ(v.trial.disks[0].durable.set, v.after);  // stored, to survive a restart
   EXPECT_TRUE(v.reply_to(0, v.activate()).active);
   look.epoch = 1;
   ReadRegisterReply const now = v.reply_to(0, look);
   EXPECT_TRUE(now.voting);
-  EXPECT_EQ(now.revision, 4u);  // its own was newer than what it was told
+  EXPECT_EQ(now.revision, 4u);  // its own value was newer than the one received
   EXPECT_TRUE(v.reply_to(0, SingleVoters::value(1, 5, "next")).accepted);
 }
 
-TEST(VoterSet, only_the_empty_disk_that_was_added_is_activated_and_it_takes_up_what_it_is_told) {
+TEST(VoterSet, only_the_empty_disk_that_was_added_is_activated_and_it_adopts_the_received_slots) {
   SingleVoters v;
   EXPECT_FALSE(v.reply_to(1, v.activate()).active);
   EXPECT_FALSE(v.reply_to(1, v.seal()).sealed);
@@ -137,7 +137,7 @@
   EXPECT_EQ(v.trial.disks[1].durable.slots[2].held.bytes, "copied");
 }
 
-TEST(VoterSet, rounds_go_on_rising_from_one_set_to_the_next) {
+TEST(VoterSet, rounds_increase_from_one_set_to_the_next) {
   Ballot promised;
   promised.round = 8;
   Ballot next;
@@ -148,9 +148,9 @@
   EXPECT_TRUE(next.may_follow(promised));
 }
 
-// What a set holds by copying alone is no agreement: a voter that was away may
-// hold something newer of the epoch before.
-TEST(VoterSet, a_reading_does_not_rest_on_ballots_of_an_older_set) {
+// Slots copied on activation don't count as agreement: a voter that was unreachable
+// may hold a newer value of the previous epoch.
+TEST(VoterSet, a_read_does_not_rely_on_ballots_of_an_older_set) {
   StoreTrial t(8, 3, 1);
   VoterSet const before = initial_set({"store-0:1", "store-1:1"}, 0);
   for (std::size_t i = 0; i < 3; ++i) {
@@ -164,11 +164,11 @@
     t.start(i, false);
   }
   EXPECT_FALSE(t.confirm(0, Register::keys, RegisterValue{}, 1s));
-  EXPECT_EQ(t.get(0, Register::keys)->revision, 4u);  // writes it in the new set
+  EXPECT_EQ(t.get(0, Register::keys)->revision, 4u);  // writes it back in the new set
   EXPECT_TRUE(t.confirm(0, Register::keys, RegisterValue{}, 1s));
 }
 
-TEST(VoterSet, three_seeds_found_the_register_and_every_other_store_is_added) {
+TEST(VoterSet, three_seeds_bootstrap_the_register_and_every_other_store_is_added) {
   for (std::size_t const stores : {3u, 4u, 5u, 7u}) {
     StoreTrial t(stores, stores, stores >= 5 ? 2 : 1);
     t.start_all(true);
@@ -180,14 +180,14 @@
   }
 }
 
-TEST(VoterSet, nothing_is_founded_by_stores_that_are_not_told_to) {
+TEST(VoterSet, stores_without_the_initial_start_setting_bootstrap_nothing) {
   StoreTrial t(1, 4, 1);
   t.start_all(false);
   t.run_for(10s);
   for (std::size_t i = 0; i < 4; ++i) EXPECT_FALSE(t.acceptors[i]->voting());
 }
 
-TEST(VoterSet, a_founding_goes_on_where_a_loss_of_power_stopped_it) {
+TEST(VoterSet, bootstrapping_continues_after_a_power_loss) {
   for (int ms = 20; ms <= 400; ms += 20) {
     StoreTrial t(static_cast<std::uint64_t>(ms), 5, 2);
     t.start_all(true);
@@ -198,7 +198,7 @@
   }
 }
 
-TEST(VoterSet, a_store_that_is_gone_is_removed_and_added_again_when_it_is_back) {
+TEST(VoterSet, a_failed_store_is_removed_and_added_again_when_it_returns) {
   StoreTrial t(5, 4, 1);
   t.start_all(true);
   ASSERT_TRUE(t.run_until([&] { return t.all_vote(4); }, 20s));
@@ -215,8 +215,8 @@
   EXPECT_EQ(t.get(1, Register::routing)->bytes, "five");
 }
 
-// Values are put all the while by a client, stores join, and machines lose
-// power or, one at a time, their disk, at any moment of a change.
+// Clients write continuously while stores join and machines lose power or, one at a
+// time, their disk, at any moment of a set change.
 struct FaultRun {
   explicit FaultRun(std::uint64_t const seed, std::size_t const stores) : t(seed, stores, 1) {
     for (std::size_t i = 0; i < 3; ++i) t.start(i, true);
@@ -273,7 +273,7 @@
     }
     t.sim.after(std::chrono::milliseconds(200 + t.sim.chance() % 900), [this] { inject_fault(); });
   }
-  // The next disk may be lost once the last has been made good.
+  // Allows the next disk loss once the last affected store votes again.
   void watch_recovery(std::size_t const i) {
     t.sim.after(200ms, [this, i] {
       if (t.net.at[t.addresses[i]]->alive && t.acceptors[i]->voting())
@@ -297,7 +297,7 @@
   bool over = false, lost = false;
 };
 
-TEST(VoterSet, no_acknowledged_value_is_lost_and_no_confirmed_reading_is_stale_while_sets_change_and_machines_fail) {
+TEST(VoterSet, no_acknowledged_value_is_lost_and_no_confirmed_read_is_stale_during_set_changes_and_faults) {
   std::uint64_t puts = 0, confirmed = 0;
   for (std::uint64_t seed = 1; seed <= 16; ++seed) {
     FaultRun s(seed, 6);
--- a/tests/programs/maintenance_interface_test.cpp
+++ b/tests/programs/maintenance_interface_test.cpp
@@ -4,7 +4,7 @@
 
 #include <gtest/gtest.h>
 
-#include "coordination/register_stand_in.hpp"
+#include "coordination/fake_register_client.hpp"
 
 namespace banktide {
 namespace {
