--- a/source/programs/deployment.hpp
+++ b/source/programs/deployment.hpp
@@ -7,16 +7,16 @@
 
 namespace banktide {
 
-struct BackendPlace {
+struct BackendLocation {
   std::string service;
-  std::size_t cell = 0;
+  std::size_t zone = 0;
 };
 
 struct Deployment {
   std::string name;
-  std::vector<std::string> cells;
+  std::vector<std::string> zones;
   std::vector<std::size_t> nodes;  // in each zone; the first two are gateways
-  std::vector<BackendPlace> backends;
+  std::vector<BackendLocation> backends;
   std::vector<std::string> mix;
   std::string routing, catalogue;
 };
--- a/source/programs/fleet_main.cpp
+++ b/source/programs/fleet_main.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 struct Child {
-  std::string name, cell, program, data;
+  std::string name, zone, program, data;
   std::vector<std::string> flags;
   pid_t pid = 0;
   Address http;  // the caller, local or operator interface
@@ -117,11 +117,11 @@
 
   // A node still counts as down for a while after its start, until it is ready again.
   void up(Child& c) {
-    auto& spans = doings_.down[c.name];
+    auto& spans = actions_.down[c.name];
     if (spans.empty() || spans.back().second != std::numeric_limits<std::int64_t>::max()) return;
     spans.back().second = now_ms() + 3000;
   }
-  void down(Child& c) { doings_.down[c.name].emplace_back(now_ms(), std::numeric_limits<std::int64_t>::max()); }
+  void down(Child& c) { actions_.down[c.name].emplace_back(now_ms(), std::numeric_limits<std::int64_t>::max()); }
 
   // Records processor time and peak memory by program.
   void measure() {
@@ -145,19 +145,19 @@
            << all.back().first;
       std::sort(all.begin(), all.end(), [](auto const& a, auto const& b) { return a.second < b.second; });
       text << ", memory MiB median " << all[all.size() / 2].second << " max " << all.back().second;
-      doings_.usage.push_back(text.str());
+      actions_.usage.push_back(text.str());
     }
   }
 
-  FleetDoings doings_;
+  FleetActions actions_;
 
   void apply(Event const& e) {
     std::vector<Child*> who;
     for (auto& [name, c] : children_)
-      if (name == e.name || "cell=" + c.cell == e.name || "program=" + c.program == e.name) who.push_back(&c);
+      if (name == e.name || "cell=" + c.zone == e.name || "program=" + c.program == e.name) who.push_back(&c);
     if (who.empty()) std::cerr << "banktide-fleet: event names nobody: " << e.name << "\n";
     std::cout << "second " << e.second << ": " << e.action << " " << e.name << std::endl;
-    std::vector<std::thread> goers;
+    std::vector<std::thread> threads;
     for (Child* const c : who) {
       if (e.action != "start" && e.action != "continue") down(*c);
       if (e.action == "kill") end(*c, SIGKILL);
@@ -172,13 +172,13 @@
         start(*c);
       }
       if (e.action == "roll")
-        goers.emplace_back([this, c] {
+        threads.emplace_back([this, c] {
           end(*c, SIGTERM);
           start(*c);
         });
-      if (e.action == "term") goers.emplace_back([c] { end(*c, SIGTERM); });
+      if (e.action == "term") threads.emplace_back([c] { end(*c, SIGTERM); });
     }
-    for (std::thread& t : goers) t.join();
+    for (std::thread& t : threads) t.join();
     if (e.action == "roll" || e.action == "wipe")
       for (Child* const c : who) up(*c);
   }
@@ -216,7 +216,7 @@
   });
   s.check([&](std::vector<std::string>& errors) {
     Deployment const d = s.text("deployment") == "kibble" ? kibble() : nilewise();
-    if (!s.text("drill").empty() && std::count(d.cells.begin(), d.cells.end(), s.text("drill")) == 0)
+    if (!s.text("drill").empty() && std::count(d.zones.begin(), d.zones.end(), s.text("drill")) == 0)
       errors.push_back("drill: no such cell");
     if (!s.text("drill").empty() && s.number("seconds") < 40) errors.push_back("drill: needs 40 seconds or more");
   });
@@ -246,7 +246,7 @@
   Fleet fleet(process, world, s.text("bin"), folder);
   Ports ports;
   std::vector<Address> stores, registries, operators;
-  for (std::size_t i = 0; i < d.cells.size(); ++i) {
+  for (std::size_t i = 0; i < d.zones.size(); ++i) {
     stores.push_back(ports.next());
     registries.push_back(ports.next());
     operators.push_back(ports.next());
@@ -254,40 +254,40 @@
   std::vector<std::string> voter_flags;
   for (Address const& a : stores) voter_flags.insert(voter_flags.end(), {"--voter", a});
   std::vector<std::string> const node_seeds{"--seed", registries[0], "--seed", registries[1], "--seed", registries[2]};
-  std::vector<Address> doors;
-  std::vector<std::vector<std::string>> nodes_of(d.cells.size());
+  std::vector<Address> caller_addresses;
+  std::vector<std::vector<std::string>> nodes_of(d.zones.size());
   std::size_t n = 0;
-  for (std::size_t i = 0; i < d.cells.size(); ++i) {
+  for (std::size_t i = 0; i < d.zones.size(); ++i) {
     std::string const core = "core-" + std::to_string(i + 1);
-    Child store{"store-" + std::to_string(i + 1), d.cells[i], "banktide-store", folder / core, {}, 0, "", "", 0};
+    Child store{"store-" + std::to_string(i + 1), d.zones[i], "banktide-store", folder / core, {}, 0, "", "", 0};
     store.flags = {"--id", store.name, "--address", stores[i], "--data", store.data};
     store.flags.insert(store.flags.end(), voter_flags.begin(), voter_flags.end());
     fleet.children_[store.name] = store;
     Child registry{
-        "registry-" + std::to_string(i + 1), d.cells[i], "banktide-registry", "", {}, 0, operators[i], "", 0};
-    registry.flags = {"--id",      registry.name, "--cell",     d.cells[i],
+        "registry-" + std::to_string(i + 1), d.zones[i], "banktide-registry", "", {}, 0, operators[i], "", 0};
+    registry.flags = {"--id",      registry.name, "--cell",     d.zones[i],
                       "--address", registries[i], "--operator", operators[i]};
     registry.flags.insert(registry.flags.end(), voter_flags.begin(), voter_flags.end());
     for (Address const& a : registries)
       if (a != registries[i]) registry.flags.insert(registry.flags.end(), {"--seed", a});
     fleet.children_[registry.name] = registry;
     for (std::size_t k = 0; k < d.nodes[i]; ++k) {
-      Child node{"node-" + std::to_string(++n), d.cells[i], "banktide-proxy", "", {}, 0, ports.next(), ports.next(), 0};
-      node.flags = {"--id",       node.name,  "--cell",  d.cells[i], "--address",
+      Child node{"node-" + std::to_string(++n), d.zones[i], "banktide-proxy", "", {}, 0, ports.next(), ports.next(), 0};
+      node.flags = {"--id",       node.name,  "--cell",  d.zones[i], "--address",
                     ports.next(), "--caller", node.http, "--local",  node.local};
       if (k < 2) node.flags.push_back("--gateway");
       node.flags.insert(node.flags.end(), node_seeds.begin(), node_seeds.end());
-      doors.push_back(node.http);
+      caller_addresses.push_back(node.http);
       nodes_of[i].push_back(node.name);
       fleet.children_[node.name] = node;
     }
   }
-  std::map<std::string, std::size_t> counted;
-  std::vector<std::size_t> placed(d.cells.size(), 0);
-  for (BackendPlace const& b : d.backends) {
-    Child const& node = fleet.children_[nodes_of[b.cell][placed[b.cell]++ % nodes_of[b.cell].size()]];
-    Child backend{b.service + "-" + std::to_string(++counted[b.service]),
-                  d.cells[b.cell],
+  std::map<std::string, std::size_t> backend_counts;
+  std::vector<std::size_t> placed(d.zones.size(), 0);
+  for (BackendLocation const& b : d.backends) {
+    Child const& node = fleet.children_[nodes_of[b.zone][placed[b.zone]++ % nodes_of[b.zone].size()]];
+    Child backend{b.service + "-" + std::to_string(++backend_counts[b.service]),
+                  d.zones[b.zone],
                   "banktide-backend",
                   "",
                   {},
@@ -300,13 +300,13 @@
     fleet.children_[backend.name] = backend;
   }
   {
-    std::ofstream doors_file(folder / "doors");
-    for (Address const& a : operators) doors_file << "operator " << a << "\n";
-    for (Address const& a : doors) doors_file << "caller " << a << "\n";
+    std::ofstream interfaces_file(folder / "doors");
+    for (Address const& a : operators) interfaces_file << "operator " << a << "\n";
+    for (Address const& a : caller_addresses) interfaces_file << "caller " << a << "\n";
   }
   Instant const started = world.now();
   for (auto& [name, c] : fleet.children_) fleet.start(c);
-  for (Instant const patience = world.now() + 30s; world.now() < patience; std::this_thread::sleep_for(100ms)) {
+  for (Instant const deadline = world.now() + 30s; world.now() < deadline; std::this_thread::sleep_for(100ms)) {
     std::size_t ready = 0, of = 0;
     for (auto const& [name, c] : fleet.children_) {
       if (c.http.empty()) continue;
@@ -333,7 +333,7 @@
   put(operators[0], "routing", d.routing);
   put(operators[1], "catalogue", d.catalogue);
   // Registries grant no leases for one lease term after their start.
-  for (Instant const patience = world.now() + 15s; world.now() < patience; std::this_thread::sleep_for(100ms)) {
+  for (Instant const deadline = world.now() + 15s; world.now() < deadline; std::this_thread::sleep_for(100ms)) {
     Result<HttpReply> const r = fleet.http(operators[0], "GET", "/moves");
     Json const j = r && r->status == 200 ? Json::parse(r->body, nullptr, false) : Json();
     Json const rows = j.is_object() ? j.value("slices", Json::array()) : Json::array();
@@ -349,8 +349,8 @@
     Json const here = catalogue["cells"].value(drill, Json::object());
     for (auto const& [service, e] : here.items()) {
       std::string other;
-      for (auto const& [cell, services] : catalogue["cells"].items())
-        if (cell != drill && services.contains(service)) other = cell;
+      for (auto const& [zone, services] : catalogue["cells"].items())
+        if (zone != drill && services.contains(service)) other = zone;
       for (Json const& range : e["slices"]) {
         std::uint64_t const first = range[0], n = range[1].get<std::uint64_t>() - first + 1,
                             k = what == "away" ? 0 : static_cast<std::uint64_t>(what.back() - '0');
@@ -364,20 +364,20 @@
       }
     }
     if (lines.empty()) return;
-    std::size_t const at = static_cast<std::size_t>(std::find(d.cells.begin(), d.cells.end(), drill) - d.cells.begin());
+    std::size_t const at = static_cast<std::size_t>(std::find(d.zones.begin(), d.zones.end(), drill) - d.zones.begin());
     Result<HttpReply> const r = fleet.http(operators[(at + 1) % operators.size()], "POST", "/changes", lines);
     std::cout << "moved " << what << ": " << (r ? r->body : r.error().reason + "\n") << std::flush;
   };
 
   // Two operators at two registries write as fast as they can: one unconditionally,
   // the other only if the newest revision is still the one that it knows (If-Match).
-  std::vector<std::thread> stormers;
-  std::vector<std::vector<Acknowledged>> stormed;
-  std::mutex told;  // protects the output of the operator threads
+  std::vector<std::thread> operator_threads;
+  std::vector<std::vector<Acknowledged>> storm_acknowledgements;
+  std::mutex output_mutex;  // protects the output of the operator threads
   auto const storm = [&](std::uint64_t const n) {
     for (std::size_t const k : {0, 1})
-      stormers.emplace_back([&, n, k] {
-        std::vector<Acknowledged> taken;
+      operator_threads.emplace_back([&, n, k] {
+        std::vector<Acknowledged> acknowledged;
         std::map<std::uint16_t, std::uint64_t> by;
         Json layout = Json::parse(d.routing);
         Revision newest = 0;
@@ -391,13 +391,13 @@
           ++by[r ? r->status : std::uint16_t{0}];
           Json const j = r ? Json::parse(r->body, nullptr, false) : Json();
           if (j.is_object()) newest = std::max<Revision>(newest, j.value("revision", Revision{0}));
-          if (r && r->status == 200) taken.push_back(Acknowledged{"routing", newest, fleet.now_ms(), body});
+          if (r && r->status == 200) acknowledged.push_back(Acknowledged{"routing", newest, fleet.now_ms(), body});
         }
-        std::lock_guard<std::mutex> const lock(told);
+        std::lock_guard<std::mutex> const lock(output_mutex);
         std::cout << "storm, operator " << k << ":";
         for (auto const& [status, count] : by) std::cout << " " << status << "=" << count;
         std::cout << std::endl;
-        stormed.push_back(std::move(taken));
+        storm_acknowledgements.push_back(std::move(acknowledged));
       });
   };
 
@@ -405,7 +405,7 @@
   calls.flags = {"--record",  folder / "calls.txt",
                  "--seconds", std::to_string(s.number("seconds")),
                  "--seed",    std::to_string(s.number("seed"))};
-  for (Address const& a : doors) calls.flags.insert(calls.flags.end(), {"--node", a});
+  for (Address const& a : caller_addresses) calls.flags.insert(calls.flags.end(), {"--node", a});
   for (std::string const& m : d.mix) calls.flags.insert(calls.flags.end(), {"--mix", m});
   Instant const from = world.now();
   fleet.start(calls);
@@ -419,7 +419,7 @@
     while (next_event < events.size() && world.now() - from >= std::chrono::seconds(events[next_event].second)) {
       Event const e = events[next_event++];
       std::int64_t const at = fleet.now_ms();
-      fleet.doings_.faults.push_back(Stage{e.action + " " + e.name, at, at + 5000});
+      fleet.actions_.faults.push_back(Stage{e.action + " " + e.name, at, at + 5000});
       if (e.action == "move" && !drill.empty())
         move(e.name);
       else if (e.action == "storm")
@@ -436,8 +436,9 @@
     std::this_thread::sleep_for(5ms);
   }
   calls.pid = 0;
-  for (std::thread& t : stormers) t.join();
-  for (std::vector<Acknowledged> const& taken : stormed) acks.insert(acks.end(), taken.begin(), taken.end());
+  for (std::thread& t : operator_threads) t.join();
+  for (std::vector<Acknowledged> const& acknowledged : storm_acknowledgements)
+    acks.insert(acks.end(), acknowledged.begin(), acknowledged.end());
   std::this_thread::sleep_for(500ms);
 
   std::uint64_t extras = 0;
@@ -452,15 +453,15 @@
     if (r && r->status == 200) readback = r->body;
   }
   fleet.measure();
-  FleetDoings doings = fleet.doings_;
-  for (auto const& [name, c] : fleet.children_) doings.cell_of[name] = c.cell;
+  FleetActions actions = fleet.actions_;
+  for (auto const& [name, c] : fleet.children_) actions.zone_of[name] = c.zone;
   if (!drill.empty()) {
     std::int64_t const zero = as_ms(from.time_since_epoch()), out = zero + static_cast<std::int64_t>(length / 4) * 1000,
                        back = zero + static_cast<std::int64_t>(length * 5 / 8) * 1000;
-    doings.phases = {Stage{"before", zero, out}, Stage{"out", out, back},
-                     Stage{"back", back, zero + static_cast<std::int64_t>(length) * 1000}};
+    actions.phases = {Stage{"before", zero, out}, Stage{"out", out, back},
+                      Stage{"back", back, zero + static_cast<std::int64_t>(length) * 1000}};
   }
-  FleetReport const report(folder, acks, extras, readback, doings);
+  FleetReport const report(folder, acks, extras, readback, actions);
   report.print(std::cout);
   for (auto& [name, c] : fleet.children_) Fleet::end(c, SIGKILL);
   std::cout.flush();
--- a/source/programs/fleet_report.hpp
+++ b/source/programs/fleet_report.hpp
@@ -28,8 +28,8 @@
 
 // What the fleet runner did: the zone of each process, the times at which processes
 // were down or stopped, and the phases of a drill.
-struct FleetDoings {
-  std::map<std::string, std::string> cell_of;  // by process name
+struct FleetActions {
+  std::map<std::string, std::string> zone_of;  // by process name
   std::map<std::string, std::vector<std::pair<std::int64_t, std::int64_t>>> down;
   std::vector<Stage> phases;
   std::vector<Stage> faults;       // each with the seconds after it as its stage
@@ -39,10 +39,10 @@
 class FleetReport {
  public:
   FleetReport(std::filesystem::path const& folder, std::vector<Acknowledged> const& acks, std::uint64_t const extras,
-              std::string const& readback, FleetDoings doings)
-      : extras_(extras), doings_(std::move(doings)) {
-    for (Stage const& p : doings_.phases) phases_.emplace_back().phase = p;
-    for (Stage const& f : doings_.faults) faults_.emplace_back().phase = f;
+              std::string const& readback, FleetActions actions)
+      : extras_(extras), actions_(std::move(actions)) {
+    for (Stage const& p : actions_.phases) phases_.emplace_back().phase = p;
+    for (Stage const& f : actions_.faults) faults_.emplace_back().phase = f;
     read_runs(folder / "runs.txt");
     read_calls(folder / "calls.txt");
     read_logs(folder, acks);
@@ -52,11 +52,11 @@
     std::set<std::pair<std::string, Revision>> numbers;
     for (Acknowledged const& a : acks)
       if (!numbers.emplace(a.what, a.revision).second)
-        broken_.push_back("two " + a.what + " revisions have number " + std::to_string(a.revision));
-    if (readback != newest.bytes) broken_.push_back("the routing read back is not the newest acknowledged");
+        violations_.push_back("two " + a.what + " revisions have number " + std::to_string(a.revision));
+    if (readback != newest.bytes) violations_.push_back("the routing read back is not the newest acknowledged");
   }
 
-  bool broken() const { return !broken_.empty(); }
+  bool broken() const { return !violations_.empty(); }
 
   void print(std::ostream& out) const {
     for (auto const& [name, by] : outcomes_) {
@@ -66,41 +66,41 @@
     }
     out << "calls " << calls_ << ", extra tries " << extras_ << " ("
         << (calls_ ? 100.0 * static_cast<double>(extras_) / static_cast<double>(calls_) : 0.0) << " %), runs " << runs_
-        << ", strangers " << strangers_ << "\n";
-    out << "latency us: " << spread(latency_) << "\n";
-    out << "acknowledged to in force on every running node, ms: " << spread(propagation_)
-        << "; left out, as the node was down: " << left_out_ << "\n";
-    for (Seen const& s : faults_) print_seen(out, "after ", s);
-    for (Seen const& s : phases_) {
-      print_seen(out, "phase ", s);
+        << ", strangers " << misdirected_ << "\n";
+    out << "latency us: " << summary(latencies_) << "\n";
+    out << "acknowledged to in force on every running node, ms: " << summary(propagation_)
+        << "; left out, as the node was down: " << excluded_ << "\n";
+    for (StageCounts const& s : faults_) print_counts(out, "after ", s);
+    for (StageCounts const& s : phases_) {
+      print_counts(out, "phase ", s);
       for (auto const& [where, n] : s.runs)
         out << "  " << where << " "
             << static_cast<double>(
                    n * 1000 / static_cast<std::uint64_t>(std::max<std::int64_t>(1, s.phase.to_ms - s.phase.from_ms)))
             << " runs/s" << share_of_first(where, s) << "\n";
     }
-    for (std::string const& u : doings_.usage) out << "usage " << u << "\n";
+    for (std::string const& u : actions_.usage) out << "usage " << u << "\n";
     for (auto const& [why, n] : reasons_) out << "  " << n << " x " << why << "\n";
-    for (std::string const& b : broken_) out << "BROKEN: " << b << "\n";
-    if (broken_.empty()) out << "no rule broken\n";
+    for (std::string const& b : violations_) out << "BROKEN: " << b << "\n";
+    if (violations_.empty()) out << "no rule broken\n";
   }
 
  private:
-  struct Seen {
+  struct StageCounts {
     Stage phase;
     std::uint64_t calls = 0, answered = 0, not_run = 0, unknown = 0;
     std::int64_t last_bad = 0;
     std::vector<std::int64_t> latency;
     std::map<std::string, std::uint64_t> runs;  // by zone and service
   };
-  static void print_seen(std::ostream& out, char const* const what, Seen const& s) {
+  static void print_counts(std::ostream& out, char const* const what, StageCounts const& s) {
     out << what << s.phase.name << ": " << s.calls << " calls, answered "
         << (s.calls ? 100.0 * static_cast<double>(s.answered) / static_cast<double>(s.calls) : 0.0) << " %, not run "
         << s.not_run << ", unknown " << s.unknown << "; last one not answered "
         << (s.last_bad ? std::to_string(s.last_bad - s.phase.from_ms) + " ms after it began" : "never")
-        << "; latency us: " << spread(s.latency) << "\n";
+        << "; latency us: " << summary(s.latency) << "\n";
   }
-  static void count(Seen& s, std::int64_t const at, int const status, std::string const& outcome,
+  static void count(StageCounts& s, std::int64_t const at, int const status, std::string const& outcome,
                     std::int64_t const us) {
     ++s.calls;
     if (status == 200) {
@@ -111,13 +111,13 @@
     ++(outcome == "not-run" ? s.not_run : s.unknown);
     s.last_bad = at;
   }
-  Seen* at_phase(std::int64_t const ms) {
-    for (Seen& s : phases_)
+  StageCounts* phase_at(std::int64_t const ms) {
+    for (StageCounts& s : phases_)
       if (s.phase.from_ms <= ms && ms < s.phase.to_ms) return &s;
     return nullptr;
   }
   // The load of a zone in this phase as a multiple of its load in the first phase.
-  std::string share_of_first(std::string const& where, Seen const& s) const {
+  std::string share_of_first(std::string const& where, StageCounts const& s) const {
     if (&s == &phases_.front()) return "";
     auto const first = phases_.front().runs.find(where);
     if (first == phases_.front().runs.end() || first->second == 0) return "";
@@ -134,7 +134,7 @@
     std::string instance;
   };
 
-  static std::string spread(std::vector<std::int64_t> v) {
+  static std::string summary(std::vector<std::int64_t> v) {
     if (v.empty()) return "none";
     std::sort(v.begin(), v.end());
     return "min " + std::to_string(v.front()) + " median " + std::to_string(v[v.size() / 2]) + " p99 " +
@@ -152,14 +152,14 @@
       std::string what, id, service, instance, key, epoch, method;
       std::int64_t at = 0;
       f >> what >> at >> id >> service >> instance >> key >> epoch >> method;
-      if (what == "stranger") ++strangers_;
+      if (what == "stranger") ++misdirected_;
       std::string const k = service + "/" + key;
       if (what == "begin") {
-        if (Seen* const s = at_phase(at))
-          ++s->runs[doings_.cell_of[instance.substr(0, instance.find('.'))] + " " + service];
+        if (StageCounts* const s = phase_at(at))
+          ++s->runs[actions_.zone_of[instance.substr(0, instance.find('.'))] + " " + service];
         ++runs_;
         ++ran_[id];
-        if (method == "POST" && ran_[id] > 1) broken_.push_back("call " + id + " ran more than once");
+        if (method == "POST" && ran_[id] > 1) violations_.push_back("call " + id + " ran more than once");
         if (key != "-") {
           by_key[k].push_back(Run{at, -1, instance});
           open[{id, instance}] = {k, by_key[k].size() - 1};
@@ -175,7 +175,8 @@
         for (std::size_t j = i + 1; j < runs.size(); ++j)
           if (runs[i].instance != runs[j].instance && runs[i].end >= 0 && runs[j].end >= 0 &&
               runs[i].begin < runs[j].end && runs[j].begin < runs[i].end)
-            broken_.push_back("two backends at once on " + key + ": " + runs[i].instance + " and " + runs[j].instance);
+            violations_.push_back("two backends at once on " + key + ": " + runs[i].instance + " and " +
+                                  runs[j].instance);
   }
 
   void read_calls(std::filesystem::path const& file) {
@@ -188,20 +189,20 @@
       f >> at >> id >> name >> method >> key >> status >> outcome >> right >> retry >> us >> node >> reason;
       std::int64_t const when = std::stoll(at);
       if (outcome != "unsent") {
-        if (Seen* const s = at_phase(when)) count(*s, when, status, outcome, us);
-        for (Seen& f : faults_)
+        if (StageCounts* const s = phase_at(when)) count(*s, when, status, outcome, us);
+        for (StageCounts& f : faults_)
           if (f.phase.from_ms <= when && when < f.phase.to_ms) count(f, when, status, outcome, us);
       }
       ++calls_;
       ++outcomes_[name][outcome + "/" + std::to_string(status)];
-      if (status == 200) latency_.push_back(us);
+      if (status == 200) latencies_.push_back(us);
       if (status != 200) ++reasons_[outcome + " " + std::to_string(status) + " " + strip_digits(reason)];
-      if (status == 200 && right != "right") broken_.push_back("call " + id + " got a wrong answer");
-      if (outcome == "not-run" && ran_.contains(id)) broken_.push_back("call " + id + " was said not run and ran");
-      if (outcome == "unsent" && ran_.contains(id)) broken_.push_back("call " + id + " was never sent and ran");
-      if (status == 200 && !ran_.contains(id)) broken_.push_back("call " + id + " was answered and never ran");
+      if (status == 200 && right != "right") violations_.push_back("call " + id + " got a wrong answer");
+      if (outcome == "not-run" && ran_.contains(id)) violations_.push_back("call " + id + " was said not run and ran");
+      if (outcome == "unsent" && ran_.contains(id)) violations_.push_back("call " + id + " was never sent and ran");
+      if (status == 200 && !ran_.contains(id)) violations_.push_back("call " + id + " was answered and never ran");
       if (status >= 500 && retry != "retry-after")
-        broken_.push_back("call " + id + " was given up with no Retry-After");
+        violations_.push_back("call " + id + " was given up with no Retry-After");
     }
   }
 
@@ -218,23 +219,23 @@
       std::string const name = e.path().filename().string();
       if (!name.starts_with("node-") || e.path().extension() != ".log") continue;
       std::ifstream in(e.path());
-      std::vector<std::pair<std::int64_t, Revision>> forced;
+      std::vector<std::pair<std::int64_t, Revision>> activations;
       for (std::string line; std::getline(in, line);) {
         if (line.find("event=in_force") == std::string::npos) continue;
-        forced.emplace_back(number(line, " at_ms="), number(line, " routing="));
+        activations.emplace_back(number(line, " at_ms="), number(line, " routing="));
       }
-      for (std::size_t i = 1; i < forced.size(); ++i)
-        if (forced[i].second < forced[i - 1].second)
-          broken_.push_back(name + " slipped back from routing " + std::to_string(forced[i - 1].second));
+      for (std::size_t i = 1; i < activations.size(); ++i)
+        if (activations[i].second < activations[i - 1].second)
+          violations_.push_back(name + " slipped back from routing " + std::to_string(activations[i - 1].second));
       for (Acknowledged const& a : acks) {
         if (a.what != "routing") continue;
-        for (auto const& [at, revision] : forced) {
+        for (auto const& [at, revision] : activations) {
           if (revision < a.revision) continue;
           std::vector<std::pair<std::int64_t, std::int64_t>> const& down =
-              doings_.down[name.substr(0, name.size() - 4)];
+              actions_.down[name.substr(0, name.size() - 4)];
           if (std::any_of(down.begin(), down.end(),
                           [&](auto const& d) { return d.first <= at && a.at_ms <= d.second; })) {
-            ++left_out_;
+            ++excluded_;
             break;
           }
           propagation_.push_back(std::max<std::int64_t>(0, at - a.at_ms));
@@ -250,14 +251,14 @@
   }
 
   std::uint64_t const extras_;
-  FleetDoings doings_;
-  std::vector<Seen> phases_, faults_;
-  std::uint64_t left_out_ = 0;
-  std::uint64_t calls_ = 0, runs_ = 0, strangers_ = 0;
+  FleetActions actions_;
+  std::vector<StageCounts> phases_, faults_;
+  std::uint64_t excluded_ = 0;
+  std::uint64_t calls_ = 0, runs_ = 0, misdirected_ = 0;
   std::map<std::string, std::map<std::string, std::uint64_t>> outcomes_;
   std::map<std::string, std::uint64_t> ran_, reasons_;
-  std::vector<std::int64_t> latency_, propagation_;
-  std::vector<std::string> broken_;
+  std::vector<std::int64_t> latencies_, propagation_;
+  std::vector<std::string> violations_;
 };
 
 }  // namespace banktide
--- a/source/simulation/sim_fleet.hpp
+++ b/source/simulation/sim_fleet.hpp
@@ -13,9 +13,9 @@
   History run() {
     start_ = sim_.now;
     build();
-    add_backend("promo", node_in(d_.cells[0], 1));
-    add_backend("promo", node_in(d_.cells[2], 0));
-    add_backend("intruder", node_in(d_.cells[1], 0));  // of a service that no revision allows
+    add_backend("promo", node_in(d_.zones[0], 1));
+    add_backend("promo", node_in(d_.zones[2], 0));
+    add_backend("intruder", node_in(d_.zones[1], 0));  // of a service that no revision allows
     sim_.run_until(start_ + 6s);
     put(0, Register::routing, d_.routing, std::nullopt, true);
     sim_.run_until(sim_.now + 1s);
--- a/source/simulation/sim_machines.hpp
+++ b/source/simulation/sim_machines.hpp
@@ -128,27 +128,27 @@
   }
 
   void build() {
-    voters_.resize(d_.cells.size());
-    controls_.resize(d_.cells.size());
-    for (std::size_t i = 0; i < d_.cells.size(); ++i) {
+    voters_.resize(d_.zones.size());
+    controls_.resize(d_.zones.size());
+    for (std::size_t i = 0; i < d_.zones.size(); ++i) {
       voter_addresses_.push_back("store-" + std::to_string(i) + ":1");
       registry_addresses_.push_back("registry-" + std::to_string(i) + ":1");
     }
     std::size_t n = 0;
-    for (std::size_t i = 0; i < d_.cells.size(); ++i) {
+    for (std::size_t i = 0; i < d_.zones.size(); ++i) {
       std::string const core = "core-" + std::to_string(i);
       voters_[i].machine = core;
       voters_[i].address = voter_addresses_[i];
       start_voter(i);
       controls_[i].machine = core;
-      controls_[i].cell = d_.cells[i];
+      controls_[i].cell = d_.zones[i];
       controls_[i].id = "registry-" + std::to_string(i);
       controls_[i].address = registry_addresses_[i];
       start_control(i);
       for (std::size_t k = 0; k < d_.nodes[i]; ++k) {
         Node node;
         node.machine = "app-" + std::to_string(n);
-        node.cell = d_.cells[i];
+        node.cell = d_.zones[i];
         node.id = "node-" + std::to_string(n);
         node.address = "node-" + std::to_string(n) + ":1";
         node.gateway = k < 2;
@@ -157,8 +157,8 @@
       }
     }
     for (std::size_t i = 0; i < nodes_.size(); ++i) start_node(i);
-    std::vector<std::size_t> placed(d_.cells.size(), 0);
-    for (BackendPlace const& b : d_.backends) add_backend(b.service, node_in(d_.cells[b.cell], placed[b.cell]++));
+    std::vector<std::size_t> placed(d_.zones.size(), 0);
+    for (BackendLocation const& b : d_.backends) add_backend(b.service, node_in(d_.zones[b.cell], placed[b.cell]++));
   }
 
   std::size_t node_in(std::string const& cell, std::size_t const k) const {
--- a/source/simulation/sim_mishaps.hpp
+++ b/source/simulation/sim_mishaps.hpp
@@ -354,11 +354,11 @@
   std::vector<std::pair<Register, std::string>> bad_revisions() {
     Json unknown_service = catalogue_, unknown_cell = catalogue_, twice = catalogue_, outside = catalogue_,
          way = routing_, type = routing_, gone = routing_;
-    unknown_service["cells"][d_.cells[0]]["nobody"] = Json::object();
+    unknown_service["cells"][d_.zones[0]]["nobody"] = Json::object();
     unknown_cell["cells"]["nowhere"] = Json::object();
-    twice["cells"][d_.cells[0]][keyed_]["slices"] = {{0, 5}};
-    twice["cells"][d_.cells[1]][keyed_]["slices"] = {{5, 9}};
-    outside["cells"][d_.cells[0]][keyed_]["slices"] = {{0, 1023}};
+    twice["cells"][d_.zones[0]][keyed_]["slices"] = {{0, 5}};
+    twice["cells"][d_.zones[1]][keyed_]["slices"] = {{5, 9}};
+    outside["cells"][d_.zones[0]][keyed_]["slices"] = {{0, 1023}};
     way["ways"].push_back({{"prefix", "/x"}, {"service", "nobody"}});
     type["services"][keyed_]["timeout_ms"] = "soon";
     gone["cells"] = {"elsewhere"};
@@ -487,7 +487,7 @@
     std::size_t const other = core == 0 ? 1 : 0;
     sim_.after(3s, [this, other] {
       std::uint64_t const slices = routing_["services"][keyed_]["key"]["slices"];
-      catalogue_ = {{"cells", {{d_.cells[other], {{keyed_, {{"slices", {{0, slices - 1}}}}}}}}}};
+      catalogue_ = {{"cells", {{d_.zones[other], {{keyed_, {{"slices", {{0, slices - 1}}}}}}}}}};
       put((other + 2) % controls_.size(), Register::catalogue, catalogue_.dump(), std::nullopt, true);
     });
   }
@@ -509,8 +509,8 @@
       if (nodes_[i].process->frozen) nodes_[i].process->thaw();
       if (!nodes_[i].process->alive) start_node(i);
     }
-    for (BackendPlace const& p : d_.backends)
-      if (fit_backends(p.service, d_.cells[p.cell]) == 0) add_backend(p.service, node_in(d_.cells[p.cell], 0));
+    for (BackendLocation const& p : d_.backends)
+      if (fit_backends(p.service, d_.zones[p.cell]) == 0) add_backend(p.service, node_in(d_.zones[p.cell], 0));
   }
 
   std::map<std::string, std::uint64_t> counted_;
--- a/source/simulation/sim_traffic.hpp
+++ b/source/simulation/sim_traffic.hpp
@@ -133,7 +133,7 @@
       std::set<std::string> allowed, named;
       for (auto const& [cell, services] : catalogue_["cells"].items())
         if (services.contains(c.service)) named.insert(cell);
-      for (std::string const& cell : d_.cells)
+      for (std::string const& cell : d_.zones)
         if (named.empty() || named.contains(cell)) allowed.insert(cell);
       auto const good = [&](std::string const& cell) {
         return allowed.contains(cell) && cell_unbothered(cell, known_good_for) &&
@@ -143,7 +143,7 @@
       bool const none = !allowed.contains(n.cell) ||
                         (fit_backends(c.service, n.cell) == 0 && unbothered_service(c.service, n.cell) > 6s);
       bool elsewhere = none, any = false;
-      for (std::string const& cell : d_.cells) {
+      for (std::string const& cell : d_.zones) {
         if (cell == n.cell) continue;
         elsewhere = elsewhere && cell_unbothered(cell, 4s) && unbothered_service(c.service, cell) > 4s;
         any = any || good(cell);
@@ -154,7 +154,7 @@
       std::uint64_t const slice = digest_of(c.key) % routing_["services"][keyed_]["key"]["slices"].get<std::uint64_t>();
       bool cores = true;
       for (Control const& k : controls_) cores = cores && unbothered(k.machine) > 14s;
-      for (std::string const& cell : d_.cells) {
+      for (std::string const& cell : d_.zones) {
         bool here = false;
         if (catalogue_["cells"].contains(cell) && catalogue_["cells"][cell].contains(keyed_))
           for (Json const& range : catalogue_["cells"][cell][keyed_]["slices"])
@@ -232,8 +232,8 @@
     changed_[keyed_] = sim_.now;
     std::uint64_t const slices = routing_["services"][keyed_]["key"]["slices"], cut = 1 + sim_.chance() % (slices - 1);
     for (auto& [cell, services] : catalogue_["cells"].items()) services.erase(keyed_);
-    std::string const& a = d_.cells[style % 2];
-    std::string const& b = d_.cells[1 - style % 2];
+    std::string const& a = d_.zones[style % 2];
+    std::string const& b = d_.zones[1 - style % 2];
     if (style == 4) return;
     if (style >= 2) {
       catalogue_["cells"][a][keyed_]["slices"] = {{0, slices - 1}};
@@ -271,10 +271,10 @@
       changed_[service] = sim_.now;
       bool named = false;
       for (auto& [cell, services] : catalogue_["cells"].items()) named = services.erase(service) > 0 || named;
-      std::size_t const first = sim_.chance() % d_.cells.size();
+      std::size_t const first = sim_.chance() % d_.zones.size();
       if (!named)
-        for (std::size_t const k : {first, (first + 1) % d_.cells.size()})
-          catalogue_["cells"][d_.cells[k]][service] = Json::object();
+        for (std::size_t const k : {first, (first + 1) % d_.zones.size()})
+          catalogue_["cells"][d_.zones[k]][service] = Json::object();
       put_catalogue();
     } else if (what == 18) {
       changed_[service] = sim_.now;
