--- a/source/programs/fleet_main.cpp
+++ b/source/programs/fleet_main.cpp
@@ -373,7 +373,7 @@
   // the other only if the newest revision is still the one that it knows (If-Match).
   std::vector<std::thread> operator_threads;
   std::vector<std::vector<Acknowledged>> storm_acknowledgements;
-  std::mutex output_mutex;  // protects the output of the operator threads
+  std::mutex results_mutex;  // protects the results and the output of the operator threads
   auto const storm = [&](std::uint64_t const n) {
     for (std::size_t const k : {0, 1})
       operator_threads.emplace_back([&, n, k] {
@@ -393,7 +393,7 @@
           if (j.is_object()) newest = std::max<Revision>(newest, j.value("revision", Revision{0}));
           if (r && r->status == 200) acknowledged.push_back(Acknowledged{"routing", newest, fleet.now_ms(), body});
         }
-        std::lock_guard<std::mutex> const lock(output_mutex);
+        std::lock_guard<std::mutex> const lock(results_mutex);
         std::cout << "storm, operator " << k << ":";
         for (auto const& [status, count] : by) std::cout << " " << status << "=" << count;
         std::cout << std::endl;
--- a/source/programs/shell_main.cpp
+++ b/source/programs/shell_main.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-struct Question {
+struct Query {
   char const* name;
   char const* target;
   char const* rows;     // the field of the answer that has the rows
@@ -24,7 +24,7 @@
   char const* what;
 };
 
-constexpr Question questions[] = {
+constexpr Query queries[] = {
     {"members", "/fleet", "members", "id cell role standing incarnation address", "processes of the registry's cell"},
     {"backends", "/fleet", "backends", "service instance node port burden standing",
      "backends of the registry's cell, with their burden"},
@@ -47,13 +47,13 @@
     {"mishaps", "/mishaps", "mishaps", "at_ms what step peer reason", "the registry's last mishaps"},
 };
 
-std::string cell_text(Json const& v) {
+std::string field_text(Json const& v) {
   if (v.is_null()) return "-";
   if (v.is_string()) return v.get<std::string>().empty() ? "-" : v.get<std::string>();
   if (v.is_array() && v.size() == 2 && v[0].is_number() && v[1].is_number()) return v[0].dump() + ".." + v[1].dump();
   if (v.is_array()) {
     std::string out;
-    for (Json const& e : v) out += (out.empty() ? "" : ",") + (e.is_object() ? e.value("id", e.dump()) : cell_text(e));
+    for (Json const& e : v) out += (out.empty() ? "" : ",") + (e.is_object() ? e.value("id", e.dump()) : field_text(e));
     return out.empty() ? "-" : out;
   }
   return v.dump();
@@ -90,7 +90,7 @@
   std::vector<std::vector<std::string>> lines{names};
   for (Json const& row : rows) {
     lines.emplace_back();
-    for (std::string const& c : names) lines.back().push_back(cell_text(row.contains(c) ? row[c] : Json()));
+    for (std::string const& c : names) lines.back().push_back(field_text(row.contains(c) ? row[c] : Json()));
   }
   std::vector<std::size_t> widths(names.size(), 0);
   for (std::vector<std::string> const& line : lines)
@@ -105,8 +105,8 @@
 
 class Shell {
  public:
-  Shell(Process& p, SocketEnvironment& env, std::vector<Address> doors, bool const json)
-      : process_(p), world_(env), caller_(env), doors_(std::move(doors)), json_(json) {}
+  Shell(Process& p, SocketEnvironment& env, std::vector<Address> registries, bool const json)
+      : process_(p), world_(env), caller_(env), registries_(std::move(registries)), json_(json) {}
 
   int run(std::vector<std::string> const& words) {
     if (words.empty()) return 0;
@@ -116,14 +116,14 @@
     if (words[0] == "put") return put(words);
     if (words[0] == "place") return place(words);
     if (words[0] == "maintenance") return maintenance(words);
-    for (Question const& q : questions)
+    for (Query const& q : queries)
       if (words[0] == q.name) return words.size() > 1 ? wrong(words[0] + " takes nothing more") : ask(q);
     return wrong("no such question: " + words[0] + "; try help");
   }
 
  private:
   int help() {
-    for (Question const& q : questions) std::cout << "  " << std::left << std::setw(11) << q.name << q.what << "\n";
+    for (Query const& q : queries) std::cout << "  " << std::left << std::setw(11) << q.name << q.what << "\n";
     std::cout
         << "  decisions [service=S] [decision=stay|cross|drop] [cell=C] [after=WORD] [lines=N]   calls as they are decided\n"
            "  send FILE|-         changes, a JSON object a line, each with its verdict as it falls\n"
@@ -147,43 +147,43 @@
   // Sends a request to the registries in order, until one answers.
   Result<HttpReply> http(HttpRequest const& q) {
     Result<HttpReply> r = make_error("connect", "", "no registry", Proof::not_run);
-    for (Address const& door : doors_) {
+    for (Address const& registry : registries_) {
       std::promise<Result<HttpReply>> p;
       process_.run_on_thread([&]() {
-        asio::co_spawn(world_.executor(), caller_.run_at(door, q, world_.now() + 8s),
+        asio::co_spawn(world_.executor(), caller_.run_at(registry, q, world_.now() + 8s),
                        [&](std::exception_ptr e, Result<HttpReply> got) {
-                         p.set_value(e ? Result<HttpReply>(make_error("http", door, "exception")) : std::move(got));
+                         p.set_value(e ? Result<HttpReply>(make_error("http", registry, "exception")) : std::move(got));
                        });
         return true;
       });
       r = p.get_future().get();
-      door_ = door;
+      answering_registry_ = registry;
       if (r || r.error().proof != Proof::not_run) break;
     }
     return r;
   }
 
-  int ask(Question const& question) {
-    HttpRequest const q{"GET", question.target, {}, ""};
+  int ask(Query const& query) {
+    HttpRequest const q{"GET", query.target, {}, ""};
     Result<HttpReply> const r = http(q);
     if (!r) return failed(r.error().step, r.error().peer, r.error().reason);
-    if (r->status != 200) return failed("answer", door_, std::to_string(r->status) + " " + r->body);
-    std::string const rows = question.rows;
+    if (r->status != 200) return failed("answer", answering_registry_, std::to_string(r->status) + " " + r->body);
+    std::string const rows = query.rows;
     if (rows.empty()) {
       std::cout << r->body << "\n";
       return 0;
     }
     Json const answer = Json::parse(r->body, nullptr, false);
-    if (!answer.is_object()) return failed("read_answer", door_, "not an object");
+    if (!answer.is_object()) return failed("read_answer", answering_registry_, "not an object");
     Json const found = rows_of(answer, rows);
     if (json_)
       std::cout << found.dump(1) << "\n";
     else
-      print_table(found, question.columns);
+      print_table(found, query.columns);
     Json silent = answer.value("silent", Json::array());
     for (Json const& cell : answer.value("cells", Json::array()))
       for (Json const& s : cell.value("silent", Json::array())) silent.push_back(s);
-    for (Json const& s : silent) std::cerr << "banktide-shell: no answer from " << cell_text(s) << "\n";
+    for (Json const& s : silent) std::cerr << "banktide-shell: no answer from " << field_text(s) << "\n";
     return 0;
   }
 
@@ -204,7 +204,7 @@
     if (!command) return wrong(command.error());
     Result<HttpReply> const r = http(command->request);
     if (!r) return failed(r.error().step, r.error().peer, r.error().reason);
-    if (r->status != 200) return failed("answer", door_, std::to_string(r->status) + " " + r->body);
+    if (r->status != 200) return failed("answer", answering_registry_, std::to_string(r->status) + " " + r->body);
     Json const windows = windows_in_reply(*command, *r);
     if (json_)
       std::cout << windows.dump(1) << "\n";
@@ -229,13 +229,14 @@
     HttpRequest const q{"GET", "/routing", {}, ""}, c{"GET", "/catalogue", {}, ""};
     Result<HttpReply> const routing = http(q);
     if (!routing) return failed(routing.error().step, routing.error().peer, routing.error().reason);
-    if (routing->status != 200) return failed("answer", door_, std::to_string(routing->status) + " " + routing->body);
+    if (routing->status != 200)
+      return failed("answer", answering_registry_, std::to_string(routing->status) + " " + routing->body);
     Result<HttpReply> const catalogue = http(c);
     if (!catalogue) return failed(catalogue.error().step, catalogue.error().peer, catalogue.error().reason);
     if (catalogue->status != 200 && catalogue->status != 404)
-      return failed("answer", door_, std::to_string(catalogue->status) + " " + catalogue->body);
+      return failed("answer", answering_registry_, std::to_string(catalogue->status) + " " + catalogue->body);
     Result<Layout> const layout = Layout::read(routing->body);
-    if (!layout) return failed(layout.error().step, door_, layout.error().reason);
+    if (!layout) return failed(layout.error().step, answering_registry_, layout.error().reason);
     Result<std::string> const placed =
         Placement::solve(*constraints, *layout, catalogue->status == 200 ? catalogue->body : "");
     if (!placed) return failed(placed.error().step, placed.error().peer, placed.error().reason);
@@ -249,23 +250,23 @@
     try {
       web::http::client::http_client_config config;
       config.set_timeout(std::chrono::hours(24));
-      web::http::client::http_client client(web::uri("http://" + doors_.front()), config);
+      web::http::client::http_client client(web::uri("http://" + registries_.front()), config);
       web::http::http_response r = client.request(web::http::methods::GET, target).get();
       if (r.status_code() != 200)
-        return failed("answer", doors_.front(),
+        return failed("answer", registries_.front(),
                       std::to_string(r.status_code()) + " " + r.extract_utf8string(true).get());
       concurrency::streams::streambuf<unsigned char> in = r.body().streambuf();
-      std::string held;
+      std::string buffer;
       while (in.getc().get() >= 0) {
         std::vector<unsigned char> raw(std::max<std::size_t>(1, std::min<std::size_t>(in.in_avail(), 65536)));
         std::size_t const got = in.getn(raw.data(), raw.size()).get();
-        held.append(reinterpret_cast<char const*>(raw.data()), got);
-        for (std::size_t end = 0; (end = held.find('\n')) != std::string::npos; held.erase(0, end + 1))
-          if (!line(held.substr(0, end))) return 0;
+        buffer.append(reinterpret_cast<char const*>(raw.data()), got);
+        for (std::size_t end = 0; (end = buffer.find('\n')) != std::string::npos; buffer.erase(0, end + 1))
+          if (!line(buffer.substr(0, end))) return 0;
       }
       return 0;
     } catch (std::exception const& e) {
-      return failed("read_lines", doors_.front(), e.what());
+      return failed("read_lines", registries_.front(), e.what());
     }
   }
 
@@ -329,7 +330,7 @@
     try {
       web::http::client::http_client_config config;
       config.set_timeout(std::chrono::hours(24));
-      web::http::client::http_client client(web::uri("http://" + doors_.front()), config);
+      web::http::client::http_client client(web::uri("http://" + registries_.front()), config);
       web::http::http_request q(web::http::methods::POST);
       q.set_request_uri(web::uri("/changes?stream=" + name));
       q.set_body(body.create_istream(), "application/x-ndjson");
@@ -342,9 +343,10 @@
       body.close(std::ios_base::out).wait();
       web::http::http_response r = sent.get();
       if (r.status_code() != 200)
-        code = failed("send", doors_.front(), std::to_string(r.status_code()) + " " + r.extract_utf8string(true).get());
+        code = failed("send", registries_.front(),
+                      std::to_string(r.status_code()) + " " + r.extract_utf8string(true).get());
     } catch (std::exception const& e) {
-      code = failed("send", doors_.front(), e.what());
+      code = failed("send", registries_.front(), e.what());
     }
     if (code != 0) std::_Exit(code);
     verdicts.join();
@@ -354,8 +356,8 @@
   Process& process_;
   SocketEnvironment& world_;
   HttpCaller<SocketEnvironment> caller_;
-  std::vector<Address> const doors_;
-  Address door_;
+  std::vector<Address> const registries_;
+  Address answering_registry_;
   bool const json_;
 };
 
@@ -366,13 +368,13 @@
   return words;
 }
 
-// The flags of a command are parsed with the program's own; `asked_words` appends them to the command again.
+// The flags of a command are parsed with the program's own; `command_words` appends them to the command again.
 void define_command_flags(Settings& s) {
   for (char const* const name : {"opens-in", "lasts", "lead"}) s.text(name, "", "seconds, of maintenance mark");
   s.flag("allow-second", "of maintenance mark: also if another zone is under maintenance then");
   s.flag("force", "of maintenance mark: also if the other zones have too little room, or time is short");
 }
-std::vector<std::string> asked_words(Settings const& s) {
+std::vector<std::string> command_words(Settings const& s) {
   std::vector<std::string> words = s.list("ask");
   for (std::string const name : {"opens-in", "lasts", "lead"})
     if (!s.text(name).empty()) words.insert(words.end(), {"--" + name, s.text(name)});
@@ -381,7 +383,7 @@
   return words;
 }
 
-int at_prompt(Shell& shell) {
+int run_prompt(Shell& shell) {
   EditLine* const editor = el_init("banktide-shell", stdin, stdout, stderr);
   ::History* const history = history_init();
   HistEvent event;
@@ -420,9 +422,9 @@
   Shell shell(process, world, s.list("registry"), s.flag("json"));
   int code = 0;
   if (!s.list("ask").empty()) {
-    code = shell.run(asked_words(s));
+    code = shell.run(command_words(s));
   } else if (::isatty(0)) {
-    code = at_prompt(shell);
+    code = run_prompt(shell);
   } else {
     for (std::string line; code == 0 && std::getline(std::cin, line);) code = shell.run(words_of(line));
   }
--- a/source/simulation/sim_machines.hpp
+++ b/source/simulation/sim_machines.hpp
@@ -158,7 +158,7 @@
     }
     for (std::size_t i = 0; i < nodes_.size(); ++i) start_node(i);
     std::vector<std::size_t> placed(d_.zones.size(), 0);
-    for (BackendLocation const& b : d_.backends) add_backend(b.service, node_in(d_.zones[b.cell], placed[b.cell]++));
+    for (BackendLocation const& b : d_.backends) add_backend(b.service, node_in(d_.zones[b.zone], placed[b.zone]++));
   }
 
   std::size_t node_in(std::string const& cell, std::size_t const k) const {
--- a/source/simulation/sim_mishaps.hpp
+++ b/source/simulation/sim_mishaps.hpp
@@ -510,7 +510,7 @@
       if (!nodes_[i].process->alive) start_node(i);
     }
     for (BackendLocation const& p : d_.backends)
-      if (fit_backends(p.service, d_.zones[p.cell]) == 0) add_backend(p.service, node_in(d_.zones[p.cell], 0));
+      if (fit_backends(p.service, d_.zones[p.zone]) == 0) add_backend(p.service, node_in(d_.zones[p.zone], 0));
   }
 
   std::map<std::string, std::uint64_t> counted_;
