--- a/tests/coordination/key_balance_test.cpp
+++ b/tests/coordination/key_balance_test.cpp
@@ -24,13 +24,13 @@
 // Things of falling popularity; the most popular ones, which draw the given part
 // of all requests, lie on neighbouring keys, the others anywhere.
 Traffic skewed(double const rate, double const busy_part, std::size_t const busy_from, std::size_t const busy_keys) {
-  constexpr std::size_t things = 60000;
+  constexpr std::size_t items = 60000;
   constexpr double skew = 0.84;
   std::mt19937_64 chance(17);
   double all = 0, drawn = 0;
-  for (std::size_t i = 1; i <= things; ++i) all += std::pow(i, -skew);
+  for (std::size_t i = 1; i <= items; ++i) all += std::pow(i, -skew);
   Traffic traffic(key_count, 0);
-  for (std::size_t i = 1; i <= things; ++i) {
+  for (std::size_t i = 1; i <= items; ++i) {
     double const part = std::pow(i, -skew) / all;
     std::size_t const key = drawn < busy_part ? busy_from + chance() % busy_keys : chance() % key_count;
     traffic[key % key_count] += rate * part;
@@ -44,9 +44,9 @@
     std::unique_ptr<KeyGranter> holder;
     std::string instance;
     double capacity = 0;
-    std::uint64_t beats = 0;
+    std::uint64_t heartbeats = 0;
     std::vector<HeldRange> held;
-    Duration report_in{};
+    Duration until_report{};
     std::size_t largest_report = 0;
   };
 
@@ -56,7 +56,7 @@
       std::string const node = "node-" + std::to_string(i);
       member.instance = "i-" + std::to_string(i);
       member.capacity = capacities[i];
-      member.report_in = step * static_cast<int>(i % 5);
+      member.until_report = step * static_cast<int>(i % 5);
       member.holder = std::make_unique<KeyGranter>("payments", node, node + ":1", "zone", KeySettings{}, Instant{});
       members.push_back(std::move(member));
     }
@@ -89,7 +89,7 @@
 
   // The utilisation of the most utilised backend by the mean, both without
   // backends that one key alone brings above the mean.
-  double worst() const {
+  double worst_utilisation() const {
     std::vector<double> const demand = demands();
     std::vector<double> hottest(members.size(), 0);
     for (KeyRow const& row : rows())
@@ -99,21 +99,21 @@
       }
     double demanded = all, capacity = 0;
     for (Member const& member : members) capacity += member.capacity;
-    std::vector<bool> filled(members.size(), false);
+    std::vector<bool> saturated(members.size(), false);
     for (bool again = true; again;) {
       again = false;
       for (std::size_t i = 0; i < members.size(); ++i) {
-        if (filled[i] || hottest[i] * capacity <= demanded * members[i].capacity) continue;
-        filled[i] = again = true;
+        if (saturated[i] || hottest[i] * capacity <= demanded * members[i].capacity) continue;
+        saturated[i] = again = true;
         demanded -= hottest[i];
         capacity -= members[i].capacity;
       }
     }
     double most = 0;
     for (std::size_t i = 0; i < members.size(); ++i) {
-      double const beside_key = demand[i] - hottest[i];
-      if (!filled[i]) most = std::max(most, demand[i] / members[i].capacity);
-      if (filled[i]) most = std::max(most, beside_key / members[i].capacity);
+      double const other_demand = demand[i] - hottest[i];
+      if (!saturated[i]) most = std::max(most, demand[i] / members[i].capacity);
+      if (saturated[i]) most = std::max(most, other_demand / members[i].capacity);
     }
     return most * capacity / demanded;
   }
@@ -131,20 +131,20 @@
   void heartbeat(Member& member) {
     KeyHeartbeat heartbeat;
     heartbeat.instance = member.instance;
-    heartbeat.sequence = ++member.beats;
+    heartbeat.sequence = ++member.heartbeats;
     heartbeat.held = member.held;
     heartbeat.slots = 9;
-    KeyHeartbeatReply const answer = member.holder->handle_heartbeat(now, heartbeat);
-    if (!answer.renews) return;
-    EXPECT_LE(answer.rows.size(), KeySettings{}.held_rows_limit);
+    KeyHeartbeatReply const reply = member.holder->handle_heartbeat(now, heartbeat);
+    if (!reply.renews) return;
+    EXPECT_LE(reply.rows.size(), KeySettings{}.held_rows_limit);
     member.held.clear();
-    for (KeyGrant const& grant : answer.rows) member.held.push_back(HeldRange{grant.from, grant.to, grant.fence});
+    for (KeyGrant const& grant : reply.rows) member.held.push_back(HeldRange{grant.from, grant.to, grant.fence});
   }
 
-  void tell(Member& member, double const demand) {
-    member.report_in -= step;
-    if (member.report_in > Duration::zero() && !member.holder->has_urgent_report()) return;
-    member.report_in = KeySettings{}.report_every;
+  void send_report(Member& member, double const demand) {
+    member.until_report -= step;
+    if (member.until_report > Duration::zero() && !member.holder->has_urgent_report()) return;
+    member.until_report = KeySettings{}.report_every;
     double const busy = std::min(1.3, demand / member.capacity);
     KeyReport report = member.holder->report(now, static_cast<float>(busy), static_cast<float>(member.capacity));
     Bytes bytes;
@@ -163,16 +163,16 @@
       for (std::size_t i = 0; i < members.size(); ++i) {
         members[i].holder->on_confirmed(planner.table().revision, now);
         heartbeat(members[i]);
-        tell(members[i], demand[i]);
+        send_report(members[i], demand[i]);
       }
       std::optional<KeyTable> const plan = planner.plan(now);
       if (!plan) continue;
       ++tables;
-      take(*plan);
+      apply_table(*plan);
     }
   }
 
-  void take(KeyTable const& table) {
+  void apply_table(KeyTable const& table) {
     for (KeyService const& service : table.services) {
       EXPECT_LE(service.rows.size(), KeySettings{}.rows_limit);
       double moving = 0;
@@ -193,11 +193,11 @@
     Instant const begun = now;
     while (now - begun < limit) {
       run(step);
-      if (worst() <= bound) break;
+      if (worst_utilisation() <= bound) break;
     }
     return now - begun;
   }
-  Duration time_to_rows(Duration const limit) {
+  Duration time_to_first_table(Duration const limit) {
     Instant const begun = now;
     while (planner.table().services.empty() && now - begun < limit) run(step);
     return now - begun;
@@ -210,8 +210,8 @@
   void print(std::string const& what, Duration const took) const {
     std::cout << what << ": " << std::chrono::duration<double>(took).count() << " s, tables " << tables
               << ", rows moved " << moved_rows << ", width moved " << moved_width << ", rows "
-              << (planner.table().services.empty() ? 0 : rows().size()) << ", worst " << worst() << ", report "
-              << largest_report() << "\n";
+              << (planner.table().services.empty() ? 0 : rows().size()) << ", worst " << worst_utilisation()
+              << ", report " << largest_report() << "\n";
   }
 
   KeyPlanner planner;
@@ -226,7 +226,7 @@
 };
 
 // Nine slots of 210 ms each, at speeds from 0.7 to 1.6.
-std::vector<double> unequal(std::size_t const count) {
+std::vector<double> unequal_capacities(std::size_t const count) {
   std::vector<double> capacities;
   for (std::size_t i = 0; i < count; ++i) {
     double const speed =
@@ -245,11 +245,11 @@
 constexpr double mean_utilisation = 0.75;  // of small fleets
 
 TEST(KeyBalance, a_large_fleet_is_even_within_seconds_of_an_uneven_start_and_then_hardly_moves) {
-  BalanceTrial trial(unequal(44));
+  BalanceTrial trial(unequal_capacities(44));
   trial.set_traffic(skewed(968, 0.37, 30000, 120));
-  Duration const first = trial.time_to_rows(10s);
+  Duration const first = trial.time_to_first_table(10s);
   ASSERT_LT(first, 3s);
-  EXPECT_GT(trial.worst(), 5);
+  EXPECT_GT(trial.worst_utilisation(), 5);
   trial.tables = 0;
   Duration const bearable = trial.time_to(1.6, 60s);
   trial.print("44 backends to 1.6 of the mean", bearable);
@@ -260,18 +260,18 @@
   EXPECT_LT(trial.moved_rows, 250u);
   EXPECT_LT(trial.moved_width, 0.25);
   trial.run(40s);
-  EXPECT_LE(trial.worst(), 1.2);
+  EXPECT_LE(trial.worst_utilisation(), 1.2);
   trial.tables = trial.moved_rows = 0;
   trial.run(60s);
   trial.print("... a minute later", even);
-  EXPECT_LE(trial.worst(), 1.2);
+  EXPECT_LE(trial.worst_utilisation(), 1.2);
   EXPECT_LT(trial.tables, 30u);
   EXPECT_LT(trial.moved_rows, 25u);
   EXPECT_LE(trial.largest_report(), 1024u);
 }
 
 TEST(KeyBalance, busy_keys_that_move_all_day_are_followed_within_seconds) {
-  BalanceTrial trial(unequal(44));
+  BalanceTrial trial(unequal_capacities(44));
   std::mt19937_64 chance(3);
   trial.set_traffic(skewed(968, 0.37, 30000, 120));
   trial.run(20s);
@@ -286,7 +286,7 @@
     longest_to_even = std::max(longest_to_even, even);
     most_rows = std::max(most_rows, trial.rows().size());
     trial.run(40s);
-    EXPECT_LE(trial.worst(), 1.3) << shift;
+    EXPECT_LE(trial.worst_utilisation(), 1.3) << shift;
     EXPECT_LE(trial.rows().size(), 680u) << shift;
   }
   trial.print("20 shifts, longest to 1.6", longest);
@@ -299,30 +299,30 @@
 
 TEST(KeyBalance, small_fleets_are_even_within_seconds_too) {
   for (std::size_t const count : {2u, 5u, 6u}) {
-    std::vector<double> const capacities = unequal(count);
+    std::vector<double> const capacities = unequal_capacities(count);
     BalanceTrial trial(capacities);
     trial.set_traffic(skewed(mean_utilisation * capacity_of(capacities), 0.37, 30000, 120));
-    trial.time_to_rows(10s);
+    trial.time_to_first_table(10s);
     Duration const even = trial.time_to(1.25, 60s);
     trial.print(std::to_string(count) + " backends to 1.25", even);
     EXPECT_LE(even, 20s) << count;
     trial.run(30s);
-    EXPECT_LE(trial.worst(), 1.2) << count;
+    EXPECT_LE(trial.worst_utilisation(), 1.2) << count;
     trial.tables = trial.moved_rows = 0;
     trial.run(60s);
     trial.print("... a minute later", even);
     EXPECT_LT(trial.tables, 12u) << count;
     EXPECT_LT(trial.moved_rows, 8u) << count;
-    EXPECT_LE(trial.worst(), 1.2) << count;
+    EXPECT_LE(trial.worst_utilisation(), 1.2) << count;
   }
 }
 
 // While nearly all requests come to one backend, the others tell no capacity.
 TEST(KeyBalance, backends_that_had_hardly_a_request_take_load_from_the_only_busy_one) {
-  std::vector<double> const capacities = unequal(5);
+  std::vector<double> const capacities = unequal_capacities(5);
   BalanceTrial trial(capacities);
   trial.set_traffic(skewed(mean_utilisation * capacity_of(capacities), 0.97, 30000, 400));
-  trial.time_to_rows(10s);
+  trial.time_to_first_table(10s);
   Duration const even = trial.time_to(1.25, 60s);
   trial.print("one busy backend of 5, to 1.25", even);
   EXPECT_LE(even, 20s);
@@ -330,13 +330,13 @@
 
 TEST(KeyBalance, a_key_too_hot_for_any_backend_is_left_by_itself_and_the_others_are_evened_out) {
   for (std::size_t const count : {2u, 5u, 44u}) {
-    std::vector<double> const capacities = unequal(count);
+    std::vector<double> const capacities = unequal_capacities(count);
     BalanceTrial trial(capacities);
     Traffic traffic = skewed(0.3 * capacity_of(capacities), 0.2, 30000, 120);
     traffic[12345] += 3 * *std::max_element(capacities.begin(), capacities.end());
     trial.set_traffic(traffic);
     trial.run(60s);
-    EXPECT_LE(trial.worst(), 1.3) << count;
+    EXPECT_LE(trial.worst_utilisation(), 1.3) << count;
     KeyRow const& key = *trial.planner.table().services[0].row_of(12345);
     EXPECT_EQ(key.from, key.to) << count;
     std::uint32_t const fence = key.fence;
