--- a/source/state/compressed_text.hpp
+++ b/source/state/compressed_text.hpp
@@ -1,6 +1,5 @@
-// Texts of operators as they are stored and sent between processes: compressed
-// once by whoever takes them, read by whoever needs them, and never trusted to
-// be as long as they claim.
+// The compressed form in which operators' texts are stored and sent between processes. The process
+// that accepts a text compresses it once. The declared length is checked when it is decompressed.
 #pragma once
 
 #include "transport/result.hpp"
@@ -11,17 +10,17 @@
 
 namespace banktide {
 
-/// The longest text that `decompress` will make, in bytes.
+/// The longest text that `decompress` returns, in bytes.
 inline constexpr std::size_t max_decompressed_size = 64u << 20;
 
-/// The text in zlib's format, behind its length (4 bytes, little endian).
+/// Compresses a text: its length (4 bytes, little endian), followed by the text in zlib's format.
 std::string compress(std::string_view text);
 
-/// The same form without compression, for a process that keeps a text to itself.
+/// Encodes a text in the same format without compression, for a process that doesn't send it on.
 std::string store_uncompressed(std::string_view text);
 
-/// The text again, byte for byte. Bytes that `compress` can't have made, and texts
-/// over `longest`, are an error of the step "decompress".
+/// Restores a text. Bytes that `compress` can't have made, and texts longer than `size_limit`, are an error of the
+/// step "decompress".
 Result<std::string> decompress(std::string_view bytes, std::size_t size_limit = max_decompressed_size);
 
 }  // namespace banktide
--- a/source/state/delta_history.hpp
+++ b/source/state/delta_history.hpp
@@ -1,4 +1,4 @@
-// The last deltas of a register's value, for those who missed some of them.
+// The latest deltas of a register's value, for receivers that missed some of them.
 #pragma once
 
 #include "transport/result.hpp"
@@ -11,11 +11,11 @@
 
 namespace banktide {
 
-/// Bounded by count and by bytes. A delta names the revision it was made from and the one it leads to.
+/// A chain of deltas, limited by count and by bytes. A delta has the fields `from` and `to` (revisions) and `bytes`.
 template <class Delta>
 class DeltaHistory {
  public:
-  /// One that doesn't begin where the last ends makes the earlier ones useless.
+  /// Adds a delta. One that doesn't begin at the revision where the last ends replaces the whole chain.
   void add(Delta delta) {
     if (!deltas_.empty() && deltas_.back().to != delta.from) clear();
     bytes_ += delta.bytes.size();
@@ -26,7 +26,7 @@
     }
   }
 
-  /// A change without a delta: what came before leads nowhere.
+  /// To be called at a change without a delta, which breaks the chain.
   void clear() {
     deltas_.clear();
     bytes_ = 0;
@@ -40,7 +40,7 @@
     }
   }
 
-  /// The chain from one revision to the newest; none if it isn't kept or its bytes are not below the limit.
+  /// Returns the chain from a revision to the newest; none if it isn't kept or isn't smaller than the limit.
   std::optional<std::vector<Delta>> since(std::uint64_t const from, std::size_t const bytes_limit) const {
     auto const first =
         std::find_if(deltas_.begin(), deltas_.end(), [from](Delta const& delta) { return delta.from == from; });
@@ -58,7 +58,7 @@
  private:
   static constexpr std::size_t max_deltas = 64;
   static constexpr std::size_t max_bytes = 256 * 1024;
-  static constexpr std::size_t delta_overhead_bytes = 28;  // what the fields add to a delta's bytes
+  static constexpr std::size_t delta_overhead_bytes = 28;  // the encoded size of a delta without its bytes
 
   std::deque<Delta> deltas_;
   std::size_t bytes_ = 0;
--- a/source/state/text_delta.cpp
+++ b/source/state/text_delta.cpp
@@ -51,7 +51,7 @@
 
 Result<std::string> apply_difference(std::string_view const before, std::string_view const bytes) {
   unsigned long long const length = ZSTD_getFrameContentSize(bytes.data(), bytes.size());
-  if (length == ZSTD_CONTENTSIZE_ERROR || length == ZSTD_CONTENTSIZE_UNKNOWN) return failure("spoilt bytes");
+  if (length == ZSTD_CONTENTSIZE_ERROR || length == ZSTD_CONTENTSIZE_UNKNOWN) return failure("corrupt bytes");
   if (length > max_decompressed_size) return failure("text of " + std::to_string(length) + " bytes");
   Decompression const context(ZSTD_createDCtx());
   if (!context || ZSTD_isError(ZSTD_DCtx_refPrefix(context.get(), before.data(), before.size())))
@@ -59,7 +59,7 @@
   std::string text(static_cast<std::size_t>(length), '\0');
   std::size_t const size = ZSTD_decompressDCtx(context.get(), text.data(), text.size(), bytes.data(), bytes.size());
   if (ZSTD_isError(size)) return failure(ZSTD_getErrorName(size));
-  if (size != text.size()) return failure("another length than was told");
+  if (size != text.size()) return failure("the length differs from the declared one");
   return text;
 }
 
@@ -78,14 +78,14 @@
 Result<RegisterValue> apply_text_deltas(RegisterValue const& base, std::vector<TextDelta> const& deltas) {
   auto next =
       std::find_if(deltas.begin(), deltas.end(), [&](TextDelta const& delta) { return delta.to > base.revision; });
-  if (next == deltas.end()) return failure("nothing newer");
-  if (next->from != base.revision) return failure("made from another version");
+  if (next == deltas.end()) return failure("no newer delta");
+  if (next->from != base.revision) return failure("made from another base revision");
   Result<std::string> text = decompress(base.bytes);
   if (!text) return tl::unexpected<Error>(text.error());
   RegisterValue target;
   target.revision = base.revision;
   for (; next != deltas.end(); ++next) {
-    if (next->from != target.revision || next->to <= next->from) return failure("versions out of order");
+    if (next->from != target.revision || next->to <= next->from) return failure("revisions out of order");
     text = apply_difference(*text, next->bytes);
     if (!text) return tl::unexpected<Error>(text.error());
     target.revision = next->to;
--- a/source/state/version_claims.cpp
+++ b/source/state/version_claims.cpp
@@ -1,4 +1,4 @@
-// Claims are pairs of a digest and a version.
+// A claim is a pair of a content's digest and a version.
 #include "state/version_claims.hpp"
 
 #include "protocol/digest.hpp"
@@ -9,10 +9,10 @@
 
 namespace {
 
-// Stands for a value that was written before claims were kept.
+// Marks a value that was written before claims were recorded.
 constexpr char const* unknown_content = "";
 
-// The digest's eight bytes, as there are many claims.
+// Returns the eight bytes of the digest, to keep the many claims small.
 std::string claim_digest(std::string_view const content) {
   std::uint64_t digest = digest_of(content);
   std::string claim;
--- a/source/state/zone_entry_delta.cpp
+++ b/source/state/zone_entry_delta.cpp
@@ -1,4 +1,4 @@
-// Making and applying the changes of a zone's entry.
+// Making and applying deltas of zone entries.
 #include "state/zone_entry_delta.hpp"
 
 #include <algorithm>
@@ -57,7 +57,7 @@
   }
 }
 
-/// Puts the item in the place that the order gives it, instead of its equal there.
+/// Inserts the item at its place in the sorted items, or replaces the item that is equal in order.
 template <class Item, class Order>
 void insert_or_replace(std::vector<Item>& items, Item const& item, Order const order) {
   auto const at = std::lower_bound(items.begin(), items.end(), item, order);
@@ -77,7 +77,7 @@
   compare_offers(delta, before.services, after.services);
   compare_gateways(delta, before.gateways, after.gateways);
   if (before.offers != after.offers) delta.service_names = after.offers;
-  // Entries that aren't in order can't be told this way.
+  // Entries that aren't sorted can't be expressed as a delta.
   ZoneEntry reached = before;
   apply_entry_delta(reached, delta);
   if (!(reached == after)) return std::nullopt;
--- a/source/state/zone_view.hpp
+++ b/source/state/zone_view.hpp
@@ -1,5 +1,5 @@
-// What is known of one zone, folded from changes in order: its members, its
-// backends, and the other zones by their gateways and offers only.
+// The known state of one zone, built by applying changes in order: its members, its backends, and
+// the other zones, of which only the gateways and offers are known.
 #pragma once
 
 #include "protocol/messages.hpp"
@@ -16,7 +16,7 @@
   std::map<std::pair<std::string, std::string>, BackendRecord> backends;
   std::map<std::string, ZoneEntry> zones;
 
-  /// Counts how often members came, went or changed their role or liveness.
+  /// Incremented whenever a member joins, leaves or changes its role or liveness.
   std::uint64_t membership_version() const { return membership_version_; }
 
   void apply(Change const& c) {
@@ -50,7 +50,7 @@
     zones.clear();
     for (Member const& m : s.members) members[m.id] = m;
     for (BackendRecord const& b : s.backends) backends[{b.service, b.instance}] = b;
-    for (ZoneEntry const& c : s.zones) zones[c.zone] = c;
+    for (ZoneEntry const& z : s.zones) zones[z.zone] = z;
   }
 
   Snapshot snapshot(Position const at) const {
--- a/tests/state/compressed_text_test.cpp
+++ b/tests/state/compressed_text_test.cpp
@@ -1,4 +1,4 @@
-// Texts come back byte for byte, and spoilt bytes are refused with a named error.
+// Compressed texts are restored byte for byte, and corrupt bytes are refused with an error.
 #include "state/compressed_text.hpp"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
   return text + "]";
 }
 
-TEST(CompressedText, gives_any_text_back_byte_for_byte) {
+TEST(CompressedText, restores_any_text_byte_for_byte) {
   std::mt19937_64 random(11);
   for (std::size_t const length : {0u, 1u, 2u, 100u, 4096u, 70000u, 300000u}) {
     std::string text(length, '\0');
@@ -43,7 +43,7 @@
     std::string changed = bytes;
     changed[at] = static_cast<char>(changed[at] ^ 0x20);
     Result<std::string> const read = decompress(changed);
-    // Some bits of zlib's head say nothing of the text.
+    // Some bits of zlib's header don't affect the text.
     if (read) {
       EXPECT_EQ(*read, text) << at;
     }
@@ -51,15 +51,15 @@
   EXPECT_FALSE(decompress(bytes + "x"));
 }
 
-TEST(CompressedText, refuses_to_make_more_than_it_may) {
+TEST(CompressedText, refuses_texts_over_the_limit_and_impossible_lengths) {
   std::string const text(100000, 'a');
   EXPECT_FALSE(decompress(compress(text), 99999));
   EXPECT_TRUE(decompress(compress(text), 100000));
-  std::string lying = compress("short");
-  lying[3] = 3;  // claims 48 MiB
-  Result<std::string> const read = decompress(lying);
+  std::string false_length = compress("short");
+  false_length[3] = 3;  // claims 48 MiB
+  Result<std::string> const read = decompress(false_length);
   ASSERT_FALSE(read);
-  EXPECT_EQ(read.error().reason, "longer than its bytes can tell");
+  EXPECT_EQ(read.error().reason, "declared length is impossible for this many bytes");
 }
 
 }  // namespace
--- a/tests/state/compressed_values.hpp
+++ b/tests/state/compressed_values.hpp
@@ -1,4 +1,4 @@
-// Values of the register of configurations, as registries hold them.
+// Values of the register `routing` with compressed texts, as registries hold them.
 #pragma once
 
 #include "protocol/digest.hpp"
@@ -15,7 +15,7 @@
   return held;
 }
 
-/// The value's text; empty if it has none.
+/// Returns the value's text; empty if its bytes aren't a compressed text.
 inline std::string text_of(RegisterValue const& held) { return decompress(held.bytes).value_or(""); }
 
 }  // namespace banktide
--- a/tests/state/delta_history_test.cpp
+++ b/tests/state/delta_history_test.cpp
@@ -1,4 +1,4 @@
-// The chain of the last deltas: bounded, and unbroken or none.
+// The chain of the latest deltas is limited in size, and is complete or absent.
 #include "state/delta_history.hpp"
 
 #include "protocol/zone_messages.hpp"
@@ -12,7 +12,7 @@
   return KeyDelta{from, from + 1, 0, std::string(bytes, 'x')};
 }
 
-TEST(DeltaHistory, keeps_the_last_ones_by_count_and_bytes_and_only_a_chain) {
+TEST(DeltaHistory, keeps_an_unbroken_chain_limited_by_count_and_bytes) {
   DeltaHistory<KeyDelta> history;
   for (Revision n = 1; n <= 100; ++n) history.add(step_of(n, 10));
   EXPECT_FALSE(history.since(36, 1 << 20));
--- a/tests/state/text_delta_test.cpp
+++ b/tests/state/text_delta_test.cpp
@@ -1,4 +1,4 @@
-// Deltas of operators' texts lead to the later text or are refused by name, and are small.
+// Deltas of operators' texts give exactly the later text or are refused with an error, and are small.
 #include "state/text_delta.hpp"
 
 #include "tests/state/compressed_values.hpp"
@@ -19,7 +19,7 @@
   return text + "]}";
 }
 
-TEST(TextDelta, leads_to_the_later_text_byte_for_byte) {
+TEST(TextDelta, gives_the_later_text_byte_for_byte) {
   for (std::size_t const routes : {1u, 20u, 300u, 3000u}) {
     RegisterValue const before = compressed_value(7, text_of_routes(routes, 0, "1000"));
     std::string const text = text_of_routes(routes + 1, routes / 2, "1001");
@@ -33,7 +33,7 @@
   }
 }
 
-// Guards against CONFIG: whole configurations of many routes filled the links that they travel on.
+// Guards against CONFIG: whole configurations of many routes saturated the links that they are sent on.
 TEST(TextDelta, of_one_changed_route_takes_a_hundredth_of_the_whole) {
   RegisterValue const before = compressed_value(7, text_of_routes(1500, 0, "1000"));
   RegisterValue const after = compressed_value(8, text_of_routes(1500, 700, "1001"));
@@ -42,7 +42,7 @@
   EXPECT_LT(delta->bytes.size() * 100, after.bytes.size());
 }
 
-TEST(TextDelta, chains_go_on_from_what_a_delta_made_and_skip_what_is_old) {
+TEST(TextDelta, a_chain_continues_from_the_result_of_another_and_skips_old_deltas) {
   std::vector<RegisterValue> versions;
   std::vector<TextDelta> deltas;
   for (Revision n = 1; n <= 6; ++n) {
@@ -57,7 +57,7 @@
   EXPECT_EQ(text_of(*last), text_of(versions[5]));
 }
 
-TEST(TextDelta, is_refused_by_name_where_it_does_not_fit) {
+TEST(TextDelta, is_refused_with_its_step_where_it_does_not_fit) {
   RegisterValue const first = compressed_value(1, text_of_routes(50, 1, "10"));
   RegisterValue const second = compressed_value(2, text_of_routes(50, 2, "20"));
   TextDelta const delta = *make_text_delta(first, second);
@@ -65,14 +65,14 @@
     Result<RegisterValue> const result = apply_text_deltas(base, deltas);
     return !result && result.error().step == "text delta";
   };
-  EXPECT_TRUE(refused(second, {delta})) << "nothing newer";
-  EXPECT_TRUE(refused(RegisterValue{}, {delta})) << "from another version";
-  RegisterValue const impostor = compressed_value(1, text_of_routes(60, 3, "30"));
-  EXPECT_TRUE(refused(impostor, {delta})) << "the same number with another text";
+  EXPECT_TRUE(refused(second, {delta})) << "no newer delta";
+  EXPECT_TRUE(refused(RegisterValue{}, {delta})) << "from another base revision";
+  RegisterValue const other_text = compressed_value(1, text_of_routes(60, 3, "30"));
+  EXPECT_TRUE(refused(other_text, {delta})) << "the same number with another text";
   EXPECT_TRUE(refused(first, {delta, delta})) << "out of order";
 }
 
-TEST(TextDelta, spoilt_bytes_never_lead_to_another_text) {
+TEST(TextDelta, corrupt_bytes_never_give_another_text) {
   RegisterValue const first = compressed_value(1, text_of_routes(30, 1, "10"));
   RegisterValue const second = compressed_value(2, text_of_routes(30, 2, "20"));
   TextDelta const delta = *make_text_delta(first, second);
@@ -89,7 +89,7 @@
   }
 }
 
-TEST(TextDelta, none_is_made_of_bytes_that_are_no_compressed_text) {
+TEST(TextDelta, none_is_made_from_bytes_that_are_no_compressed_text) {
   RegisterValue const text = compressed_value(1, text_of_routes(30, 1, "10"));
   RegisterValue other;
   other.revision = 2;
--- a/tests/state/version_claims_test.cpp
+++ b/tests/state/version_claims_test.cpp
@@ -1,4 +1,4 @@
-// Which content was acknowledged under which version number, against a plain map.
+// Claims of version numbers, compared with a map of all claims.
 #include "state/version_claims.hpp"
 
 #include "protocol/digest.hpp"
@@ -10,7 +10,7 @@
 namespace banktide {
 namespace {
 
-TEST(VersionClaims, a_number_has_one_content_whether_it_is_held_or_passed_over) {
+TEST(VersionClaims, a_number_has_one_content_whether_it_is_current_or_outdated) {
   RegisterValue held;
   held = claim_version(held, 7, "first", "kept first");
   EXPECT_EQ(held.revision, 7u);
@@ -22,14 +22,14 @@
   RegisterValue const refused = claim_version(held, 7, "second", "kept second");
   EXPECT_EQ(refused, held);
 
-  RegisterValue const passed_over = claim_version(held, 5, "late", "kept late");
-  EXPECT_EQ(passed_over.revision, 7u);
-  EXPECT_EQ(passed_over.bytes, "kept first");
-  EXPECT_EQ(find_claim(passed_over, 5, "late"), VersionClaim::same_content);
-  EXPECT_EQ(find_claim(passed_over, 5, "other"), VersionClaim::other_content);
+  RegisterValue const outdated = claim_version(held, 5, "late", "kept late");
+  EXPECT_EQ(outdated.revision, 7u);
+  EXPECT_EQ(outdated.bytes, "kept first");
+  EXPECT_EQ(find_claim(outdated, 5, "late"), VersionClaim::same_content);
+  EXPECT_EQ(find_claim(outdated, 5, "other"), VersionClaim::other_content);
 }
 
-TEST(VersionClaims, a_value_from_before_there_were_claims_keeps_its_number) {
+TEST(VersionClaims, a_value_written_before_claims_were_recorded_keeps_its_number) {
   RegisterValue held;
   held.revision = 7;
   held.bytes = "kept first";
@@ -41,7 +41,7 @@
   EXPECT_EQ(find_claim(other, 7, "second"), VersionClaim::other_content);
 }
 
-TEST(VersionClaims, agrees_with_a_map_and_forgets_only_the_oldest) {
+TEST(VersionClaims, agrees_with_a_map_and_drops_only_the_oldest) {
   std::mt19937_64 chance(5);
   RegisterValue held;
   std::map<Revision, std::string> first;
--- a/tests/state/zone_entry_delta_test.cpp
+++ b/tests/state/zone_entry_delta_test.cpp
@@ -1,4 +1,4 @@
-// Deltas of zones' entries: what is applied comes to the same as the whole.
+// Deltas of zone entries: applying one gives the same entry as sending it whole.
 #include "state/zone_entry_delta.hpp"
 
 #include "protocol/message.hpp"
@@ -10,7 +10,7 @@
 namespace banktide {
 namespace {
 
-/// An entry as a feed makes it: gateways by id, offers by service and node.
+/// Makes an entry as a feed does: gateways sorted by id, offers by service and node.
 ZoneEntry random_entry(std::mt19937& random, std::uint32_t const gateways) {
   ZoneEntry entry;
   entry.zone = "east";
@@ -24,7 +24,7 @@
     offers[{service, id}] = ServiceOffer{
         service, id, address, 8, static_cast<std::uint32_t>(random() % 8), static_cast<std::uint32_t>(random() % 3)};
   }
-  for (auto const& [place, offer] : offers) {
+  for (auto const& [key, offer] : offers) {
     if (entry.offers.empty() || entry.offers.back() != offer.service) entry.offers.push_back(offer.service);
     entry.services.push_back(offer);
   }
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-TEST(ZoneEntryDelta, leads_from_any_entry_to_any_other) {
+TEST(ZoneEntryDelta, turns_any_entry_into_any_other) {
   std::mt19937 random(5);
   ZoneEntry before;
   before.zone = "east";
@@ -48,8 +48,8 @@
   }
 }
 
-// Guards against CONFIG: other zones' entries filled the links that configurations travel on.
-TEST(ZoneEntryDelta, loads_of_a_large_zone_take_a_fiftieth_of_its_entry) {
+// Guards against CONFIG: whole entries of other zones saturated the links that configurations are sent on.
+TEST(ZoneEntryDelta, the_loads_of_a_large_zone_take_a_fiftieth_of_its_entry) {
   ZoneEntry before;
   before.zone = "jhb-a";
   for (int i = 0; i < 48; ++i) {
@@ -67,13 +67,13 @@
   EXPECT_LT(50 * pack(changed).size(), pack(whole).size());
 }
 
-TEST(ZoneEntryDelta, an_entry_out_of_order_is_told_whole) {
+TEST(ZoneEntryDelta, no_delta_is_made_of_an_unsorted_entry) {
   ZoneEntry before, after;
   after.services = {ServiceOffer{"b", "n", "", 1, 0, 0}, ServiceOffer{"a", "n", "", 1, 0, 0}};
   EXPECT_FALSE(make_entry_delta(before, after));
 }
 
-TEST(ZoneEntryDelta, a_view_folds_it_and_passes_over_zones_that_it_does_not_know) {
+TEST(ZoneEntryDelta, a_view_applies_it_and_ignores_zones_that_it_does_not_know) {
   std::mt19937 random(7);
   ZoneEntry const before = random_entry(random, 9), after = random_entry(random, 9);
   ZoneView view;
--- a/tests/state/zone_view_test.cpp
+++ b/tests/state/zone_view_test.cpp
@@ -1,4 +1,4 @@
-// Changes of a cell against snapshots of it.
+// Compares a zone view built from changes with one restored from a snapshot.
 #include "state/zone_view.hpp"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace banktide {
 namespace {
 
-TEST(ZoneView, folding_changes_and_taking_a_snapshot_come_to_the_same) {
+TEST(ZoneView, a_snapshot_restores_what_the_changes_built) {
   std::uint64_t x = 7;
   auto const r = [&](std::uint64_t n) {
     return (x = x * 6364136223846793005ull + 1442695040888963407ull, (x >> 33) % n);
