--- a/source/programs/hollow_fleet_control.cpp
+++ b/source/programs/hollow_fleet_control.cpp
@@ -18,7 +18,7 @@
   VoterRecord record;
 
   Result<VoterRecord> load() { return record; }
-  Task<Result<bool>> keep(VoterRecord const& next) {
+  Task<Result<bool>> save(VoterRecord const& next) {
     VoterRecord const kept = next;
     HollowMeter& meter = process->meter();
     ++meter.disk_writes;
