--- a/source/simulation/history.hpp
+++ b/source/simulation/history.hpp
@@ -15,7 +15,7 @@
 
 namespace banktide {
 
-struct CallSeen {
+struct CallRecord {
   std::string id, service, key, cell, machine;
   bool repeatable = false;
   Instant sent{}, answered{};
@@ -25,14 +25,14 @@
   // hung-up: the caller went away.
   std::string outcome;
   bool right = false, retry_after = false;
-  bool must_stay = false;   // an unbothered backend of its own cell was known to serve it
+  bool must_stay = false;   // an undisturbed_for backend of its own cell was known to serve it
   bool must_serve = false;  // or one in a cell that could be reached
   bool calm = false;        // 15 s after the last fault, with the next one far
   std::string after;        // the last kind of mishap, within 3 s
   std::string why;
 };
 
-struct RunSeen {
+struct RunRecord {
   std::string id, service, instance, key, cell, machine;
   Instant begin{}, end{};
   std::uint64_t epoch = 0;
@@ -40,13 +40,13 @@
 
 // A try of a call, as it left the machine of its caller's node: over the wire,
 // or straight to a backend there.
-struct TrySeen {
+struct AttemptRecord {
   Instant at{};
   std::string id, machine, instance;
   bool reached = false;  // the link was open
 };
 
-struct RevisionSeen {
+struct RevisionRecord {
   Register reg{};
   std::string bytes;
   Instant sent{}, answered{};
@@ -55,27 +55,27 @@
   std::optional<Revision> matched;
 };
 
-struct ForceSeen {
+struct InForceSample {
   Instant at{};
   std::array<Revision, 2> in_force{};
   bool excused = false;  // could not have heard of anything by any path
 };
 
 struct History {
-  std::map<std::string, CallSeen> calls;
-  std::vector<RunSeen> runs;
-  std::vector<TrySeen> tries;
-  std::vector<RevisionSeen> revisions;
-  std::map<std::string, std::vector<ForceSeen>> forces;  // by machine
-  std::vector<std::pair<Instant, std::string>> drains;   // instance that said it leaves
+  std::map<std::string, CallRecord> calls;
+  std::vector<RunRecord> runs;
+  std::vector<AttemptRecord> tries;
+  std::vector<RevisionRecord> revisions;
+  std::map<std::string, std::vector<InForceSample>> forces;  // by machine
+  std::vector<std::pair<Instant, std::string>> drains;       // instance that said it leaves
   std::vector<Instant> extra_tries;
-  bool planned_only = false;        // nothing but planned restarts: no answer may be lost
-  std::vector<std::string> wrongs;  // seen at once by a stand-in
+  bool planned_only = false;                      // nothing but planned restarts: no answer may be lost
+  std::vector<std::string> immediate_violations;  // seen at once by a stand-in
   std::string readback[2];
   bool readback_good[2] = {false, false};
 
   std::vector<std::string> broken() const {
-    std::vector<std::string> out = wrongs;
+    std::vector<std::string> out = immediate_violations;
     check_runs(out);
     check_answers(out);
     check_keys(out);
@@ -102,7 +102,7 @@
   // The tries of each call after its first, as they were seen.
   void count_extras() {
     std::map<std::string, std::size_t> n;
-    for (TrySeen const& t : tries) {
+    for (AttemptRecord const& t : tries) {
       auto const c = calls.find(t.id);
       if (c != calls.end() && c->second.machine == t.machine && ++n[t.id] > 1) extra_tries.push_back(t.at);
     }
@@ -116,7 +116,7 @@
     auto const it = forces.find(machine);
     if (it == forces.end()) return true;
     auto const at = std::lower_bound(it->second.begin(), it->second.end(), from,
-                                     [](ForceSeen const& f, Instant const t) { return f.at < t; });
+                                     [](InForceSample const& f, Instant const t) { return f.at < t; });
     for (auto f = at; f != it->second.end() && f->at <= to; ++f)
       if (f->excused) return true;
     return false;
@@ -124,13 +124,13 @@
 
   void check_runs(std::vector<std::string>& out) const {
     std::set<std::string> allowed;
-    for (RevisionSeen const& r : revisions)
+    for (RevisionRecord const& r : revisions)
       if (r.reg == Register::routing && (r.revision > 0 || r.maybe)) {
         Json const j = Json::parse(r.bytes);
         for (auto const& [name, s] : j["services"].items()) allowed.insert(name);
       }
     std::map<std::string, int> n;
-    for (RunSeen const& r : runs) {
+    for (RunRecord const& r : runs) {
       int const times = ++n[r.id];
       auto const c = calls.find(r.id);
       if (c == calls.end())
@@ -149,7 +149,7 @@
 
   void check_answers(std::vector<std::string>& out) const {
     std::set<std::string> ran;
-    for (RunSeen const& r : runs) ran.insert(r.id);
+    for (RunRecord const& r : runs) ran.insert(r.id);
     for (auto const& [id, c] : calls) {
       if (c.outcome == "not-run" && ran.contains(id)) out.push_back("said not run, and ran: " + id);
       if (c.outcome == "answered" && !c.right) out.push_back("wrong answer: " + id);
@@ -163,15 +163,16 @@
   }
 
   void check_keys(std::vector<std::string>& out) const {
-    std::map<std::string, std::vector<RunSeen const*>> by;
-    for (RunSeen const& r : runs)
+    std::map<std::string, std::vector<RunRecord const*>> by;
+    for (RunRecord const& r : runs)
       if (!r.key.empty()) by[r.service + "/" + r.key].push_back(&r);
     for (auto& [key, all] : by) {
-      std::stable_sort(all.begin(), all.end(), [](RunSeen const* a, RunSeen const* b) { return a->begin < b->begin; });
-      RunSeen const* last = nullptr;  // the one that ends last
+      std::stable_sort(all.begin(), all.end(),
+                       [](RunRecord const* a, RunRecord const* b) { return a->begin < b->begin; });
+      RunRecord const* last = nullptr;  // the one that ends last
       std::uint64_t top = 0;
       std::string top_instance;
-      for (RunSeen const* const r : all) {
+      for (RunRecord const* const r : all) {
         if (last != nullptr && last->instance != r->instance && r->begin < last->end)
           out.push_back("two backends at once on " + key + ": " + last->instance + " and " + r->instance + " at " +
                         ms(r->begin));
@@ -188,7 +189,7 @@
   }
 
   // Whether a catalogue lets a call run in a cell, read anew from its bytes.
-  static bool lets(Json const& catalogue, Json const& routing, CallSeen const& c, std::string const& cell) {
+  static bool lets(Json const& catalogue, Json const& routing, CallRecord const& c, std::string const& cell) {
     if (!routing["services"].contains(c.service)) return false;
     for (Json const& name : catalogue.value("closed", Json::array()))
       if (name == c.service) return false;
@@ -233,7 +234,7 @@
       by[revisions[i].reg].push_back(i);
       parsed[i] = Json::parse(revisions[i].bytes);
     }
-    for (RunSeen const& r : runs) {
+    for (RunRecord const& r : runs) {
       auto const c = calls.find(r.id);
       if (c == calls.end() || excused(r.machine, c->second.sent - 2s, r.begin) ||
           excused(c->second.machine, c->second.sent - 2s, r.begin))
@@ -252,23 +253,23 @@
 
   void check_revisions(std::vector<std::string>& out) const {
     std::map<std::pair<Register, Revision>, std::string> bytes;
-    RevisionSeen const* newest[2] = {nullptr, nullptr};
-    std::map<Register, std::vector<RevisionSeen const*>> acked;
-    for (RevisionSeen const& r : revisions) {
+    RevisionRecord const* newest[2] = {nullptr, nullptr};
+    std::map<Register, std::vector<RevisionRecord const*>> acked;
+    for (RevisionRecord const& r : revisions) {
       if (r.revision == 0) continue;
       auto const [it, fresh] = bytes.emplace(std::pair(r.reg, r.revision), r.bytes);
       if (!fresh) out.push_back("two revisions with number " + std::to_string(r.revision));
       if (r.matched && *r.matched + 1 != r.revision)
         out.push_back("revision " + std::to_string(r.revision) + " was to follow " + std::to_string(*r.matched));
       acked[r.reg].push_back(&r);
-      RevisionSeen const*& top = newest[static_cast<std::size_t>(r.reg)];
+      RevisionRecord const*& top = newest[static_cast<std::size_t>(r.reg)];
       if (top == nullptr || r.revision > top->revision) top = &r;
     }
     for (auto& [reg, all] : acked) {
       std::sort(all.begin(), all.end(),
-                [](RevisionSeen const* a, RevisionSeen const* b) { return a->revision < b->revision; });
+                [](RevisionRecord const* a, RevisionRecord const* b) { return a->revision < b->revision; });
       Instant latest{};  // of the sendings so far: none may come after an acknowledgement of a later revision
-      for (RevisionSeen const* const r : all) {
+      for (RevisionRecord const* const r : all) {
         if (r->answered < latest)
           out.push_back("revision " + std::to_string(r->revision) + " was acknowledged before an older one was sent");
         latest = std::max(latest, r->sent);
@@ -276,7 +277,7 @@
     }
     for (Register const reg : operator_registers) {
       std::size_t const i = static_cast<std::size_t>(reg);
-      bool const maybe = std::any_of(revisions.begin(), revisions.end(), [&](RevisionSeen const& r) {
+      bool const maybe = std::any_of(revisions.begin(), revisions.end(), [&](RevisionRecord const& r) {
         return r.reg == reg && r.maybe && r.bytes == readback[i];
       });
       if (!readback_good[i] || (newest[i] != nullptr && readback[i] != newest[i]->bytes && !maybe))
@@ -291,7 +292,7 @@
         Revision top = 0;
         Instant back_since{}, excused_at{};
         bool told_back = false, told_late = false;
-        for (ForceSeen const& f : seen) {
+        for (InForceSample const& f : seen) {
           if (f.excused) excused_at = f.at;
           Revision const mine = f.in_force[i];
           if (mine < top) {
@@ -306,9 +307,9 @@
           }
           top = std::max(top, mine);
           if (told_late || f.excused || f.at - excused_at <= 2s) continue;
-          std::vector<RevisionSeen const*> const& all = acked[reg];
+          std::vector<RevisionRecord const*> const& all = acked[reg];
           auto const from = std::upper_bound(all.begin(), all.end(), mine,
-                                             [](Revision const m, RevisionSeen const* r) { return m < r->revision; });
+                                             [](Revision const m, RevisionRecord const* r) { return m < r->revision; });
           for (auto r = from; r != all.end() && !told_late; ++r)
             if (f.at - (*r)->answered > 2s) {
               out.push_back(machine + " has " + register_name(reg) + " " + std::to_string(mine) + " at " + ms(f.at) +
@@ -322,12 +323,12 @@
   void check_drains(std::vector<std::string>& out) const {
     std::map<std::string, Instant> left;
     for (auto const& [at, instance] : drains) left.emplace(instance, at);
-    for (RunSeen const& r : runs) {
+    for (RunRecord const& r : runs) {
       auto const d = left.find(r.instance);
       if (d != left.end() && r.begin - d->second > 2s)
         out.push_back("new work for " + r.instance + " after its drain: " + r.id);
     }
-    for (TrySeen const& t : tries) {
+    for (AttemptRecord const& t : tries) {
       auto const d = left.find(t.instance);
       if (d != left.end() && t.reached && t.at - d->second > 2s && !excused(t.machine, t.at - 2s, t.at))
         out.push_back(t.machine + " sent " + t.id + " to " + t.instance + " at " + ms(t.at) + " after its drain at " +
@@ -355,7 +356,7 @@
 
   void check_dropping(std::vector<std::string>& out) const {
     std::map<std::string, std::set<std::string>> ran_in;
-    for (RunSeen const& r : runs) ran_in[r.id].insert(r.cell);
+    for (RunRecord const& r : runs) ran_in[r.id].insert(r.cell);
     for (auto const& [id, c] : calls) {
       if (c.must_stay && c.outcome == "not-run")
         out.push_back(id + " was dropped at " + ms(c.sent) + " in " + c.cell +
--- a/source/simulation/sim_fleet.hpp
+++ b/source/simulation/sim_fleet.hpp
@@ -6,23 +6,23 @@
 
 namespace banktide {
 
-class SimFleet : public SimMishaps {
+class SimFleet : public SimFaults {
  public:
-  explicit SimFleet(Scenario s) : SimMishaps(std::move(s)) {}
+  explicit SimFleet(Scenario s) : SimFaults(std::move(s)) {}
 
   History run() {
     start_ = sim_.now;
     build();
-    add_backend("promo", node_in(d_.zones[0], 1));
-    add_backend("promo", node_in(d_.zones[2], 0));
-    add_backend("intruder", node_in(d_.zones[1], 0));  // of a service that no revision allows
+    add_backend("promo", node_in(deployment_.zones[0], 1));
+    add_backend("promo", node_in(deployment_.zones[2], 0));
+    add_backend("intruder", node_in(deployment_.zones[1], 0));  // of a service that no revision allows
     sim_.run_until(start_ + 6s);
-    put(0, Register::routing, d_.routing, std::nullopt, true);
+    put(0, Register::routing, deployment_.routing, std::nullopt, true);
     sim_.run_until(sim_.now + 1s);
-    put(1, Register::catalogue, d_.catalogue, std::nullopt, true);
+    put(1, Register::catalogue, deployment_.catalogue, std::nullopt, true);
     sim_.run_until(sim_.now + 3s);
     calling_ = true;
-    for (std::string const& m : d_.mix) keep_calling(m);
+    for (std::string const& m : deployment_.mix) keep_calling(m);
     keep_calling("promo:GET:/promo:20:0");
     keep_sampling();
     if (scenario_.fault_every == 0s) settled_ = true;
@@ -30,16 +30,16 @@
     history_.planned_only =
         !scenario_.only.empty() && std::all_of(scenario_.only.begin(), scenario_.only.end(),
                                                [](std::string const& k) { return k.starts_with("roll_"); });
-    busy_until_ = sim_.now;
+    faults_until_ = sim_.now;
     Instant const faults_end = sim_.now + scenario_.faults_for;
-    if (scenario_.fault_every > 0s) sim_.after(2s, [this, faults_end] { keep_failing(faults_end); });
+    if (scenario_.fault_every > 0s) sim_.after(2s, [this, faults_end] { schedule_faults(faults_end); });
     sim_.run_until(faults_end);
-    if (scenario_.only.contains("roll_all")) sim_.run_until(busy_until_ + 1s);
+    if (scenario_.only.contains("roll_all")) sim_.run_until(faults_until_ + 1s);
     repair_all();
     if (!settled_) settle_layouts();
     sim_.run_until(sim_.now + 6s);
-    if (!scenario_.last.empty()) fail_for_good(scenario_.last);
-    busy_until_ = sim_.now;
+    if (!scenario_.last.empty()) inject_permanent_fault(scenario_.last);
+    faults_until_ = sim_.now;
     sim_.run_until(sim_.now + 22s);
     calling_ = false;
     sim_.run_until(sim_.now + 6s);
@@ -48,7 +48,7 @@
     return history_;
   }
 
-  std::map<std::string, std::uint64_t> const& mishaps() const { return counted_; }
+  std::map<std::string, std::uint64_t> const& mishaps() const { return fault_counts_; }
   // One key gets half the keyed calls, and its runs are slow.
   void make_hot() { hot_ = slow_key_ = true; }
 };
--- a/source/simulation/sim_machines.hpp
+++ b/source/simulation/sim_machines.hpp
@@ -65,11 +65,11 @@
       : scenario_(std::move(s)),
         sim_(scenario_.seed),
         net_(sim_),
-        d_(scenario_.deployment == "kibble" ? kibble() : nilewise()) {}
+        deployment_(scenario_.deployment == "kibble" ? kibble() : nilewise()) {}
   SimMachines(SimMachines const&) = delete;
   ~SimMachines() {
     for (auto& [address, p] : net_.at) p->kill();
-    for (std::shared_ptr<SimProcess> const& p : grave_) p->kill();
+    for (std::shared_ptr<SimProcess> const& p : retired_processes_) p->kill();
     sim_.clear();
     sim_.settle();
   }
@@ -82,15 +82,15 @@
     std::shared_ptr<SimProcess> process;
     std::shared_ptr<Acceptor<SimProcess, SimDisk>> acceptor;
   };
-  struct Control {
-    std::string machine, cell, id;
+  struct RegistryHost {
+    std::string machine, zone, id;
     Address address;
     std::shared_ptr<SimProcess> process;
     std::shared_ptr<Registry<SimProcess>> registry;
     std::shared_ptr<Dispatcher> dispatcher;
   };
   struct Node {
-    std::string machine, cell, id;
+    std::string machine, zone, id;
     Address address;
     bool gateway = false;
     std::shared_ptr<SimProcess> process;
@@ -104,15 +104,15 @@
     std::size_t node = 0;
     std::uint16_t port = 0;
     bool alive = true, leaving = false, frozen = false;
-    bool naive = false;  // runs whatever comes, without a look at whom it is for
-    std::uint64_t life = 0;
+    bool accepts_misrouted = false;  // runs whatever comes, without a look at whom it is for
+    std::uint64_t incarnation = 0;
   };
 
   std::shared_ptr<SimProcess> process(std::string const& machine, Address const& address) {
     auto const old = net_.at.find(address);
     if (old != net_.at.end()) {
       old->second->kill();
-      grave_.push_back(old->second);
+      retired_processes_.push_back(old->second);
     }
     std::shared_ptr<SimProcess> p = std::make_shared<SimProcess>(sim_, net_, machine, address, ++runs_);
     auto const [clock, fresh] = clocks_.try_emplace(machine, 0, 0);
@@ -128,27 +128,27 @@
   }
 
   void build() {
-    voters_.resize(d_.zones.size());
-    controls_.resize(d_.zones.size());
-    for (std::size_t i = 0; i < d_.zones.size(); ++i) {
+    voters_.resize(deployment_.zones.size());
+    registry_hosts_.resize(deployment_.zones.size());
+    for (std::size_t i = 0; i < deployment_.zones.size(); ++i) {
       voter_addresses_.push_back("store-" + std::to_string(i) + ":1");
       registry_addresses_.push_back("registry-" + std::to_string(i) + ":1");
     }
     std::size_t n = 0;
-    for (std::size_t i = 0; i < d_.zones.size(); ++i) {
+    for (std::size_t i = 0; i < deployment_.zones.size(); ++i) {
       std::string const core = "core-" + std::to_string(i);
       voters_[i].machine = core;
       voters_[i].address = voter_addresses_[i];
       start_voter(i);
-      controls_[i].machine = core;
-      controls_[i].cell = d_.zones[i];
-      controls_[i].id = "registry-" + std::to_string(i);
-      controls_[i].address = registry_addresses_[i];
-      start_control(i);
-      for (std::size_t k = 0; k < d_.nodes[i]; ++k) {
+      registry_hosts_[i].machine = core;
+      registry_hosts_[i].zone = deployment_.zones[i];
+      registry_hosts_[i].id = "registry-" + std::to_string(i);
+      registry_hosts_[i].address = registry_addresses_[i];
+      start_registry(i);
+      for (std::size_t k = 0; k < deployment_.nodes[i]; ++k) {
         Node node;
         node.machine = "app-" + std::to_string(n);
-        node.cell = d_.zones[i];
+        node.zone = deployment_.zones[i];
         node.id = "node-" + std::to_string(n);
         node.address = "node-" + std::to_string(n) + ":1";
         node.gateway = k < 2;
@@ -157,49 +157,50 @@
       }
     }
     for (std::size_t i = 0; i < nodes_.size(); ++i) start_node(i);
-    std::vector<std::size_t> placed(d_.zones.size(), 0);
-    for (BackendLocation const& b : d_.backends) add_backend(b.service, node_in(d_.zones[b.zone], placed[b.zone]++));
+    std::vector<std::size_t> placed(deployment_.zones.size(), 0);
+    for (BackendLocation const& b : deployment_.backends)
+      add_backend(b.service, node_in(deployment_.zones[b.zone], placed[b.zone]++));
   }
 
-  std::size_t node_in(std::string const& cell, std::size_t const k) const {
+  std::size_t node_in(std::string const& zone, std::size_t const k) const {
     std::vector<std::size_t> in_cell;
     for (std::size_t i = 0; i < nodes_.size(); ++i)
-      if (nodes_[i].cell == cell) in_cell.push_back(i);
+      if (nodes_[i].zone == zone) in_cell.push_back(i);
     return in_cell[k % in_cell.size()];
   }
 
   void start_voter(std::size_t const i) {
     Voter& v = voters_[i];
-    bury(v.acceptor);
+    retire(v.acceptor);
     v.process = process(v.machine, v.address);
     v.disk.process = v.process.get();
     v.acceptor = std::make_shared<Acceptor<SimProcess, SimDisk>>(*v.process, v.disk, voter_addresses_, i);
     if (!v.acceptor->load()) std::abort();
     std::shared_ptr<Dispatcher> dispatcher = std::make_shared<Dispatcher>();
-    bury(dispatcher);
+    retire(dispatcher);
     v.acceptor->attach(*dispatcher);
     v.process->serve(*dispatcher);
     spawn(*v.process, v.acceptor->run_until_voting());
   }
-  void start_control(std::size_t const i) {
-    Control& c = controls_[i];
-    bury(c.registry);
-    bury(c.dispatcher);
+  void start_registry(std::size_t const i) {
+    RegistryHost& c = registry_hosts_[i];
+    retire(c.registry);
+    retire(c.dispatcher);
     c.process = process(c.machine, c.address);
     std::vector<Address> seeds;
     for (Address const& a : registry_addresses_)
       if (a != c.address) seeds.push_back(a);
     c.registry = std::make_shared<Registry<SimProcess>>(
-        *c.process, RegistrySettings{c.id, c.cell, c.address, seeds, voter_addresses_});
+        *c.process, RegistrySettings{c.id, c.zone, c.address, seeds, voter_addresses_});
     c.dispatcher = std::make_shared<Dispatcher>();
     c.registry->start(*c.dispatcher);
     c.process->serve(*c.dispatcher);
   }
   void start_node(std::size_t const i) {
     Node& n = nodes_[i];
-    bury(n.proxy);
-    bury(n.dispatcher);
-    bury(n.edge);
+    retire(n.proxy);
+    retire(n.dispatcher);
+    retire(n.edge);
     n.process = process(n.machine, n.address);
     n.edge = std::make_shared<SimEdge>();
     n.edge->process = n.process.get();
@@ -211,7 +212,7 @@
                          [&](Backend const& b) { return b.node == i && b.port == port && b.alive; });
     };
     ProxySettings s{
-        n.id, n.cell, n.address, n.gateway, {registry_addresses_[0], registry_addresses_[1], registry_addresses_[2]}};
+        n.id, n.zone, n.address, n.gateway, {registry_addresses_[0], registry_addresses_[1], registry_addresses_[2]}};
     s.decisions_kept = 1024;
     n.proxy = std::make_shared<Proxy<SimProcess, SimEdge>>(*n.process, *n.edge, s);
     n.dispatcher = std::make_shared<Dispatcher>();
@@ -220,53 +221,53 @@
     n.rolling = false;
   }
   template <class T>
-  void bury(std::shared_ptr<T> const& old) {
-    if (old) remains_.push_back(old);
+  void retire(std::shared_ptr<T> const& old) {
+    if (old) retired_objects_.push_back(old);
   }
 
   // ---- backends
 
-  std::size_t add_backend(std::string const& service, std::size_t const node, Duration const first_beat = 0s) {
+  std::size_t add_backend(std::string const& service, std::size_t const node, Duration const first_heartbeat = 0s) {
     Backend b;
     b.service = service;
     b.instance = service + "-" + std::to_string(++instances_);
     b.node = node;
     b.port = static_cast<std::uint16_t>(next_port_++);
-    b.life = ++runs_;
+    b.incarnation = ++runs_;
     backends_.push_back(b);
-    bother_service(service, nodes_[node].cell);
+    mark_service_disturbed(service, nodes_[node].zone);
     std::size_t const at = backends_.size() - 1;
-    std::uint64_t const life = b.life;
-    if (first_beat == 0s)
-      keep_beating(at, life);
+    std::uint64_t const incarnation = b.incarnation;
+    if (first_heartbeat == 0s)
+      keep_beating(at, incarnation);
     else
-      sim_.after(first_beat, [this, at, life] { keep_beating(at, life); });
+      sim_.after(first_heartbeat, [this, at, incarnation] { keep_beating(at, incarnation); });
     return at;
   }
 
-  static std::string beat_of(Backend const& b) {
+  static std::string heartbeat_of(Backend const& b) {
     return Json{
         {"service", b.service}, {"instance", b.instance}, {"port", b.port}, {"burden", 0}, {"leaving", b.leaving}}
         .dump();
   }
 
-  void keep_beating(std::size_t const i, std::uint64_t const life) {
+  void keep_beating(std::size_t const i, std::uint64_t const incarnation) {
     Backend& b = backends_[i];
-    if (!b.alive || b.life != life) return;
+    if (!b.alive || b.incarnation != incarnation) return;
     Node& n = nodes_[b.node];
-    if (!b.frozen && n.process->alive && !n.process->frozen) n.proxy->beat(beat_of(b));
-    sim_.after(500ms, [this, i, life] { keep_beating(i, life); });
+    if (!b.frozen && n.process->alive && !n.process->frozen) n.proxy->beat(heartbeat_of(b));
+    sim_.after(500ms, [this, i, incarnation] { keep_beating(i, incarnation); });
   }
 
   // Says that it leaves, and counts as having said so once its node took it.
   void drain(std::size_t const i) {
     Backend& b = backends_[i];
     b.leaving = true;
-    bother_service(b.service, nodes_[b.node].cell);
+    mark_service_disturbed(b.service, nodes_[b.node].zone);
     std::shared_ptr<SimProcess> const p = nodes_[b.node].process;
     std::shared_ptr<Proxy<SimProcess, SimEdge>> const proxy = nodes_[b.node].proxy;
     p->run([this, i, proxy] {
-      proxy->beat(beat_of(backends_[i]));
+      proxy->beat(heartbeat_of(backends_[i]));
       history_.drains.emplace_back(sim_.now, backends_[i].instance);
     });
     sim_.after(5s, [this, i] { kill_backend(i); });
@@ -276,8 +277,8 @@
     Backend& b = backends_[i];
     if (!b.alive) return;
     b.alive = false;
-    bother_service(b.service, nodes_[b.node].cell);
-    for (RunSeen& r : history_.runs)
+    mark_service_disturbed(b.service, nodes_[b.node].zone);
+    for (RunRecord& r : history_.runs)
       if (r.instance == b.instance) r.end = std::min(r.end, std::max(r.begin, sim_.now));
   }
 
@@ -286,7 +287,8 @@
     std::string const id = header_of(q, "call-id");
     auto const call = history_.calls.find(id);
     if (call != history_.calls.end() && call->second.machine == nodes_[node].machine)
-      history_.tries.push_back(TrySeen{sim_.now, id, nodes_[node].machine, header_of(q, "banktide-instance"), true});
+      history_.tries.push_back(
+          AttemptRecord{sim_.now, id, nodes_[node].machine, header_of(q, "banktide-instance"), true});
     sim_.after(200us, [this, node, port, q = std::move(q), deadline, done] {
       for (std::size_t i = 0; i < backends_.size(); ++i) {
         if (backends_[i].node != node || backends_[i].port != port || !backends_[i].alive) continue;
@@ -302,33 +304,33 @@
     Backend& b = backends_[i];
     if (b.frozen) return;  // silence until the deadline
     bool const right = header_of(q, "banktide-service") == b.service && header_of(q, "banktide-instance") == b.instance;
-    if (!right && !b.naive) {
+    if (!right && !b.accepts_misrouted) {
       HttpReply no;
       no.status = 421;
       no.headers = {{"banktide-not-run", "1"}};
       done(no);
       return;
     }
-    bool const rough = noisy();
+    bool const with_faults = faults_active();
     Duration work = std::chrono::milliseconds(1 + sim_.chance() % 15);
-    if (rough && sim_.chance() % 200 == 0) work = history_.planned_only ? 1000ms : 1800ms;
+    if (with_faults && sim_.chance() % 200 == 0) work = history_.planned_only ? 1000ms : 1800ms;
     if (slow_key_ && header_of(q, "x-key") == "k0") work = 300ms;
     Instant const end = std::min(sim_.now + work, deadline);
     std::string const id = header_of(q, "call-id"), epoch = header_of(q, "banktide-epoch");
-    history_.runs.push_back(RunSeen{id, b.service, b.instance, header_of(q, "x-key"), nodes_[b.node].cell,
-                                    nodes_[b.node].machine, sim_.now, end, epoch.empty() ? 0 : std::stoull(epoch)});
+    history_.runs.push_back(RunRecord{id, b.service, b.instance, header_of(q, "x-key"), nodes_[b.node].zone,
+                                      nodes_[b.node].machine, sim_.now, end, epoch.empty() ? 0 : std::stoull(epoch)});
     std::size_t const run = history_.runs.size() - 1;
-    std::uint64_t const life = b.life;
-    bool const vanish = rough && !history_.planned_only && sim_.chance() % 300 == 0;
-    sim_.at(end, [this, i, life, run, id, vanish, done, q] {
+    std::uint64_t const incarnation = b.incarnation;
+    bool const reply_garbled = with_faults && !history_.planned_only && sim_.chance() % 300 == 0;
+    sim_.at(end, [this, i, incarnation, run, id, reply_garbled, done, q] {
       Backend const& now = backends_[i];
-      if (!now.alive || now.life != life) {
+      if (!now.alive || now.incarnation != incarnation) {
         history_.runs[run].end = std::min(history_.runs[run].end, sim_.now);
         done(make_error("call_backend", "", "connection lost", Proof::unknown));
         return;
       }
       if (now.frozen) return;
-      if (vanish) {
+      if (reply_garbled) {
         done(make_error("read_reply", "", "garbage", Proof::unknown));
         return;
       }
@@ -341,71 +343,73 @@
 
   // ---- what was done to whom
 
-  void bother(std::string const& machine) { bothered_[machine] = sim_.now; }
-  void bother_service(std::string const& service, std::string const& cell) {
-    service_bothered_[{service, cell}] = sim_.now;
+  void mark_disturbed(std::string const& machine) { last_disturbed_[machine] = sim_.now; }
+  void mark_service_disturbed(std::string const& service, std::string const& zone) {
+    service_last_disturbed_[{service, zone}] = sim_.now;
   }
-  Duration unbothered(std::string const& machine) const {
-    auto const it = bothered_.find(machine);
-    return sim_.now - (it == bothered_.end() ? start_ : it->second);
+  Duration undisturbed_for(std::string const& machine) const {
+    auto const it = last_disturbed_.find(machine);
+    return sim_.now - (it == last_disturbed_.end() ? start_ : it->second);
   }
-  Duration unbothered_service(std::string const& service, std::string const& cell) const {
-    auto const it = service_bothered_.find({service, cell});
-    return sim_.now - (it == service_bothered_.end() ? start_ : it->second);
+  Duration service_undisturbed_for(std::string const& service, std::string const& zone) const {
+    auto const it = service_last_disturbed_.find({service, zone});
+    return sim_.now - (it == service_last_disturbed_.end() ? start_ : it->second);
   }
-  std::size_t fit_backends(std::string const& service, std::string const& cell) const {
+  std::size_t healthy_backends(std::string const& service, std::string const& zone) const {
     return static_cast<std::size_t>(std::count_if(backends_.begin(), backends_.end(), [&](Backend const& b) {
-      return b.service == service && nodes_[b.node].cell == cell && b.alive && !b.leaving && !b.frozen;
+      return b.service == service && nodes_[b.node].zone == zone && b.alive && !b.leaving && !b.frozen;
     }));
   }
-  std::string core_of(std::string const& cell) const {
-    for (Control const& c : controls_)
-      if (c.cell == cell) return c.machine;
+  std::string core_machine_of(std::string const& zone) const {
+    for (RegistryHost const& c : registry_hosts_)
+      if (c.zone == zone) return c.machine;
     return "";
   }
-  bool cell_unbothered(std::string const& cell, Duration const for_long) const {
-    if (unbothered(core_of(cell)) < for_long) return false;
+  bool zone_undisturbed(std::string const& zone, Duration const for_long) const {
+    if (undisturbed_for(core_machine_of(zone)) < for_long) return false;
     return std::all_of(nodes_.begin(), nodes_.end(),
-                       [&](Node const& n) { return n.cell != cell || unbothered(n.machine) >= for_long; });
+                       [&](Node const& n) { return n.zone != zone || undisturbed_for(n.machine) >= for_long; });
   }
 
-  bool linked(std::string const& a, std::string const& b) const { return sim_.open(a, b) && sim_.open(b, a); }
+  bool connected_both_ways(std::string const& a, std::string const& b) const {
+    return sim_.open(a, b) && sim_.open(b, a);
+  }
 
   // Whether a registry can have a majority's word now.
-  bool can_vouch(std::size_t const k) const {
-    Control const& c = controls_[k];
+  bool can_reach_majority(std::size_t const k) const {
+    RegistryHost const& c = registry_hosts_[k];
     if (!c.process->alive || c.process->frozen) return false;
     std::size_t n = 0;
     for (Voter const& v : voters_)
       n += v.process->alive && v.acceptor->phase() == Phase::voting && v.disk.stalled_until <= sim_.now &&
-           linked(c.machine, v.machine);
+           connected_both_ways(c.machine, v.machine);
     return n >= voters_.size() / 2 + 1;
   }
   // Whether a node could hear of a revision by any path.
-  bool can_hear(Node const& n) const {
+  bool can_receive_updates(Node const& n) const {
     if (!n.process->alive || n.process->frozen) return false;
-    for (std::size_t k = 0; k < controls_.size(); ++k)
-      if (linked(n.machine, controls_[k].machine) && can_vouch(k)) return true;
+    for (std::size_t k = 0; k < registry_hosts_.size(); ++k)
+      if (connected_both_ways(n.machine, registry_hosts_[k].machine) && can_reach_majority(k)) return true;
     return false;
   }
-  bool noisy() const { return sim_.now < busy_until_; }
+  bool faults_active() const { return sim_.now < faults_until_; }
 
   Scenario const scenario_;
   Sim sim_;
   SimNet net_;
-  Deployment const d_;
+  Deployment const deployment_;
   History history_;
-  std::vector<std::shared_ptr<SimProcess>> grave_;
-  std::vector<std::shared_ptr<void>> remains_;  // after the grave: they go first, and touch it
+  std::vector<std::shared_ptr<SimProcess>> retired_processes_;
+  std::vector<std::shared_ptr<void>> retired_objects_;  // after the grave: they go first, and touch it
   std::map<std::string, std::pair<std::int64_t, std::int64_t>> clocks_;
   std::vector<Address> voter_addresses_, registry_addresses_;
   std::vector<Voter> voters_;
-  std::vector<Control> controls_;
+  std::vector<RegistryHost> registry_hosts_;
   std::vector<Node> nodes_;
   std::deque<Backend> backends_;
-  std::map<std::string, Instant> bothered_;
-  std::map<std::pair<std::string, std::string>, Instant> service_bothered_;
-  Instant start_{}, busy_until_{};  // until when the last mishap goes on
+  std::map<std::string, Instant> last_disturbed_;
+  std::map<std::pair<std::string, std::string>, Instant> service_last_disturbed_;
+  Instant start_{}, faults_until_{};  // until when the last mishap goes on
   std::uint64_t runs_ = 0, instances_ = 0, next_port_ = 20000;
   bool slow_key_ = false;
 };
--- a/source/simulation/sim_mishaps.hpp
+++ b/source/simulation/sim_mishaps.hpp
@@ -7,9 +7,9 @@
 
 namespace banktide {
 
-class SimMishaps : public SimTraffic {
+class SimFaults : public SimTraffic {
  protected:
-  explicit SimMishaps(Scenario s) : SimTraffic(std::move(s)) {
+  explicit SimFaults(Scenario s) : SimTraffic(std::move(s)) {
     net_.struck = [this](SimProcess& p, std::uint8_t const kind) { return struck(p, kind); };
   }
 
@@ -58,31 +58,31 @@
     return all;
   }
 
-  void keep_failing(Instant const end) {
+  void schedule_faults(Instant const end) {
     if (sim_.now >= end) return;
     std::vector<std::string> mine;
     for (std::string const& k : kinds())
       if (scenario_.only.empty() || scenario_.only.contains(k)) mine.push_back(k);
-    if (scenario_.only.contains("roll_all") && counted_["roll_all"] == 0) mine = {"roll_all"};
+    if (scenario_.only.contains("roll_all") && fault_counts_["roll_all"] == 0) mine = {"roll_all"};
     if (!mine.empty()) {
       std::string const kind = mine[sim_.chance() % mine.size()];
-      ++counted_[kind];
-      mishap_kind_ = kind;
-      mishap_at_ = sim_.now;
+      ++fault_counts_[kind];
+      fault_kind_ = kind;
+      fault_at_ = sim_.now;
       if (scenario_.verbose) log_info("sim_mishap", {{"kind", kind}, {"at_ms", at_ms()}});
       fail(kind);
     }
     sim_.after(
         scenario_.fault_every / 2 + Duration(sim_.chance() % static_cast<std::uint64_t>(scenario_.fault_every.count())),
-        [this, end] { keep_failing(end); });
+        [this, end] { schedule_faults(end); });
   }
 
-  void busy_for(Duration const d) { busy_until_ = std::max(busy_until_, sim_.now + d); }
+  void extend_faults(Duration const d) { faults_until_ = std::max(faults_until_, sim_.now + d); }
 
   void fail(std::string const& kind) {
     std::size_t const node = sim_.chance() % nodes_.size(), core = anyone(), backend = sim_.chance() % backends_.size();
     Duration const for_a_while = std::chrono::milliseconds(300 + sim_.chance() % 4000);
-    busy_for(for_a_while + 100ms);
+    extend_faults(for_a_while + 100ms);
     fail_machines(kind, node, core, for_a_while);
     fail_core(kind, core, for_a_while);
     fail_links(kind, core, for_a_while);
@@ -116,7 +116,7 @@
         sim_.after(9s * at++, [this, k] { roll_control(k); });
         sim_.after(9s * at++, [this, k] { roll_voter(k); });
       }
-      busy_for(9s * at);
+      extend_faults(9s * at);
     }
     if (kind == "freeze_node") freeze(nodes_[node].process, for_a_while);
     if (kind == "kill_registry") kill_control(core, for_a_while);
@@ -136,7 +136,7 @@
   }
 
   // A lost disk must be back and voting before the next one may go.
-  bool may_lose_a_disk() const {
+  bool disk_loss_allowed() const {
     return std::all_of(voters_.begin(), voters_.end(),
                        [](Voter const& v) { return v.process->alive && v.acceptor->phase() == Phase::voting; });
   }
@@ -152,7 +152,7 @@
     if (!strike_ || kind != strike_->kind) return false;
     for (std::size_t const k : strike_->voters) {
       if (voters_[k].process.get() != &p) continue;
-      bool const wipe = strike_->wipe && may_lose_a_disk();
+      bool const wipe = strike_->wipe && disk_loss_allowed();
       Duration const down = strike_->down;
       bool const before = sim_.chance() % 2 == 0;
       strike_->voters.erase(k);
@@ -165,47 +165,47 @@
     return false;
   }
 
-  void tapped_accept(SimProcess const& from) override {
-    if (!between_rounds_) return;
+  void on_accept_sent(SimProcess const& from) override {
+    if (!kill_between_rounds_) return;
     for (std::size_t k = 0; k < controls_.size(); ++k)
       if (controls_[k].process.get() == &from) {
-        between_rounds_ = false;
+        kill_between_rounds_ = false;
         sim_.after(std::chrono::microseconds(sim_.chance() % 300), [this, k] { kill_control(k, 1500ms); });
       }
   }
 
   void acknowledged(std::size_t const at) override {
-    if (!after_yes_) return;
-    after_yes_ = false;
-    bool const wipe = may_lose_a_disk() && sim_.chance() % 2 == 0;
+    if (!kill_after_acknowledgement_) return;
+    kill_after_acknowledgement_ = false;
+    bool const wipe = disk_loss_allowed() && sim_.chance() % 2 == 0;
     sim_.after(0s, [this, at, wipe] { power_off(at, wipe, 2s); });
   }
 
   void fail_core(std::string const& kind, std::size_t const core, Duration const for_a_while) {
     if (kind == "power_core") power_off(core, false, for_a_while);
-    if (kind == "lose_disk" && may_lose_a_disk()) power_off(core, true, for_a_while);
+    if (kind == "lose_disk" && disk_loss_allowed()) power_off(core, true, for_a_while);
     if (kind == "power_all") {
       for (std::size_t k = 0; k < voters_.size(); ++k)
         power_off(k, false, for_a_while + std::chrono::milliseconds(sim_.chance() % 1000));
-      busy_for(for_a_while + 1100ms);
+      extend_faults(for_a_while + 1100ms);
     }
     if (kind == "power_after_vote" || kind == "power_two_after_vote" || kind == "lose_disk_after_vote") {
       strike_ =
           Strike{{core}, sim_.chance() % 2 ? Prepare::kind : Accept::kind, kind == "lose_disk_after_vote", for_a_while};
       if (kind == "power_two_after_vote") strike_->voters.insert((core + 1 + sim_.chance() % 3) % voters_.size());
-      busy_for(3s + for_a_while);
+      extend_faults(3s + for_a_while);
       sim_.after(3s, [this] { strike_.reset(); });
     }
     if (kind == "power_coordinator" || kind == "kill_between_rounds") {
-      (kind == "power_coordinator" ? after_yes_ : between_rounds_) = true;
-      busy_for(4s);
-      sim_.after(2s, [this] { after_yes_ = between_rounds_ = false; });
+      (kind == "power_coordinator" ? kill_after_acknowledgement_ : kill_between_rounds_) = true;
+      extend_faults(4s);
+      sim_.after(2s, [this] { kill_after_acknowledgement_ = kill_between_rounds_ = false; });
     }
     if (kind == "stall_disk") voters_[core].disk.stalled_until = sim_.now + for_a_while;
     if (kind == "stall_disks")
       for (Voter& v : voters_)
         if (sim_.chance() % 4 != 0) v.disk.stalled_until = sim_.now + 2 * for_a_while;
-    if (kind == "stall_disks") busy_for(2 * for_a_while + 100ms);
+    if (kind == "stall_disks") extend_faults(2 * for_a_while + 100ms);
   }
 
   // ---- links
@@ -240,7 +240,7 @@
     }
     if (cuts)
       for (std::string const& m : machines)
-        if (sim_.cut_off(m)) bother(m);
+        if (sim_.cut_off(m)) mark_disturbed(m);
     if (cuts) sim_.after(for_a_while, [this] { sim_.heal(); });
     if (kind == "weather") {
       sim_.weather = true;
@@ -274,7 +274,7 @@
     }
     if (kind.starts_with("drain_") || kind == "replace_backend") {
       add_backend(b.service, b.node);
-      busy_for(6s);
+      extend_faults(6s);
       std::shared_ptr<SimProcess> const p = nodes_[b.node].process;
       if (kind == "drain_registry_dead")
         for (std::size_t k = 0; k < controls_.size(); ++k)
@@ -302,7 +302,7 @@
     if (kind == "reuse_port_naive" || kind == "reuse_port_intruder") {
       kill_backend(backend);
       add_backend(b.service, b.node);
-      busy_for(1200ms);
+      extend_faults(1200ms);
       std::string other = "intruder";
       for (auto const& [prefix, service] : ways_)
         if (kind == "reuse_port_naive" && service != b.service) other = service;
@@ -314,10 +314,10 @@
     }
     if (kind == "freeze_backend") {
       backends_[backend].frozen = true;
-      bother_service(b.service, cell);
+      mark_service_disturbed(b.service, cell);
       sim_.after(for_a_while, [this, backend, b, cell] {
         backends_[backend].frozen = false;
-        bother_service(b.service, cell);
+        mark_service_disturbed(b.service, cell);
       });
     }
     (void)core;
@@ -330,7 +330,7 @@
       for (auto const& [reg, body] : bad_revisions()) {
         std::shared_ptr<SimProcess> const p = controls_[core].process;
         HttpRequest const q{"PUT", "/" + register_name(reg), {}, body};
-        if (p->alive && !p->frozen) spawn(*p, bad_once(controls_[core].registry, q));
+        if (p->alive && !p->frozen) spawn(*p, put_bad_revision(controls_[core].registry, q));
       }
     if (kind == "race") {
       Revision const now = known_[0];
@@ -384,17 +384,18 @@
     return all;
   }
 
-  Task<void> bad_once(std::shared_ptr<Registry<SimProcess>> registry, HttpRequest q) {
+  Task<void> put_bad_revision(std::shared_ptr<Registry<SimProcess>> registry, HttpRequest q) {
     HttpReply const r = co_await registry->operate(q);
     if (r.status != 503 && (r.status < 400 || r.status >= 500))
-      history_.wrongs.push_back("a bad revision was taken: " + q.body.substr(0, 80) + ": " + std::to_string(r.status));
+      history_.immediate_violations.push_back("a bad revision was taken: " + q.body.substr(0, 80) + ": " +
+                                              std::to_string(r.status));
   }
 
   // ---- doing it
 
   void kill_node(std::size_t const i, Duration const down) {
     if (!nodes_[i].process->alive) return;
-    bother(nodes_[i].machine);
+    mark_disturbed(nodes_[i].machine);
     nodes_[i].process->kill();
     sim_.after(down, [this, i] {
       if (!nodes_[i].process->alive && !gone_.contains(nodes_[i].machine)) start_node(i);
@@ -406,13 +407,13 @@
   void roll_node(std::size_t const i) {
     Node& n = nodes_[i];
     if (!n.process->alive || n.process->frozen || n.rolling) return;
-    bother(n.machine);
+    mark_disturbed(n.machine);
     n.proxy->leave();
     n.rolling = true;
-    busy_for(7s);
-    wait_to_go(i, n.process->run_number, sim_.now);
+    extend_faults(7s);
+    wait_for_exit(i, n.process->run_number, sim_.now);
   }
-  void wait_to_go(std::size_t const i, std::uint64_t const run, Instant const told) {
+  void wait_for_exit(std::size_t const i, std::uint64_t const run, Instant const told) {
     Node& n = nodes_[i];
     if (n.process->run_number != run) return;
     Duration const waited = sim_.now - told;
@@ -424,12 +425,12 @@
       });
       return;
     }
-    sim_.after(20ms, [this, i, run, told] { wait_to_go(i, run, told); });
+    sim_.after(20ms, [this, i, run, told] { wait_for_exit(i, run, told); });
   }
 
   void kill_control(std::size_t const i, Duration const down) {
     if (!controls_[i].process->alive) return;
-    bother(controls_[i].machine);
+    mark_disturbed(controls_[i].machine);
     controls_[i].process->kill();
     sim_.after(down, [this, i] {
       if (!controls_[i].process->alive && !gone_.contains(controls_[i].machine)) start_control(i);
@@ -438,12 +439,12 @@
   void roll_control(std::size_t const i) {
     controls_[i].registry->leave();
     sim_.after(1s, [this, i] { kill_control(i, 300ms); });
-    busy_for(1500ms);
+    extend_faults(1500ms);
   }
   void roll_voter(std::size_t const i) {
     if (!voters_[i].process->alive) return;
     voters_[i].process->kill();
-    busy_for(500ms);
+    extend_faults(500ms);
     sim_.after(300ms, [this, i] {
       if (!voters_[i].process->alive && !gone_.contains(voters_[i].machine)) start_voter(i);
     });
@@ -451,9 +452,9 @@
 
   void freeze(std::shared_ptr<SimProcess> const& p, Duration const down) {
     if (!p->alive || p->frozen) return;
-    bother(p->machine);
+    mark_disturbed(p->machine);
     p->freeze();
-    busy_for(down);
+    extend_faults(down);
     sim_.after(down, [p] {
       if (p->alive) p->thaw();
     });
@@ -461,8 +462,8 @@
 
   // The last fault: nobody repairs it. Operators may answer a lost cell with a
   // new catalogue; nothing else is done.
-  void fail_for_good(std::string const& kind) {
-    ++counted_[kind];
+  void inject_permanent_fault(std::string const& kind) {
+    ++fault_counts_[kind];
     std::size_t const core = anyone();
     std::string const machine = controls_[core].machine, cell = controls_[core].cell;
     if (kind == "core_gone" || kind == "cell_gone") {
@@ -497,7 +498,7 @@
     sim_.weather = false;
     hot_ = false;
     strike_.reset();
-    after_yes_ = between_rounds_ = false;
+    kill_after_acknowledgement_ = kill_between_rounds_ = false;
     for (Backend& b : backends_) b.frozen = false;
     for (std::size_t i = 0; i < controls_.size(); ++i) {
       if (controls_[i].process->frozen) controls_[i].process->thaw();
@@ -510,13 +511,13 @@
       if (!nodes_[i].process->alive) start_node(i);
     }
     for (BackendLocation const& p : d_.backends)
-      if (fit_backends(p.service, d_.zones[p.zone]) == 0) add_backend(p.service, node_in(d_.zones[p.zone], 0));
+      if (healthy_backends(p.service, d_.zones[p.zone]) == 0) add_backend(p.service, node_in(d_.zones[p.zone], 0));
   }
 
-  std::map<std::string, std::uint64_t> counted_;
+  std::map<std::string, std::uint64_t> fault_counts_;
   std::set<std::string> gone_;
   std::optional<Strike> strike_;
-  bool between_rounds_ = false, after_yes_ = false;
+  bool kill_between_rounds_ = false, kill_after_acknowledgement_ = false;
 };
 
 }  // namespace banktide
--- a/source/simulation/sim_traffic.hpp
+++ b/source/simulation/sim_traffic.hpp
@@ -10,22 +10,24 @@
 class SimTraffic : public SimMachines {
  protected:
   explicit SimTraffic(Scenario s)
-      : SimMachines(std::move(s)), routing_(Json::parse(d_.routing)), catalogue_(Json::parse(d_.catalogue)) {
+      : SimMachines(std::move(s)),
+        routing_(Json::parse(deployment_.routing)),
+        catalogue_(Json::parse(deployment_.catalogue)) {
     for (auto const& [name, service] : routing_["services"].items())
       if (service.contains("key")) keyed_ = name;
     for (Json const& w : routing_["ways"]) ways_[w["prefix"]] = w["service"];
     ways_["/promo"] = "promo";
     net_.tap = [this](SimProcess const& from, Address const& to, std::uint8_t const kind, Bytes const& raw) {
-      if (kind == Accept::kind) tapped_accept(from);
+      if (kind == Accept::kind) on_accept_sent(from);
       if (kind != ForwardCall::kind) return;
       Result<ForwardCall> const c = unpack<ForwardCall>(raw);
       if (c)
-        history_.tries.push_back(TrySeen{sim_.now, header_of(c->request, "call-id"), from.machine, c->instance,
-                                         linked(from.machine, net_.machine_of[to])});
+        history_.tries.push_back(AttemptRecord{sim_.now, header_of(c->request, "call-id"), from.machine, c->instance,
+                                               connected_both_ways(from.machine, net_.machine_of[to])});
     };
   }
   virtual ~SimTraffic() = default;
-  virtual void tapped_accept(SimProcess const&) {}
+  virtual void on_accept_sent(SimProcess const&) {}
   virtual void acknowledged(std::size_t) {}
 
   // ---- callers
@@ -46,15 +48,15 @@
     std::uint64_t const keys = std::stoull(parts[4]) / 10;
     std::size_t const at = sim_.chance() % nodes_.size();
     Node& n = nodes_[at];
-    CallSeen c;
+    CallRecord c;
     c.id = parts[0] + "-" + std::to_string(++calls_);
     c.service = ways_[parts[2]];
-    c.cell = n.cell;
+    c.zone = n.zone;
     c.machine = n.machine;
     c.repeatable = parts[1] == "GET";
     c.sent = sim_.now;
     if (keys > 0) c.key = "k" + std::to_string(hot_ && sim_.chance() % 2 ? 0 : sim_.chance() % keys);
-    if (sim_.now - mishap_at_ < 3s) c.after = mishap_kind_;
+    if (sim_.now - fault_at_ < 3s) c.after = fault_kind_;
     if (!n.process->alive) {
       c.outcome = "unsent";
       history_.calls[c.id] = c;
@@ -83,14 +85,14 @@
   }
 
   void over(std::string const& id, std::string const& outcome) {
-    CallSeen& seen = history_.calls[id];
+    CallRecord& seen = history_.calls[id];
     if (seen.outcome.empty()) seen.outcome = outcome;
   }
 
   Task<void> answer(std::shared_ptr<Proxy<SimProcess, SimEdge>> proxy, HttpRequest q, std::string id, std::string want,
                     std::size_t at) {
     HttpReply const r = co_await proxy->call(std::move(q));
-    CallSeen& c = history_.calls[id];
+    CallRecord& c = history_.calls[id];
     if (!c.outcome.empty()) co_return;
     c.answered = sim_.now;
     c.status = r.status;
@@ -103,16 +105,16 @@
     judge(at, c, false);
     if (scenario_.verbose && c.outcome != "answered")
       log_info("sim_call",
-               {{"id", id}, {"outcome", c.outcome}, {"cell", c.cell}, {"body", r.body}, {"at_ms", at_ms()}});
+               {{"id", id}, {"outcome", c.outcome}, {"cell", c.zone}, {"body", r.body}, {"at_ms", at_ms()}});
   }
 
   // Whether what the operators last meant is what was acknowledged last. Once
   // only notes change, an older one in force makes no difference.
-  bool as_meant() const {
+  bool matches_operator_intent() const {
     for (std::size_t i = settled_ ? 1 : 0; i < 2; ++i)
-      if (last_put_[i] >= history_.revisions.size() || history_.revisions[last_put_[i]].bytes != known_bytes_[i])
+      if (latest_put_[i] >= history_.revisions.size() || history_.revisions[latest_put_[i]].bytes != known_bytes_[i])
         return false;
-    return open_puts_.empty();
+    return pending_puts_.empty();
   }
 
   // A call may fail up to 2 s after what hindered it is over, and eject its
@@ -121,50 +123,50 @@
 
   // What an honest mesh owes this call, by what was done to whom: at its start,
   // and still at its end.
-  void judge(std::size_t const at, CallSeen& c, bool const begins) {
+  void judge(std::size_t const at, CallRecord& c, bool const begins) {
     Node const& n = nodes_[at];
     bool stay = false, serve = false;
     Duration const unchanged = sim_.now - std::max(changed_[c.service], diverged_at_);
-    bool const up =
-        as_meant() && c.service != "promo" && unbothered(n.machine) >= 4s && unbothered(core_of(n.cell)) >= 4s;
+    bool const up = matches_operator_intent() && c.service != "promo" && undisturbed_for(n.machine) >= 4s &&
+                    undisturbed_for(core_machine_of(n.zone)) >= 4s;
     bool closed = false;
     for (Json const& name : catalogue_.value("closed", Json::array())) closed = closed || name == c.service;
     if (up && !closed && c.service != keyed_ && unchanged > 8s) {
       std::set<std::string> allowed, named;
-      for (auto const& [cell, services] : catalogue_["cells"].items())
-        if (services.contains(c.service)) named.insert(cell);
-      for (std::string const& cell : d_.zones)
-        if (named.empty() || named.contains(cell)) allowed.insert(cell);
-      auto const good = [&](std::string const& cell) {
-        return allowed.contains(cell) && cell_unbothered(cell, known_good_for) &&
-               unbothered_service(c.service, cell) > known_good_for && fit_backends(c.service, cell) > 0;
+      for (auto const& [zone, services] : catalogue_["cells"].items())
+        if (services.contains(c.service)) named.insert(zone);
+      for (std::string const& zone : deployment_.zones)
+        if (named.empty() || named.contains(zone)) allowed.insert(zone);
+      auto const good = [&](std::string const& zone) {
+        return allowed.contains(zone) && zone_undisturbed(zone, known_good_for) &&
+               service_undisturbed_for(c.service, zone) > known_good_for && healthy_backends(c.service, zone) > 0;
       };
-      stay = good(n.cell);
-      bool const none = !allowed.contains(n.cell) ||
-                        (fit_backends(c.service, n.cell) == 0 && unbothered_service(c.service, n.cell) > 6s);
+      stay = good(n.zone);
+      bool const none = !allowed.contains(n.zone) ||
+                        (healthy_backends(c.service, n.zone) == 0 && service_undisturbed_for(c.service, n.zone) > 6s);
       bool elsewhere = none, any = false;
-      for (std::string const& cell : d_.zones) {
-        if (cell == n.cell) continue;
-        elsewhere = elsewhere && cell_unbothered(cell, 4s) && unbothered_service(c.service, cell) > 4s;
-        any = any || good(cell);
+      for (std::string const& zone : deployment_.zones) {
+        if (zone == n.zone) continue;
+        elsewhere = elsewhere && zone_undisturbed(zone, 4s) && service_undisturbed_for(c.service, zone) > 4s;
+        any = any || good(zone);
       }
       serve = stay || (elsewhere && any);
     }
     if (up && !closed && c.service == keyed_ && unchanged > 14s) {
       std::uint64_t const slice = digest_of(c.key) % routing_["services"][keyed_]["key"]["slices"].get<std::uint64_t>();
       bool cores = true;
-      for (Control const& k : controls_) cores = cores && unbothered(k.machine) > 14s;
-      for (std::string const& cell : d_.zones) {
+      for (RegistryHost const& k : registry_hosts_) cores = cores && undisturbed_for(k.machine) > 14s;
+      for (std::string const& zone : deployment_.zones) {
         bool here = false;
-        if (catalogue_["cells"].contains(cell) && catalogue_["cells"][cell].contains(keyed_))
-          for (Json const& range : catalogue_["cells"][cell][keyed_]["slices"])
+        if (catalogue_["cells"].contains(zone) && catalogue_["cells"][zone].contains(keyed_))
+          for (Json const& range : catalogue_["cells"][zone][keyed_]["slices"])
             here = here || (range[0].get<std::uint64_t>() <= slice && slice <= range[1].get<std::uint64_t>());
-        if (here && cores && cell_unbothered(cell, 14s) && unbothered_service(keyed_, cell) > 14s &&
-            fit_backends(keyed_, cell) > 0)
+        if (here && cores && zone_undisturbed(zone, 14s) && service_undisturbed_for(keyed_, zone) > 14s &&
+            healthy_backends(keyed_, zone) > 0)
           serve = true;
       }
     }
-    bool const calm = c.service != "promo" && sim_.now >= busy_until_ + 15s && unchanged > 15s;
+    bool const calm = c.service != "promo" && sim_.now >= faults_until_ + 15s && unchanged > 15s;
     if (begins) {
       c.must_stay = stay;
       c.must_serve = serve;
@@ -180,35 +182,35 @@
 
   void put(std::size_t const at, Register const reg, std::string const& bytes,
            std::optional<Revision> const match = std::nullopt, bool const insist = false) {
-    Control& c = controls_[at];
-    RevisionSeen r;
+    RegistryHost& c = registry_hosts_[at];
+    RevisionRecord r;
     r.reg = reg;
     r.bytes = bytes;
     r.sent = sim_.now;
     r.maybe = true;
     r.matched = match;
-    last_put_[static_cast<std::size_t>(reg)] = history_.revisions.size();
+    latest_put_[static_cast<std::size_t>(reg)] = history_.revisions.size();
     history_.revisions.push_back(r);
     std::size_t const n = history_.revisions.size() - 1;
-    open_puts_.insert(n);
+    pending_puts_.insert(n);
     HttpRequest q{"PUT", "/" + register_name(reg), {}, bytes};
     if (match) q.headers.push_back({"If-Match", "\"" + std::to_string(*match) + "\""});
     std::shared_ptr<SimProcess> const p = c.process;
     std::shared_ptr<Registry<SimProcess>> const registry = c.registry;
     if (!p->alive) history_.revisions[n].maybe = false;
-    sim_.after(8s, [this, n] { open_puts_.erase(n); });
+    sim_.after(8s, [this, n] { pending_puts_.erase(n); });
     p->run([this, p, registry, q, n, at] { spawn(*p, put_once(registry, q, n, at)); });
     if (insist)
       sim_.after(1500ms, [this, at, reg, bytes, n] {
-        if (history_.revisions[n].revision == 0) put((at + 1) % controls_.size(), reg, bytes, std::nullopt, true);
+        if (history_.revisions[n].revision == 0) put((at + 1) % registry_hosts_.size(), reg, bytes, std::nullopt, true);
       });
   }
 
   Task<void> put_once(std::shared_ptr<Registry<SimProcess>> registry, HttpRequest q, std::size_t n, std::size_t at) {
     HttpReply const reply = co_await registry->operate(std::move(q));
-    RevisionSeen& r = history_.revisions[n];
+    RevisionRecord& r = history_.revisions[n];
     r.answered = sim_.now;
-    open_puts_.erase(n);
+    pending_puts_.erase(n);
     if (reply.status == 200) {
       r.revision = Json::parse(reply.body)["revision"].get<Revision>();
       r.maybe = false;
@@ -221,9 +223,9 @@
     }
   }
 
-  std::size_t anyone() { return sim_.chance() % controls_.size(); }
-  void put_routing() { put(anyone(), Register::routing, routing_.dump()); }
-  void put_catalogue() { put(anyone(), Register::catalogue, catalogue_.dump()); }
+  std::size_t random_core() { return sim_.chance() % registry_hosts_.size(); }
+  void put_routing() { put(random_core(), Register::routing, routing_.dump()); }
+  void put_catalogue() { put(random_core(), Register::catalogue, catalogue_.dump()); }
   void note() { routing_["note"] = "revision " + std::to_string(++sent_); }
 
   // The keyed service's slices: split between its two cells, or in one of
@@ -231,9 +233,9 @@
   void place_keyed(std::uint64_t const style) {
     changed_[keyed_] = sim_.now;
     std::uint64_t const slices = routing_["services"][keyed_]["key"]["slices"], cut = 1 + sim_.chance() % (slices - 1);
-    for (auto& [cell, services] : catalogue_["cells"].items()) services.erase(keyed_);
-    std::string const& a = d_.zones[style % 2];
-    std::string const& b = d_.zones[1 - style % 2];
+    for (auto& [zone, services] : catalogue_["cells"].items()) services.erase(keyed_);
+    std::string const& a = deployment_.zones[style % 2];
+    std::string const& b = deployment_.zones[1 - style % 2];
     if (style == 4) return;
     if (style >= 2) {
       catalogue_["cells"][a][keyed_]["slices"] = {{0, slices - 1}};
@@ -270,11 +272,11 @@
     } else if (what == 17) {
       changed_[service] = sim_.now;
       bool named = false;
-      for (auto& [cell, services] : catalogue_["cells"].items()) named = services.erase(service) > 0 || named;
-      std::size_t const first = sim_.chance() % d_.zones.size();
+      for (auto& [zone, services] : catalogue_["cells"].items()) named = services.erase(service) > 0 || named;
+      std::size_t const first = sim_.chance() % deployment_.zones.size();
       if (!named)
-        for (std::size_t const k : {first, (first + 1) % d_.zones.size()})
-          catalogue_["cells"][d_.zones[k]][service] = Json::object();
+        for (std::size_t const k : {first, (first + 1) % deployment_.zones.size()})
+          catalogue_["cells"][deployment_.zones[k]][service] = Json::object();
       put_catalogue();
     } else if (what == 18) {
       changed_[service] = sim_.now;
@@ -321,8 +323,8 @@
   void settle_layouts() {
     settled_ = true;
     for (auto const& [prefix, service] : ways_) changed_[service] = sim_.now;
-    routing_ = Json::parse(d_.routing);
-    catalogue_ = Json::parse(d_.catalogue);
+    routing_ = Json::parse(deployment_.routing);
+    catalogue_ = Json::parse(deployment_.catalogue);
     note();
     settle_by(0, std::nullopt);
   }
@@ -330,13 +332,13 @@
   // first was answered could land before it. What isn't taken begins anew.
   void settle_by(std::size_t step, std::optional<std::size_t> const sent) {
     if (!calling_) return;
-    if (sent && open_puts_.contains(*sent)) {
+    if (sent && pending_puts_.contains(*sent)) {
       sim_.after(100ms, [this, step, sent] { settle_by(step, sent); });
       return;
     }
     if (sent) step = history_.revisions[*sent].revision > 0 ? step + 1 : 0;
     if (step == 3) return;
-    put(anyone(), step == 1 ? Register::routing : Register::catalogue,
+    put(random_core(), step == 1 ? Register::routing : Register::catalogue,
         step == 0   ? R"({"cells":{}})"
         : step == 1 ? routing_.dump()
                     : catalogue_.dump());
@@ -345,9 +347,9 @@
   }
 
   void read_back() {
-    std::size_t at = anyone();
-    while (!controls_[at].process->alive) at = (at + 1) % controls_.size();
-    Control& c = controls_[at];
+    std::size_t at = random_core();
+    while (!registry_hosts_[at].process->alive) at = (at + 1) % registry_hosts_.size();
+    RegistryHost& c = registry_hosts_[at];
     for (Register const reg : operator_registers) spawn(*c.process, read_once(c.registry, reg));
     sim_.run_until(sim_.now + 3s);
   }
@@ -362,22 +364,22 @@
 
   void keep_sampling() {
     if (!calling_) return;
-    if (open_puts_.empty() && !as_meant()) diverged_at_ = sim_.now;
+    if (pending_puts_.empty() && !matches_operator_intent()) diverged_at_ = sim_.now;
     for (Node& n : nodes_) {
-      std::vector<ForceSeen>& seen = history_.forces[n.machine];
-      ForceSeen f{sim_.now, seen.empty() ? std::array<Revision, 2>{} : seen.back().in_force, true};
+      std::vector<InForceSample>& seen = history_.forces[n.machine];
+      InForceSample f{sim_.now, seen.empty() ? std::array<Revision, 2>{} : seen.back().in_force, true};
       bool const up = n.process->alive && n.proxy->ready();
       if (up) {
         f.in_force = {n.proxy->rules().routing, n.proxy->rules().catalogue_revision};
-        f.excused = !can_hear(n);
+        f.excused = !can_receive_updates(n);
       }
       seen.push_back(f);
-      if (!up || n.process->frozen || n.rolling || sim_.cut_off(n.machine) || sim_.weather) bother(n.machine);
+      if (!up || n.process->frozen || n.rolling || sim_.cut_off(n.machine) || sim_.weather) mark_disturbed(n.machine);
     }
-    for (std::size_t k = 0; k < controls_.size(); ++k)
-      if (!controls_[k].process->alive || controls_[k].process->frozen || !voters_[k].process->alive ||
-          voters_[k].disk.stalled_until > sim_.now || sim_.cut_off(controls_[k].machine) || sim_.weather)
-        bother(controls_[k].machine);
+    for (std::size_t k = 0; k < registry_hosts_.size(); ++k)
+      if (!registry_hosts_[k].process->alive || registry_hosts_[k].process->frozen || !voters_[k].process->alive ||
+          voters_[k].disk.stalled_until > sim_.now || sim_.cut_off(registry_hosts_[k].machine) || sim_.weather)
+        mark_disturbed(registry_hosts_[k].machine);
     sim_.after(50ms, [this] { keep_sampling(); });
   }
 
@@ -389,12 +391,12 @@
   std::map<std::string, Instant> changed_;  // by service: its last change of more than a note
   std::array<Revision, 2> known_{};
   std::array<std::string, 2> known_bytes_;
-  std::array<std::size_t, 2> last_put_{};
-  std::set<std::size_t> open_puts_;
+  std::array<std::size_t, 2> latest_put_{};
+  std::set<std::size_t> pending_puts_;
   Instant diverged_at_{};  // when what was in force was last not what operators meant
   std::uint64_t calls_ = 0, sent_ = 1;
-  std::string mishap_kind_;
-  Instant mishap_at_{};
+  std::string fault_kind_;
+  Instant fault_at_{};
   bool calling_ = false, hot_ = false, settled_ = false;
 };
 
--- a/source/simulation/sim_world.hpp
+++ b/source/simulation/sim_world.hpp
@@ -143,7 +143,7 @@
   };
 
   SimProcess(Sim& s, SimNet& n, std::string m, Address a, std::uint64_t const incarnation)
-      : sim(s), net(n), machine(std::move(m)), address(std::move(a)), run_number(incarnation), chance_(s.chance()) {}
+      : sim(s), net(n), machine(std::move(m)), address(std::move(a)), incarnation(incarnation), chance_(s.chance()) {}
   ~SimProcess() { kill(); }
 
   // Each machine's clock has an offset and a speed of its own.
@@ -196,7 +196,7 @@
   SimNet& net;
   std::string const machine;
   Address const address;
-  std::uint64_t const run_number;
+  std::uint64_t const incarnation;
   Dispatcher* dispatcher = nullptr;
   bool alive = true, frozen = false;
   Duration clock_offset{};
@@ -257,7 +257,7 @@
       bool const reach = sim.open(x->from->machine, machine) && sim.open(machine, x->from->machine);
       bool const up = target != at.end() && target->second->alive;
       auto const known = x->from->connected.find(x->peer);
-      bool const joined = up && known != x->from->connected.end() && known->second == target->second->run_number;
+      bool const joined = up && known != x->from->connected.end() && known->second == target->second->incarnation;
       if (joined) {
         x->sent = true;
         deliver(x, target->second, sim.now + 3s);
@@ -269,7 +269,7 @@
       } else if (!up) {
         fail(x, sim.delay(), "connect", "refused", Proof::not_run);
       } else {
-        x->from->connected[x->peer] = target->second->run_number;
+        x->from->connected[x->peer] = target->second->incarnation;
         x->sent = true;
         deliver(x, target->second, sim.now + 3s);
       }
--- a/tests/programs/operator_streams_test.cpp
+++ b/tests/programs/operator_streams_test.cpp
@@ -44,10 +44,10 @@
     sim_.run_until(sim_.now + 3s);
     calling_ = true;
     for (std::string const& m : d_.mix) keep_calling(m);
-    streams = std::make_unique<OperatorStreams<SimProcess>>(*controls_[2].registry);
+    streams = std::make_unique<OperatorStreams<SimProcess>>(*registry_hosts_[2].registry);
   }
   void run(Duration const d) { sim_.run_until(sim_.now + d); }
-  SimProcess& process() { return *controls_[2].process; }
+  SimProcess& process() { return *registry_hosts_[2].process; }
   void watch(std::string const& target, SlowReader& out) {
     spawn(process(), [](OperatorStreams<SimProcess>& s, std::string t, SlowReader& o) -> Task<void> {
       HttpRequest const q{"GET", t, {}, ""};
--- a/tests/simulation/sim_fleet_test.cpp
+++ b/tests/simulation/sim_fleet_test.cpp
@@ -52,7 +52,7 @@
     History const h = fleet.run();
     std::string all;
     for (auto const& [id, c] : h.calls) all += id + c.outcome + std::to_string(c.answered.time_since_epoch().count());
-    for (RunSeen const& r : h.runs) all += r.id + r.instance + std::to_string(r.begin.time_since_epoch().count());
+    for (RunRecord const& r : h.runs) all += r.id + r.instance + std::to_string(r.begin.time_since_epoch().count());
     digest = digest_of(all);
   }
   EXPECT_EQ(digests[0], digests[1]);
