--- a/source/simulation/history.hpp
+++ b/source/simulation/history.hpp
@@ -16,7 +16,7 @@
 namespace banktide {
 
 struct CallRecord {
-  std::string id, service, key, cell, machine;
+  std::string id, service, key, zone, machine;
   bool repeatable = false;
   Instant sent{}, answered{};
   Instant taken{};  // by the node, which may have been frozen for a while
@@ -24,16 +24,16 @@
   // answered, not-run, unknown; lost: no answer came; unsent: nobody listened;
   // hung-up: the caller went away.
   std::string outcome;
-  bool right = false, retry_after = false;
+  bool correct = false, retry_after = false;
   bool must_stay = false;   // an undisturbed_for backend of its own cell was known to serve it
   bool must_serve = false;  // or one in a cell that could be reached
   bool calm = false;        // 15 s after the last fault, with the next one far
-  std::string after;        // the last kind of mishap, within 3 s
-  std::string why;
+  std::string after_fault;  // the last kind of mishap, within 3 s
+  std::string reason;
 };
 
 struct RunRecord {
-  std::string id, service, instance, key, cell, machine;
+  std::string id, service, instance, key, zone, machine;
   Instant begin{}, end{};
   std::uint64_t epoch = 0;
 };
@@ -64,17 +64,17 @@
 struct History {
   std::map<std::string, CallRecord> calls;
   std::vector<RunRecord> runs;
-  std::vector<AttemptRecord> tries;
+  std::vector<AttemptRecord> attempts;
   std::vector<RevisionRecord> revisions;
-  std::map<std::string, std::vector<InForceSample>> forces;  // by machine
-  std::vector<std::pair<Instant, std::string>> drains;       // instance that said it leaves
-  std::vector<Instant> extra_tries;
+  std::map<std::string, std::vector<InForceSample>> in_force_samples;  // by machine
+  std::vector<std::pair<Instant, std::string>> drains;                 // instance that said it leaves
+  std::vector<Instant> extra_attempts;
   bool planned_only = false;                      // nothing but planned restarts: no answer may be lost
   std::vector<std::string> immediate_violations;  // seen at once by a stand-in
   std::string readback[2];
   bool readback_good[2] = {false, false};
 
-  std::vector<std::string> broken() const {
+  std::vector<std::string> violations() const {
     std::vector<std::string> out = immediate_violations;
     check_runs(out);
     check_answers(out);
@@ -89,22 +89,22 @@
   }
 
   // Calls answered and calls made in the 3 s after each kind of mishap.
-  std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> shares() const {
+  std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> answered_shares() const {
     std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> out;
     for (auto const& [id, c] : calls) {
-      if (c.after.empty() || c.outcome == "unsent" || c.outcome == "hung-up") continue;
-      ++out[c.after].second;
-      out[c.after].first += c.outcome == "answered";
+      if (c.after_fault.empty() || c.outcome == "unsent" || c.outcome == "hung-up") continue;
+      ++out[c.after_fault].second;
+      out[c.after_fault].first += c.outcome == "answered";
     }
     return out;
   }
 
   // The tries of each call after its first, as they were seen.
-  void count_extras() {
+  void count_extra_attempts() {
     std::map<std::string, std::size_t> n;
-    for (AttemptRecord const& t : tries) {
+    for (AttemptRecord const& t : attempts) {
       auto const c = calls.find(t.id);
-      if (c != calls.end() && c->second.machine == t.machine && ++n[t.id] > 1) extra_tries.push_back(t.at);
+      if (c != calls.end() && c->second.machine == t.machine && ++n[t.id] > 1) extra_attempts.push_back(t.at);
     }
   }
 
@@ -113,8 +113,8 @@
   static std::string ms(Instant const t) { return std::to_string(as_ms(t.time_since_epoch()) - 3600000); }
 
   bool excused(std::string const& machine, Instant const from, Instant const to) const {
-    auto const it = forces.find(machine);
-    if (it == forces.end()) return true;
+    auto const it = in_force_samples.find(machine);
+    if (it == in_force_samples.end()) return true;
     auto const at = std::lower_bound(it->second.begin(), it->second.end(), from,
                                      [](InForceSample const& f, Instant const t) { return f.at < t; });
     for (auto f = at; f != it->second.end() && f->at <= to; ++f)
@@ -152,21 +152,21 @@
     for (RunRecord const& r : runs) ran.insert(r.id);
     for (auto const& [id, c] : calls) {
       if (c.outcome == "not-run" && ran.contains(id)) out.push_back("said not run, and ran: " + id);
-      if (c.outcome == "answered" && !c.right) out.push_back("wrong answer: " + id);
+      if (c.outcome == "answered" && !c.correct) out.push_back("wrong answer: " + id);
       if (c.outcome == "answered" && !ran.contains(id)) out.push_back("answered and never ran: " + id);
       if (c.status >= 500 && !c.retry_after && c.outcome != "answered")
         out.push_back("given up with no Retry-After: " + id);
       if (c.outcome.empty()) out.push_back("never answered: " + id);
       if (planned_only && (c.outcome == "lost" || c.outcome == "unknown"))
-        out.push_back("a planned restart lost the answer of " + id + ": " + c.outcome + " " + c.why);
+        out.push_back("a planned restart lost the answer of " + id + ": " + c.outcome + " " + c.reason);
     }
   }
 
   void check_keys(std::vector<std::string>& out) const {
-    std::map<std::string, std::vector<RunRecord const*>> by;
+    std::map<std::string, std::vector<RunRecord const*>> revisions_by_register;
     for (RunRecord const& r : runs)
-      if (!r.key.empty()) by[r.service + "/" + r.key].push_back(&r);
-    for (auto& [key, all] : by) {
+      if (!r.key.empty()) revisions_by_register[r.service + "/" + r.key].push_back(&r);
+    for (auto& [key, all] : revisions_by_register) {
       std::stable_sort(all.begin(), all.end(),
                        [](RunRecord const* a, RunRecord const* b) { return a->begin < b->begin; });
       RunRecord const* last = nullptr;  // the one that ends last
@@ -189,7 +189,7 @@
   }
 
   // Whether a catalogue lets a call run in a cell, read anew from its bytes.
-  static bool lets(Json const& catalogue, Json const& routing, CallRecord const& c, std::string const& cell) {
+  static bool permits(Json const& catalogue, Json const& routing, CallRecord const& c, std::string const& zone) {
     if (!routing["services"].contains(c.service)) return false;
     for (Json const& name : catalogue.value("closed", Json::array()))
       if (name == c.service) return false;
@@ -197,7 +197,7 @@
     for (auto const& [where, services] : catalogue["cells"].items()) {
       if (!services.contains(c.service)) continue;
       named = true;
-      if (where != cell) continue;
+      if (where != zone) continue;
       Json const& e = services[c.service];
       if (!e.contains("slices")) return true;
       std::uint64_t const slice =
@@ -210,12 +210,13 @@
 
   // The revisions that may have decided a call: sent before it ran, and not
   // superseded for 2 s when it was made.
-  std::vector<std::size_t> possible(Register const reg, Instant const made, Instant const ran,
-                                    std::map<Register, std::vector<std::size_t>> const& by) const {
+  std::vector<std::size_t> possible_revisions(
+      Register const reg, Instant const made, Instant const ran,
+      std::map<Register, std::vector<std::size_t>> const& revisions_by_register) const {
     std::vector<std::size_t> out;
     Revision floor = 0;
-    auto const it = by.find(reg);
-    if (it == by.end()) return out;
+    auto const it = revisions_by_register.find(reg);
+    if (it == revisions_by_register.end()) return out;
     for (std::size_t const i : it->second)
       if (revisions[i].revision > 0 && revisions[i].answered < made - 2s)
         floor = std::max(floor, revisions[i].revision);
@@ -227,11 +228,11 @@
   }
 
   void check_catalogue(std::vector<std::string>& out) const {
-    std::map<Register, std::vector<std::size_t>> by;
+    std::map<Register, std::vector<std::size_t>> revisions_by_register;
     std::vector<Json> parsed(revisions.size());
     for (std::size_t i = 0; i < revisions.size(); ++i) {
       if (revisions[i].revision == 0 && !revisions[i].maybe) continue;
-      by[revisions[i].reg].push_back(i);
+      revisions_by_register[revisions[i].reg].push_back(i);
       parsed[i] = Json::parse(revisions[i].bytes);
     }
     for (RunRecord const& r : runs) {
@@ -240,14 +241,16 @@
           excused(c->second.machine, c->second.sent - 2s, r.begin))
         continue;
       bool good = false, any = false;
-      for (std::size_t const k : possible(Register::catalogue, c->second.sent, r.begin, by)) {
+      for (std::size_t const k :
+           possible_revisions(Register::catalogue, c->second.sent, r.begin, revisions_by_register)) {
         any = true;
-        for (std::size_t const l : possible(Register::routing, c->second.sent, r.begin, by))
-          if (!good && lets(parsed[k], parsed[l], c->second, r.cell)) good = true;
+        for (std::size_t const l :
+             possible_revisions(Register::routing, c->second.sent, r.begin, revisions_by_register))
+          if (!good && permits(parsed[k], parsed[l], c->second, r.zone)) good = true;
         if (good) break;
       }
       if (any && !good)
-        out.push_back(r.id + " ran in " + r.cell + " at " + ms(r.begin) + ", where no catalogue of then lets it");
+        out.push_back(r.id + " ran in " + r.zone + " at " + ms(r.begin) + ", where no catalogue of then lets it");
     }
   }
 
@@ -286,7 +289,7 @@
     }
     // In force within 2 s of the acknowledgement, or of the moment from which
     // the machine could hear of it; no step back.
-    for (auto const& [machine, seen] : forces)
+    for (auto const& [machine, seen] : in_force_samples)
       for (Register const reg : operator_registers) {
         std::size_t const i = static_cast<std::size_t>(reg);
         Revision top = 0;
@@ -328,7 +331,7 @@
       if (d != left.end() && r.begin - d->second > 2s)
         out.push_back("new work for " + r.instance + " after its drain: " + r.id);
     }
-    for (AttemptRecord const& t : tries) {
+    for (AttemptRecord const& t : attempts) {
       auto const d = left.find(t.instance);
       if (d != left.end() && t.reached && t.at - d->second > 2s && !excused(t.machine, t.at - 2s, t.at))
         out.push_back(t.machine + " sent " + t.id + " to " + t.instance + " at " + ms(t.at) + " after its drain at " +
@@ -340,10 +343,10 @@
     std::vector<Instant> sent;
     for (auto const& [id, c] : calls) sent.push_back(c.sent);
     std::sort(sent.begin(), sent.end());
-    for (std::size_t i = 0; i < extra_tries.size(); ++i) {
-      Instant const end = extra_tries[i];
+    for (std::size_t i = 0; i < extra_attempts.size(); ++i) {
+      Instant const end = extra_attempts[i];
       std::size_t const extras = static_cast<std::size_t>(std::count_if(
-          extra_tries.begin(), extra_tries.end(), [&](Instant const t) { return t > end - 10s && t <= end; }));
+          extra_attempts.begin(), extra_attempts.end(), [&](Instant const t) { return t > end - 10s && t <= end; }));
       std::size_t const firsts = static_cast<std::size_t>(std::upper_bound(sent.begin(), sent.end(), end) -
                                                           std::lower_bound(sent.begin(), sent.end(), end - 10s));
       if (extras > firsts / 5 + 20) {
@@ -356,16 +359,16 @@
 
   void check_dropping(std::vector<std::string>& out) const {
     std::map<std::string, std::set<std::string>> ran_in;
-    for (RunRecord const& r : runs) ran_in[r.id].insert(r.cell);
+    for (RunRecord const& r : runs) ran_in[r.id].insert(r.zone);
     for (auto const& [id, c] : calls) {
       if (c.must_stay && c.outcome == "not-run")
-        out.push_back(id + " was dropped at " + ms(c.sent) + " in " + c.cell +
-                      " beside a backend known to be good: " + c.why);
-      else if (c.must_stay && ran_in.contains(id) && !ran_in[id].contains(c.cell))
-        out.push_back(id + " left " + c.cell + " at " + ms(c.sent) + " where a backend was known to be good");
+        out.push_back(id + " was dropped at " + ms(c.sent) + " in " + c.zone +
+                      " beside a backend known to be good: " + c.reason);
+      else if (c.must_stay && ran_in.contains(id) && !ran_in[id].contains(c.zone))
+        out.push_back(id + " left " + c.zone + " at " + ms(c.sent) + " where a backend was known to be good");
       else if (c.must_serve && c.outcome == "not-run")
-        out.push_back(id + " was dropped at " + ms(c.sent) + " in " + c.cell +
-                      ", and another cell could serve it: " + c.why);
+        out.push_back(id + " was dropped at " + ms(c.sent) + " in " + c.zone +
+                      ", and another cell could serve it: " + c.reason);
     }
   }
 
@@ -378,8 +381,8 @@
       ++all;
       if (c.outcome == "answered" || c.outcome == "hung-up") continue;
       ++bad;
-      one =
-          id + " " + c.outcome + " " + std::to_string(c.status) + " in " + c.cell + " at " + ms(c.sent) + ": " + c.why;
+      one = id + " " + c.outcome + " " + std::to_string(c.status) + " in " + c.zone + " at " + ms(c.sent) + ": " +
+            c.reason;
     }
     if (all == 0) out.push_back("no call in calm");
     if (bad > 0)
--- a/source/simulation/sim_machines.hpp
+++ b/source/simulation/sim_machines.hpp
@@ -287,7 +287,7 @@
     std::string const id = header_of(q, "call-id");
     auto const call = history_.calls.find(id);
     if (call != history_.calls.end() && call->second.machine == nodes_[node].machine)
-      history_.tries.push_back(
+      history_.attempts.push_back(
           AttemptRecord{sim_.now, id, nodes_[node].machine, header_of(q, "banktide-instance"), true});
     sim_.after(200us, [this, node, port, q = std::move(q), deadline, done] {
       for (std::size_t i = 0; i < backends_.size(); ++i) {
--- a/source/simulation/sim_main.cpp
+++ b/source/simulation/sim_main.cpp
@@ -15,15 +15,15 @@
   SimFleet fleet(scenario);
   History const h = fleet.run();
   Json j = {{"seed", scenario.seed},
-            {"broken", h.broken()},
+            {"broken", h.violations()},
             {"outcomes", Json::object()},
             {"mishaps", fleet.mishaps()},
             {"after", Json::object()}};
   std::map<std::string, std::uint64_t> outcomes;
   for (auto const& [id, c] : h.calls) ++outcomes[c.outcome];
   j["outcomes"] = outcomes;
-  for (auto const& [kind, n] : h.shares()) j["after"][kind] = {n.first, n.second};
-  j["extras"] = h.extra_tries.size();
+  for (auto const& [kind, n] : h.answered_shares()) j["after"][kind] = {n.first, n.second};
+  j["extras"] = h.extra_attempts.size();
   return j;
 }
 
@@ -102,18 +102,18 @@
   };
   std::uint64_t bad = 0, extras = 0, calls = 0;
   std::map<std::string, std::uint64_t> outcomes, mishaps;
-  std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> after;
+  std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> after_fault;
   auto const take = [&](Json const& j) {
-    std::vector<std::string> const broken = j["broken"];
-    bad += !broken.empty();
-    for (std::size_t k = 0; k < broken.size() && k < 5; ++k)
-      std::cout << "seed " << j["seed"] << ": " << broken[k] << "\n";
-    if (broken.size() > 5) std::cout << "seed " << j["seed"] << ": and " << broken.size() - 5 << " more\n";
+    std::vector<std::string> const violations = j["broken"];
+    bad += !violations.empty();
+    for (std::size_t k = 0; k < violations.size() && k < 5; ++k)
+      std::cout << "seed " << j["seed"] << ": " << violations[k] << "\n";
+    if (violations.size() > 5) std::cout << "seed " << j["seed"] << ": and " << violations.size() - 5 << " more\n";
     for (auto const& [what, n] : j["outcomes"].items())
       outcomes[what] += n.get<std::uint64_t>(), calls += n.get<std::uint64_t>();
     for (auto const& [kind, n] : j["mishaps"].items()) mishaps[kind] += n.get<std::uint64_t>();
     for (auto const& [kind, n] : j["after"].items())
-      after[kind].first += n[0].get<std::uint64_t>(), after[kind].second += n[1].get<std::uint64_t>();
+      after_fault[kind].first += n[0].get<std::uint64_t>(), after_fault[kind].second += n[1].get<std::uint64_t>();
     extras += j["extras"].get<std::uint64_t>();
     std::cout.flush();
   };
@@ -135,7 +135,8 @@
   std::cout << "\nmishaps, and the share answered of calls in the 3 s after:";
   for (auto const& [kind, n] : mishaps) {
     std::cout << " " << kind << "=" << n;
-    if (after[kind].second > 0) std::cout << "(" << 100 * after[kind].first / after[kind].second << "%)";
+    if (after_fault[kind].second > 0)
+      std::cout << "(" << 100 * after_fault[kind].first / after_fault[kind].second << "%)";
   }
   std::cout << "\n";
   return bad ? 1 : 0;
--- a/source/simulation/sim_traffic.hpp
+++ b/source/simulation/sim_traffic.hpp
@@ -17,13 +17,13 @@
       if (service.contains("key")) keyed_ = name;
     for (Json const& w : routing_["ways"]) ways_[w["prefix"]] = w["service"];
     ways_["/promo"] = "promo";
-    net_.tap = [this](SimProcess const& from, Address const& to, std::uint8_t const kind, Bytes const& raw) {
+    net_.on_send = [this](SimProcess const& from, Address const& to, std::uint8_t const kind, Bytes const& raw) {
       if (kind == Accept::kind) on_accept_sent(from);
       if (kind != ForwardCall::kind) return;
       Result<ForwardCall> const c = unpack<ForwardCall>(raw);
       if (c)
-        history_.tries.push_back(AttemptRecord{sim_.now, header_of(c->request, "call-id"), from.machine, c->instance,
-                                               connected_both_ways(from.machine, net_.machine_of[to])});
+        history_.attempts.push_back(AttemptRecord{sim_.now, header_of(c->request, "call-id"), from.machine, c->instance,
+                                                  connected_both_ways(from.machine, net_.machine_of[to])});
     };
   }
   virtual ~SimTraffic() = default;
@@ -101,7 +101,7 @@
       if (h.name == "banktide-outcome") c.outcome = h.value;
       if (h.name == "Retry-After") c.retry_after = true;
     }
-    if (c.outcome != "answered") c.why = r.body;
+    if (c.outcome != "answered") c.reason = r.body;
     judge(at, c, false);
     if (scenario_.verbose && c.outcome != "answered")
       log_info("sim_call",
@@ -366,7 +366,7 @@
     if (!calling_) return;
     if (pending_puts_.empty() && !matches_operator_intent()) diverged_at_ = sim_.now;
     for (Node& n : nodes_) {
-      std::vector<InForceSample>& seen = history_.forces[n.machine];
+      std::vector<InForceSample>& seen = history_.in_force_samples[n.machine];
       InForceSample f{sim_.now, seen.empty() ? std::array<Revision, 2>{} : seen.back().in_force, true};
       bool const up = n.process->alive && n.proxy->ready();
       if (up) {
@@ -374,11 +374,12 @@
         f.excused = !can_receive_updates(n);
       }
       seen.push_back(f);
-      if (!up || n.process->frozen || n.rolling || sim_.cut_off(n.machine) || sim_.weather) mark_disturbed(n.machine);
+      if (!up || n.process->frozen || n.rolling || sim_.has_cut(n.machine) || sim_.unreliable_links)
+        mark_disturbed(n.machine);
     }
     for (std::size_t k = 0; k < registry_hosts_.size(); ++k)
       if (!registry_hosts_[k].process->alive || registry_hosts_[k].process->frozen || !voters_[k].process->alive ||
-          voters_[k].disk.stalled_until > sim_.now || sim_.cut_off(registry_hosts_[k].machine) || sim_.weather)
+          voters_[k].disk.stalled_until > sim_.now || sim_.has_cut(registry_hosts_[k].machine) || sim_.unreliable_links)
         mark_disturbed(registry_hosts_[k].machine);
     sim_.after(50ms, [this] { keep_sampling(); });
   }
--- a/source/simulation/sim_world.hpp
+++ b/source/simulation/sim_world.hpp
@@ -53,17 +53,18 @@
     std::erase_if(cuts_, [&](auto const& c) { return c.first == m || c.second == m; });
   }
   bool open(std::string const& from, std::string const& to) const { return !cuts_.contains({from, to}); }
-  bool cut_off(std::string const& m) const {
+  bool has_cut(std::string const& m) const {
     return std::any_of(cuts_.begin(), cuts_.end(), [&](auto const& c) { return c.first == m || c.second == m; });
   }
   Duration delay() {
-    Duration const gust =
-        weather ? Duration(std::chrono::milliseconds(chance() % 10 == 0 ? chance() % 300 : chance() % 5)) : 0ms;
+    Duration const gust = unreliable_links
+                              ? Duration(std::chrono::milliseconds(chance() % 10 == 0 ? chance() % 300 : chance() % 5))
+                              : 0ms;
     return gust + std::chrono::microseconds(100 + chance() % 400 + (chance() % 50 == 0 ? chance() % 5000 : 0));
   }
 
   // Bad weather: messages take long, overtake one another, get lost or doubled.
-  bool weather = false;
+  bool unreliable_links = false;
 
  private:
   struct Entry {
@@ -101,11 +102,11 @@
         s_->woken = false;
         co_return false;
       }
-      std::uint64_t const mine = ++s_->wait;
+      std::uint64_t const own_wait = ++s_->wait;
       bool const ran_out = co_await asio::async_initiate<asio::use_awaitable_t<> const, void(bool)>(
           [](auto handler, SimProcess* p, std::shared_ptr<Pending> s, Instant t, std::uint64_t n) {
-            auto kept = std::make_shared<decltype(handler)>(std::move(handler));
-            s->handler = [kept](bool const v) { std::move (*kept)(v); };
+            auto shared_handler = std::make_shared<decltype(handler)>(std::move(handler));
+            s->handler = [shared_handler](bool const v) { std::move (*shared_handler)(v); };
             std::weak_ptr<Pending> weak = s;
             std::weak_ptr<SimProcess> self = p->weak_from_this();
             p->sim.at(p->global(t), [weak, self, n] {
@@ -116,7 +117,7 @@
                 });
             });
           },
-          asio::use_awaitable, &p_, s_, until, mine);
+          asio::use_awaitable, &p_, s_, until, own_wait);
       s_->woken = false;
       co_return ran_out;
     }
@@ -169,20 +170,20 @@
   void run(std::function<void()> f) {
     if (!alive) return;
     if (frozen)
-      held_.push_back(std::move(f));
+      deferred_.push_back(std::move(f));
     else
       f();
   }
   void freeze() { frozen = true; }
   void thaw() {
     frozen = false;
-    std::vector<std::function<void()>> held;
-    held.swap(held_);
-    for (std::function<void()>& f : held) f();
+    std::vector<std::function<void()>> deferred;
+    deferred.swap(deferred_);
+    for (std::function<void()>& f : deferred) f();
   }
   void kill() {
     alive = false;
-    held_.clear();
+    deferred_.clear();
     std::map<std::uint64_t, Pending*> pending;  // in order of making, so that a run replays
     pending.swap(pending_);
     std::vector<std::function<void(bool)>> drop;
@@ -207,7 +208,7 @@
   std::mt19937_64 chance_;
   std::map<std::uint64_t, Pending*> pending_;
   std::uint64_t last_alarm_ = 0;
-  std::vector<std::function<void()>> held_;
+  std::vector<std::function<void()>> deferred_;
 };
 
 // Who listens where, and how a message gets there.
@@ -220,8 +221,8 @@
   std::set<std::string> dark;  // machines without power
   // Sees every message as it is sent; and each answer before it leaves: "yes"
   // means that its machine lost power first.
-  std::function<void(SimProcess const&, Address const&, std::uint8_t, Bytes const&)> tap;
-  std::function<bool(SimProcess&, std::uint8_t)> struck;
+  std::function<void(SimProcess const&, Address const&, std::uint8_t, Bytes const&)> on_send;
+  std::function<bool(SimProcess&, std::uint8_t)> before_reply;
 
   struct Exchange {
     std::shared_ptr<SimProcess> from;
@@ -245,9 +246,9 @@
   void begin(std::shared_ptr<Exchange> const& x, Duration const wait) {
     sim.after(wait, [this, x] {
       if (!x->from->alive || x->withdrawn) return;
-      if (tap) tap(*x->from, x->peer, x->kind, x->payload);
-      if (sim.weather && !x->done && sim.chance() % 8 == 0) return;
-      if (sim.weather && !x->done && sim.chance() % 8 == 0) {
+      if (on_send) on_send(*x->from, x->peer, x->kind, x->payload);
+      if (sim.unreliable_links && !x->done && sim.chance() % 8 == 0) return;
+      if (sim.unreliable_links && !x->done && sim.chance() % 8 == 0) {
         std::shared_ptr<Exchange> const twin = std::make_shared<Exchange>(*x);
         auto const up = at.find(x->peer);
         if (up != at.end() && up->second->alive) deliver(twin, up->second, sim.now + 3s);
@@ -307,19 +308,19 @@
 
   Task<void> handle(std::shared_ptr<Exchange> x, std::shared_ptr<SimProcess> target) {
     Result<Bytes> reply = co_await target->dispatcher->handlers[x->kind](x->payload, x->cancellation);
-    if (struck && struck(*target, x->kind)) co_return;
-    if (x->done && sim.weather && sim.chance() % 100 == 0) {
+    if (before_reply && before_reply(*target, x->kind)) co_return;
+    if (x->done && sim.unreliable_links && sim.chance() % 100 == 0) {
       x->from->connected.erase(x->peer);
       fail(x, sim.delay(), "wait_for_reply", "connection lost", Proof::unknown);
     } else if (x->done)
-      back(x, target, std::make_shared<Result<Bytes>>(std::move(reply)), sim.now + 3s);
+      deliver_reply(x, target, std::make_shared<Result<Bytes>>(std::move(reply)), sim.now + 3s);
   }
 
-  void back(std::shared_ptr<Exchange> const& x, std::shared_ptr<SimProcess> const target,
-            std::shared_ptr<Result<Bytes>> const reply, Instant const give_up) {
+  void deliver_reply(std::shared_ptr<Exchange> const& x, std::shared_ptr<SimProcess> const target,
+                     std::shared_ptr<Result<Bytes>> const reply, Instant const give_up) {
     sim.after(sim.delay(), [this, x, target, reply, give_up] {
       if (!sim.open(target->machine, x->from->machine)) {
-        if (sim.now < give_up) back(x, target, reply, give_up);
+        if (sim.now < give_up) deliver_reply(x, target, reply, give_up);
         return;
       }
       x->from->run([x, reply] { x->done(*reply); });
@@ -371,21 +372,21 @@
 
   Result<VoterRecord> load() { return durable; }
   Task<Result<bool>> save(VoterRecord const& r) {
-    SimProcess* const mine = process;
+    SimProcess* const own_wait = process;
     VoterRecord const next = r;
-    Duration wait = std::chrono::microseconds(200 + mine->chance()() % 2000);
-    if (stalled_until > mine->sim.now) wait += stalled_until - mine->sim.now;
+    Duration wait = std::chrono::microseconds(200 + own_wait->chance()() % 2000);
+    if (stalled_until > own_wait->sim.now) wait += stalled_until - own_wait->sim.now;
     if (broken_on_purpose("no_sync")) {
       unsynced = next;
       co_return true;
     }
-    bool const early = mine->chance()() % 2 == 0;
+    bool const early = own_wait->chance()() % 2 == 0;
     if (early) {
-      co_await sleep_for(*mine, wait / 2);
+      co_await sleep_for(*own_wait, wait / 2);
       durable = next;
-      co_await sleep_for(*mine, wait / 2);
+      co_await sleep_for(*own_wait, wait / 2);
     } else {
-      co_await sleep_for(*mine, wait);
+      co_await sleep_for(*own_wait, wait);
       durable = next;
     }
     co_return true;
--- a/tests/coordination/key_granter_test.cpp
+++ b/tests/coordination/key_granter_test.cpp
@@ -21,8 +21,8 @@
 
 constexpr Instant long_ago{};
 
-struct HolderTrial {
-  explicit HolderTrial(Instant const started = long_ago)
+struct GranterTrial {
+  explicit GranterTrial(Instant const started = long_ago)
       : holder("payments", "node-1", "a:1", "zone", KeySettings{}, started) {
     table.revision = 1;
     table.add_holder(KeyHolderRecord{"i-1", "node-1", "a:1", "zone"});
@@ -30,18 +30,18 @@
     table.services.push_back(KeyService{"payments", {row_of(0, 99, 0, 5), row_of(100, last_key, 1, 6)}});
   }
   KeyRow& first_row() { return table.services[0].rows[0]; }
-  void learn() {
+  void receive_table() {
     ++table.revision;
     holder.on_table(table);
   }
-  void confirm() {
-    learn();
+  void confirm_table() {
+    receive_table();
     holder.on_confirmed(table.revision, now);
   }
   KeyHeartbeat heartbeat(std::vector<HeldRange> held = {}, std::vector<ReleasedRange> released = {}) {
     KeyHeartbeat made;
     made.instance = "i-1";
-    made.sequence = ++beats;
+    made.sequence = ++heartbeat_count;
     made.held = std::move(held);
     made.released = std::move(released);
     return made;
@@ -49,21 +49,22 @@
 
   Instant now = Instant{} + 1000s;
   KeyTable table;
-  std::uint64_t beats = 0;
+  std::uint64_t heartbeat_count = 0;
   KeySettings settings;
   KeyGranter holder;
 };
 
 TEST(KeyGranter, every_hold_ends_before_the_lease_even_by_a_slow_clock) {
   for (Duration const age : {0ms, 900ms, 2500ms, 4000ms, 4800ms, 4900ms, 5000ms, 9000ms})
-    for (Duration const kept_back : {0ms, 300ms, 700ms}) {
-      HolderTrial t;
-      t.confirm();
+    for (Duration const reply_delay : {0ms, 300ms, 700ms}) {
+      GranterTrial t;
+      t.confirm_table();
       KeyHeartbeat const heartbeat = t.heartbeat();
       t.holder.take_heartbeat(t.now + age, heartbeat);
-      KeyHeartbeatReply const answer = t.holder.reply(t.now + age + kept_back, heartbeat.instance, heartbeat.sequence);
+      KeyHeartbeatReply const answer =
+          t.holder.reply(t.now + age + reply_delay, heartbeat.instance, heartbeat.sequence);
       if (!answer.renews) {
-        EXPECT_GT(age + kept_back, 4800ms);
+        EXPECT_GT(age + reply_delay, 4800ms);
         continue;
       }
       Duration const longest = std::chrono::duration_cast<Duration>(answer.hold * 1.02);
@@ -73,19 +74,19 @@
 }
 
 TEST(KeyGranter, grants_nothing_without_a_lease_or_by_a_table_older_than_the_confirmed) {
-  HolderTrial t;
+  GranterTrial t;
   EXPECT_FALSE(t.holder.handle_heartbeat(t.now, t.heartbeat()).renews);
-  t.learn();
+  t.receive_table();
   EXPECT_FALSE(t.holder.handle_heartbeat(t.now, t.heartbeat()).renews);
   t.holder.on_confirmed(t.table.revision + 1, t.now);
   EXPECT_FALSE(t.holder.handle_heartbeat(t.now, t.heartbeat()).renews);
-  t.learn();
+  t.receive_table();
   EXPECT_TRUE(t.holder.handle_heartbeat(t.now, t.heartbeat()).renews);
 }
 
 TEST(KeyGranter, a_running_lease_goes_on_while_newer_tables_are_confirmed_that_are_not_here_yet) {
-  HolderTrial t;
-  t.confirm();
+  GranterTrial t;
+  t.confirm_table();
   Instant const first = t.now;
   for (Revision ahead = 1; ahead <= 40; ++ahead) {
     t.now += 100ms;
@@ -97,41 +98,41 @@
 }
 
 TEST(KeyGranter, a_confirmed_reading_counts_from_its_question_once_its_table_is_here) {
-  HolderTrial t;
+  GranterTrial t;
   t.holder.on_confirmed(3, t.now);
   t.holder.on_confirmed(5, t.now + 1s);
-  t.learn();
+  t.receive_table();
   EXPECT_FALSE(t.holder.leased(t.now)) << "table 2";
-  t.learn();
+  t.receive_table();
   EXPECT_TRUE(t.holder.leased(t.now)) << "table 3";
   EXPECT_FALSE(t.holder.leased(t.now + t.settings.term));
-  t.learn();
+  t.receive_table();
   EXPECT_FALSE(t.holder.leased(t.now + t.settings.term)) << "table 4";
-  t.learn();
+  t.receive_table();
   EXPECT_TRUE(t.holder.leased(t.now + t.settings.term)) << "table 5";
   EXPECT_FALSE(t.holder.leased(t.now + 1s + t.settings.term));
 }
 
 TEST(KeyGranter, leaves_out_what_is_revoked_or_moving) {
-  HolderTrial t;
-  t.confirm();
+  GranterTrial t;
+  t.confirm_table();
   t.first_row().revoked = 2;
-  t.learn();
+  t.receive_table();
   EXPECT_TRUE(t.holder.handle_heartbeat(t.now, t.heartbeat()).rows.empty());
   t.first_row().revoked = 0;
   t.first_row().moving = 3;
   t.first_row().next = 1;
-  t.learn();
+  t.receive_table();
   EXPECT_TRUE(t.holder.handle_heartbeat(t.now, t.heartbeat()).rows.empty());
 }
 
 TEST(KeyGranter, reports_a_release_only_when_the_backend_works_on_the_row_no_more) {
-  HolderTrial t;
-  t.confirm();
+  GranterTrial t;
+  t.confirm_table();
   t.holder.handle_heartbeat(t.now, t.heartbeat());
   t.first_row().moving = 3;
   t.first_row().next = 1;
-  t.learn();
+  t.receive_table();
   t.holder.handle_heartbeat(t.now, t.heartbeat({{0, 99, 5}}));
   EXPECT_TRUE(t.holder.report(t.now, 0).released.empty());
   t.holder.handle_heartbeat(t.now, t.heartbeat({{50, 99, 5}}, {{0, 49, "part"}}));  // still works on a part
@@ -146,11 +147,11 @@
 }
 
 TEST(KeyGranter, takes_a_row_that_is_not_shown_as_let_go_only_by_a_beat_after_the_one_that_left_it_out) {
-  HolderTrial t;
-  t.confirm();
+  GranterTrial t;
+  t.confirm_table();
   t.holder.handle_heartbeat(t.now, t.heartbeat());
   t.first_row().moving = 3;
-  t.learn();
+  t.receive_table();
   t.holder.handle_heartbeat(t.now, t.heartbeat());
   EXPECT_TRUE(t.holder.report(t.now, 0).released.empty());
   t.holder.handle_heartbeat(t.now, t.heartbeat());
@@ -159,24 +160,24 @@
 }
 
 TEST(KeyGranter, a_move_called_off_gives_the_row_back_with_its_own_token_but_never_with_an_old_one) {
-  HolderTrial t;
-  t.confirm();
+  GranterTrial t;
+  t.confirm_table();
   t.first_row().moving = 3;
-  t.learn();
+  t.receive_table();
   t.holder.handle_heartbeat(t.now, t.heartbeat({}, {{0, 99, "own"}}));
   t.first_row().moving = 0;
-  t.learn();
+  t.receive_table();
   EXPECT_EQ(t.holder.handle_heartbeat(t.now, t.heartbeat()).rows, (std::vector<KeyGrant>{{0, 99, 5, "own"}}));
   t.first_row().fence = 9;  // another held it in between
   t.first_row().handover = "theirs";
-  t.learn();
+  t.receive_table();
   EXPECT_EQ(t.holder.handle_heartbeat(t.now, t.heartbeat()).rows, (std::vector<KeyGrant>{{0, 99, 9, "theirs"}}));
 }
 
 // Guards against OWNER: another instance's heartbeat may be a late one of a former life, and the holder runs on.
 TEST(KeyGranter, an_instance_gives_way_to_another_and_ends_only_when_its_hold_has_run_out) {
-  HolderTrial t;
-  t.confirm();
+  GranterTrial t;
+  t.confirm_table();
   for (int i = 0; i < 4; ++i, t.now += 500ms) t.holder.report(t.now, 0);
   KeyHeartbeatReply const granted = t.holder.handle_heartbeat(t.now, t.heartbeat());
   ASSERT_TRUE(granted.renews);
@@ -194,8 +195,8 @@
 }
 
 TEST(KeyGranter, an_instance_that_stays_silent_while_another_beats_on_has_ended) {
-  HolderTrial t;
-  t.confirm();
+  GranterTrial t;
+  t.confirm_table();
   for (int i = 0; i < 4; ++i, t.now += 500ms) t.holder.report(t.now, 0);
   Instant const last_beat = t.now;
   ASSERT_TRUE(t.holder.handle_heartbeat(t.now, t.heartbeat()).renews);
@@ -209,7 +210,7 @@
 }
 
 TEST(KeyGranter, an_instance_without_a_hold_ends_as_another_takes_its_place) {
-  HolderTrial t;
+  GranterTrial t;
   for (int i = 0; i < 4; ++i, t.now += 500ms) t.holder.report(t.now, 0);
   EXPECT_FALSE(t.holder.handle_heartbeat(t.now, t.heartbeat()).renews);
   KeyHeartbeat newer = t.heartbeat();
@@ -220,8 +221,8 @@
 }
 
 TEST(KeyGranter, who_was_taken_for_gone_by_mistake_is_granted_its_rows_again) {
-  HolderTrial t;
-  t.confirm();
+  GranterTrial t;
+  t.confirm_table();
   for (int i = 0; i < 4; ++i, t.now += 500ms) t.holder.report(t.now, 0);
   ASSERT_TRUE(t.holder.handle_heartbeat(t.now, t.heartbeat()).renews);
   KeyHeartbeat late = t.heartbeat();
@@ -235,8 +236,8 @@
 
 // It serves on after it has signed off, and holds its keys until they run out.
 TEST(KeyGranter, who_signs_off_without_draining_first_ends_when_its_hold_has_run_out) {
-  HolderTrial t;
-  t.confirm();
+  GranterTrial t;
+  t.confirm_table();
   KeyHeartbeatReply const granted = t.holder.handle_heartbeat(t.now, t.heartbeat());
   ASSERT_TRUE(granted.renews);
   Instant const end_of_hold = t.now + std::chrono::duration_cast<Duration>(granted.hold * 1.02);
@@ -258,15 +259,15 @@
 }
 
 TEST(KeyGranter, who_signs_off_after_draining_or_without_a_hold_ends_at_once) {
-  HolderTrial drained;
-  drained.confirm();
+  GranterTrial drained;
+  drained.confirm_table();
   KeyHeartbeat leaving = drained.heartbeat();
   leaving.state = KeyHolderState::draining;
   ASSERT_TRUE(drained.holder.handle_heartbeat(drained.now, leaving).renews);
   drained.holder.on_instance_signed_off("i-1", drained.now + 100ms);
   EXPECT_EQ(drained.holder.report(drained.now + 200ms, 0).ended.size(), 1u);
 
-  HolderTrial without_lease;
+  GranterTrial without_lease;
   without_lease.holder.handle_heartbeat(without_lease.now, without_lease.heartbeat());
   without_lease.holder.on_instance_signed_off("i-1", without_lease.now + 100ms);
   EXPECT_EQ(without_lease.holder.report(without_lease.now + 200ms, 0).ended.size(), 1u);
@@ -275,7 +276,7 @@
 // Keys held twice (OWNER): a node that had just restarted took a backend that signed off for one without a hold.
 TEST(KeyGranter, who_signs_off_after_a_restart_of_its_node_may_hold_by_a_grant_of_the_process_before) {
   Instant const started = long_ago + 1000s;
-  HolderTrial t(started);
+  GranterTrial t(started);
   Duration const longest_hold = std::chrono::duration_cast<Duration>(t.settings.term * 1.02);
   t.now += 400ms;
   t.holder.take_heartbeat(t.now, t.heartbeat({{0, 99, 5}}));
@@ -287,15 +288,15 @@
 }
 
 TEST(KeyGranter, who_signs_off_long_after_its_nodes_start_waits_for_the_grants_of_this_process_only) {
-  HolderTrial t(long_ago + 1000s - 2 * KeySettings{}.term);
+  GranterTrial t(long_ago + 1000s - 2 * KeySettings{}.term);
   t.holder.take_heartbeat(t.now, t.heartbeat());
   t.holder.on_instance_signed_off("i-1", t.now + 100ms);
   EXPECT_EQ(t.holder.report(t.now + 200ms, 0).ended.size(), 1u);
 }
 
 TEST(KeyGranter, right_after_a_freeze_no_beat_ends_another_life) {
-  HolderTrial t;
-  t.confirm();
+  GranterTrial t;
+  t.confirm_table();
   for (int i = 0; i < 4; ++i, t.now += 500ms) t.holder.report(t.now, 0);
   t.holder.handle_heartbeat(t.now, t.heartbeat());
   t.now += 10s;
@@ -308,19 +309,19 @@
 }
 
 TEST(KeyGranter, a_node_that_began_anew_finds_the_end_of_a_life_in_the_table) {
-  HolderTrial t;
+  GranterTrial t;
   KeyHeartbeat newer = t.heartbeat();
   newer.instance = "i-9";
   t.holder.handle_heartbeat(t.now, newer);
-  t.confirm();
+  t.confirm_table();
   KeyReport const report = t.holder.report(t.now, 0);
   ASSERT_EQ(report.ended.size(), 1u);
   EXPECT_EQ(report.ended[0].instance, "i-1");
 }
 
 TEST(KeyGranter, runs_requests_on_held_keys_that_end_within_the_hold) {
-  HolderTrial t;
-  t.confirm();
+  GranterTrial t;
+  t.confirm_table();
   EXPECT_FALSE(t.holder.may_run(7, t.now, 1ms));
   Duration const hold = t.holder.handle_heartbeat(t.now, t.heartbeat()).hold;
   EXPECT_EQ(t.holder.may_run(7, t.now, 1ms), 5u);
@@ -333,12 +334,12 @@
 }
 
 TEST(KeyGranter, joins_neighbours_under_one_fence_when_an_answer_would_be_too_long) {
-  HolderTrial t;
+  GranterTrial t;
   std::vector<KeyRow>& rows = t.table.services[0].rows;
   rows.clear();
   for (std::uint32_t i = 0; i < 128; ++i)
     rows.push_back(row_of(static_cast<std::uint16_t>(i * 512), static_cast<std::uint16_t>(i * 512 + 511), 0, 5));
-  t.confirm();
+  t.confirm_table();
   std::vector<KeyGrant> const granted = t.holder.handle_heartbeat(t.now, t.heartbeat()).rows;
   EXPECT_LE(granted.size(), t.settings.held_rows_limit);
   std::uint32_t from = 0;
@@ -351,11 +352,11 @@
 
 // A coordinator must not take a row that has just come for an idle one.
 TEST(KeyGranter, tells_no_rate_of_a_row_before_it_is_measured_and_then_the_whole_rate_at_once) {
-  HolderTrial t;
-  t.confirm();
+  GranterTrial t;
+  t.confirm_table();
   t.holder.report(t.now, 0.5F);
   t.now += 1s;
-  t.confirm();
+  t.confirm_table();
   t.holder.handle_heartbeat(t.now, t.heartbeat());
   for (int i = 0; i < 20; ++i) t.holder.count(static_cast<std::uint16_t>(i));
   t.now += 100ms;
@@ -371,14 +372,14 @@
 }
 
 // A node whose backend holds keys 0 to 9999, and requests on them.
-struct LoadTrial : HolderTrial {
+struct LoadTrial : GranterTrial {
   LoadTrial() {
     table.services[0].rows = {row_of(0, 9999, 0, 5), row_of(10000, last_key, 1, 6)};
     renew();
     holder.report(now, 0.5F);
   }
   void renew() {
-    confirm();
+    confirm_table();
     holder.handle_heartbeat(now, heartbeat());
   }
   // So many requests on each key in half a second, and a report.
--- a/tests/coordination/key_table_feed_test.cpp
+++ b/tests/coordination/key_table_feed_test.cpp
@@ -7,27 +7,27 @@
 namespace banktide {
 namespace {
 
-constexpr std::size_t delta_frame_bytes = 28;
+constexpr std::size_t delta_overhead_bytes = 28;
 
 // Bytes of tables and deltas in all messages and answers.
 struct TableBytes {
-  std::size_t whole = 0, deltas = 0, wholes = 0, read_wholes = 0;
+  std::size_t whole = 0, deltas = 0, whole_tables = 0, whole_tables_read = 0;
 
   void add(RegisterValue const& held) {
     whole += held.bytes.size();
-    wholes += !held.bytes.empty();
+    whole_tables += !held.bytes.empty();
   }
-  void add(KeyDelta const& delta) { deltas += delta.bytes.size() + delta_frame_bytes; }
+  void add(KeyDelta const& delta) { deltas += delta.bytes.size() + delta_overhead_bytes; }
   void add_values(std::vector<std::pair<Register, RegisterValue>> const& values) {
     for (auto const& [r, held] : values)
       if (r == Register::keys) add(held);
   }
-  void add_told(std::uint8_t const kind, Bytes const& raw) {
+  void add_sent(std::uint8_t const kind, Bytes const& raw) {
     if (kind == ZoneUpdate::kind) {
-      Result<ZoneUpdate> const news = unpack<ZoneUpdate>(raw);
-      ASSERT_TRUE(news);
-      add_values(news->layouts);
-      for (KeyDelta const& delta : news->key_deltas) add(delta);
+      Result<ZoneUpdate> const update = unpack<ZoneUpdate>(raw);
+      ASSERT_TRUE(update);
+      add_values(update->layouts);
+      for (KeyDelta const& delta : update->key_deltas) add(delta);
     }
     if (kind == ChosenValue::kind) {
       Result<ChosenValue> const chosen = unpack<ChosenValue>(raw);
@@ -36,7 +36,7 @@
       if (chosen->key_delta) add(*chosen->key_delta);
     }
   }
-  void add_answer(std::uint8_t const kind, Bytes const& raw) {
+  void add_reply(std::uint8_t const kind, Bytes const& raw) {
     if (kind == RegisterValuesRequest::kind) {
       Result<RegisterValuesReply> const reply = unpack<RegisterValuesReply>(raw);
       ASSERT_TRUE(reply);
@@ -47,22 +47,22 @@
       Result<ReadRegisterReply> const reply = unpack<ReadRegisterReply>(raw);
       ASSERT_TRUE(reply);
       add(reply->held);
-      read_wholes += !reply->held.bytes.empty();
+      whole_tables_read += !reply->held.bytes.empty();
     }
   }
 };
 
 // Counts the answers that leave a process.
-void watch_answers(Dispatcher& dispatcher, TableBytes& bytes) {
+void watch_replies(Dispatcher& dispatcher, TableBytes& bytes) {
   for (std::uint8_t const kind : {RegisterValuesRequest::kind, ReadRegister::kind}) {
     PeerHandler const handler = dispatcher.handlers[kind];
     if (!handler) continue;
     dispatcher.handlers[kind] = [handler, kind, &bytes](Bytes raw,
                                                         SharedCancellation cancellation) -> Task<Result<Bytes>> {
-      Result<ReadRegister> const peek = unpack<ReadRegister>(raw);
-      bool const of_keys = kind != ReadRegister::kind || (peek && peek->reg == Register::keys);
+      Result<ReadRegister> const read_request = unpack<ReadRegister>(raw);
+      bool const of_keys = kind != ReadRegister::kind || (read_request && read_request->reg == Register::keys);
       Result<Bytes> answer = co_await handler(std::move(raw), std::move(cancellation));
-      if (answer && of_keys) bytes.add_answer(kind, *answer);
+      if (answer && of_keys) bytes.add_reply(kind, *answer);
       co_return answer;
     };
   }
@@ -75,16 +75,16 @@
     for (std::string const zone : {"a", "b", "c"}) add_registry("r" + zone, zone);
     for (int i = 0; i < 10; ++i) add_node("a" + std::to_string(i), "a", "s");
     for (int i = 0; i < 5; ++i) add_node("b" + std::to_string(i), "b", "s");
-    watch_desks();
-    net.tap = [this](SimProcess const&, Address const&, std::uint8_t const kind, Bytes const& raw) {
-      bytes.add_told(kind, raw);
+    watch_dispatchers();
+    net.on_send = [this](SimProcess const&, Address const&, std::uint8_t const kind, Bytes const& raw) {
+      bytes.add_sent(kind, raw);
     };
     EXPECT_TRUE(run_until([&] { return nodes_seen("a9") == 10 && nodes_seen("b4") == 5; }, 15s));
   }
 
   /// Desks that were made since the last call.
-  void watch_desks() {
-    for (; watched < dispatchers.size(); ++watched) watch_answers(*dispatchers[watched], bytes);
+  void watch_dispatchers() {
+    for (; watched < dispatchers.size(); ++watched) watch_replies(*dispatchers[watched], bytes);
   }
 
   Task<void> write(std::string const by, std::shared_ptr<bool> const done) {
@@ -138,7 +138,7 @@
   t.write_some("ra", 100);
   ASSERT_EQ(t.written, 101u);
   EXPECT_TRUE(t.run_until([&] { return t.all_have_newest(); }, 1s));
-  EXPECT_EQ(t.bytes.wholes, 0u);
+  EXPECT_EQ(t.bytes.whole_tables, 0u);
   EXPECT_LT(t.bytes.deltas, t.whole_tables_cost / 20);
 }
 
@@ -154,7 +154,7 @@
     t.sim.weather = true;
     t.write_some("ra", 60);
     t.restart_node("a3");
-    t.watch_desks();
+    t.watch_dispatchers();
     t.write_some("rb", 40);
     std::string const lost = t.nodes.at("a5").process->machine;
     for (auto const& [id, n] : t.nodes) t.sim.cut(n.process->machine, lost);
@@ -164,19 +164,19 @@
     t.kill("ra:1");
     t.write_some("rb", 20);
     t.start_registry("ra");
-    t.watch_desks();
+    t.watch_dispatchers();
     t.write_some("ra", 40);
     t.restart_node("b1");
-    t.watch_desks();
+    t.watch_dispatchers();
     t.write_some("rc", 20);
     t.sim.weather = false;
     t.write_some("rc", 5);
     EXPECT_GT(t.written, 150u) << seed;
     EXPECT_TRUE(t.run_until([&] { return t.all_have_newest(); }, 10s)) << seed;
     for (auto const& [id, n] : t.nodes) EXPECT_EQ(n.values.at(Register::keys), t.newest.bytes) << seed << " " << id;
-    EXPECT_GT(t.bytes.wholes, 0u) << "those that were restarted need it";
-    EXPECT_LT(t.bytes.wholes - t.bytes.read_wholes, 40u) << "hardly any goes to a node";
-    EXPECT_LT(t.bytes.whole + t.bytes.deltas, t.whole_tables_cost / 6) << seed << " " << t.bytes.wholes;
+    EXPECT_GT(t.bytes.whole_tables, 0u) << "those that were restarted need it";
+    EXPECT_LT(t.bytes.whole_tables - t.bytes.whole_tables_read, 40u) << "hardly any goes to a node";
+    EXPECT_LT(t.bytes.whole + t.bytes.deltas, t.whole_tables_cost / 6) << seed << " " << t.bytes.whole_tables;
   }
 }
 
@@ -191,14 +191,14 @@
   SimProcess& process = *t.nodes.at("a2").process;
   t.sim.weather = false;
   process.thaw();
-  bool here = false;
-  auto const fetch = [&t, &here]() -> Task<void> {
-    here = co_await t.nodes.at("a2").follower->fetch_key_table(t.newest.revision);
+  bool fetched = false;
+  auto const fetch = [&t, &fetched]() -> Task<void> {
+    fetched = co_await t.nodes.at("a2").follower->fetch_key_table(t.newest.revision);
   };
   spawn(process, fetch());
-  EXPECT_TRUE(t.run_until([&] { return here; }, 200ms));
+  EXPECT_TRUE(t.run_until([&] { return fetched; }, 200ms));
   EXPECT_EQ(t.nodes.at("a2").follower->held(Register::keys), t.nodes.at("a1").follower->held(Register::keys));
-  EXPECT_EQ(t.bytes.wholes, 0u);
+  EXPECT_EQ(t.bytes.whole_tables, 0u);
 }
 
 TEST(KeyTableFeed, a_node_that_gets_deltas_that_do_not_fit_asks_for_the_whole) {
@@ -208,28 +208,28 @@
   t.bytes = {};
   PeerHandler& at_node = t.net.at.at("a2:1")->dispatcher->handlers[ZoneUpdate::kind];
   at_node = [whole = at_node](Bytes raw, SharedCancellation cancellation) -> Task<Result<Bytes>> {
-    Result<ZoneUpdate> news = unpack<ZoneUpdate>(raw);
-    for (KeyDelta& delta : news->key_deltas) ++delta.digest;
-    Result<Bytes> answer = co_await whole(pack(*news), std::move(cancellation));
+    Result<ZoneUpdate> update = unpack<ZoneUpdate>(raw);
+    for (KeyDelta& delta : update->key_deltas) ++delta.digest;
+    Result<Bytes> answer = co_await whole(pack(*update), std::move(cancellation));
     co_return answer;
   };
   t.write_some("ra", 1);
   EXPECT_TRUE(t.run_until([&] { return t.all_have_newest(); }, 1s));
-  EXPECT_GE(t.bytes.wholes, 1u);
-  EXPECT_LE(t.bytes.wholes, 4u) << "those to which it passed the news on, too";
+  EXPECT_GE(t.bytes.whole_tables, 1u);
+  EXPECT_LE(t.bytes.whole_tables, 4u) << "those to which it passed the news on, too";
 }
 
 TEST(KeyTableFeed, fetching_from_nobody_says_no) {
   TableTrial t(4);
   t.write_some("ra", 2);
   for (std::string const registry : {"ra:1", "rb:1", "rc:1"}) t.kill(registry);
-  std::optional<bool> here;
-  auto const fetch = [&t, &here]() -> Task<void> {
-    here = co_await t.nodes.at("a2").follower->fetch_key_table(t.newest.revision + 1);
+  std::optional<bool> fetched;
+  auto const fetch = [&t, &fetched]() -> Task<void> {
+    fetched = co_await t.nodes.at("a2").follower->fetch_key_table(t.newest.revision + 1);
   };
   spawn(*t.nodes.at("a2").process, fetch());
-  EXPECT_TRUE(t.run_until([&] { return here.has_value(); }, 1s));
-  EXPECT_FALSE(*here);
+  EXPECT_TRUE(t.run_until([&] { return fetched.has_value(); }, 1s));
+  EXPECT_FALSE(*fetched);
 }
 
 // ---- readings of the register
@@ -238,7 +238,7 @@
   explicit ReadingTrial(std::uint64_t const seed) : StoreTrial(seed, 4, 1) {
     start_all(true);
     EXPECT_TRUE(run_until([&] { return all_vote(4); }, 20s));
-    for (std::unique_ptr<Dispatcher> const& dispatcher : dispatchers) watch_answers(*dispatcher, bytes);
+    for (std::unique_ptr<Dispatcher> const& dispatcher : dispatchers) watch_replies(*dispatcher, bytes);
   }
   Result<ConfirmedRevision> confirm_revision(std::size_t const client, Duration const patience) {
     std::optional<Result<ConfirmedRevision>> done;
@@ -267,7 +267,7 @@
     EXPECT_GE(newest->as_of, before);
   }
   EXPECT_GT(seen, 20u);
-  EXPECT_EQ(t.bytes.wholes, 0u);
+  EXPECT_EQ(t.bytes.whole_tables, 0u);
   t.power_off(0);
   t.power_off(3);
   EXPECT_FALSE(t.confirm_revision(1, 1s));
@@ -296,7 +296,7 @@
   ASSERT_TRUE(t.put(0, Register::keys, 7, "seven"));
   hold_apart(t, 8);
   std::size_t questions = 0;
-  t.net.struck = [&](SimProcess&, std::uint8_t const kind) {
+  t.net.before_reply = [&](SimProcess&, std::uint8_t const kind) {
     questions += kind == ReadRegister::kind;
     return false;
   };
@@ -310,7 +310,7 @@
   ReadingTrial t(6);
   // The stores themselves may still be writing each register once in the new set.
   std::size_t prepares = 0;
-  t.net.tap = [&](SimProcess const& from, Address const&, std::uint8_t const kind, Bytes const&) {
+  t.net.on_send = [&](SimProcess const& from, Address const&, std::uint8_t const kind, Bytes const&) {
     prepares += kind == Prepare::kind && from.machine == "client-1";
   };
   Result<ConfirmedRevision> const newest = t.confirm_revision(1, 300ms);
@@ -324,7 +324,7 @@
   ASSERT_TRUE(t.put(0, Register::keys, 7, "seven"));
   hold_apart(t, 8);
   std::size_t prepares = 0;
-  t.net.struck = [&](SimProcess&, std::uint8_t const kind) {
+  t.net.before_reply = [&](SimProcess&, std::uint8_t const kind) {
     prepares += kind == Prepare::kind;
     return false;
   };
@@ -347,7 +347,7 @@
   ASSERT_TRUE(t.confirm_revision(1, 2s));
   for (std::size_t i = 0; i < 3; ++i) t.power_off(i);
   std::size_t questions = 0;
-  t.net.struck = [&](SimProcess&, std::uint8_t const kind) {
+  t.net.before_reply = [&](SimProcess&, std::uint8_t const kind) {
     questions += kind == ReadRegister::kind;
     return false;
   };
@@ -364,19 +364,19 @@
   Result<ConfirmedValue> const read = t.confirm(1, Register::keys, RegisterValue{}, 2s);
   ASSERT_TRUE(read);
   EXPECT_EQ(read->held.bytes, "seven");
-  EXPECT_EQ(t.bytes.wholes, 1u);
+  EXPECT_EQ(t.bytes.whole_tables, 1u);
   // A voter that loses its power as it is about to send the value.
-  std::size_t struck = 0;
-  t.net.struck = [&](SimProcess& voter, std::uint8_t const kind) {
-    if (kind != ReadRegister::kind || t.bytes.wholes != 2 || struck > 0) return false;
-    ++struck;
+  std::size_t before_reply = 0;
+  t.net.before_reply = [&](SimProcess& voter, std::uint8_t const kind) {
+    if (kind != ReadRegister::kind || t.bytes.whole_tables != 2 || before_reply > 0) return false;
+    ++before_reply;
     voter.kill();
     return true;
   };
   Result<ConfirmedValue> const again = t.confirm(2, Register::keys, RegisterValue{}, 3s);
   ASSERT_TRUE(again);
   EXPECT_EQ(again->held.bytes, "seven");
-  EXPECT_EQ(struck, 1u);
+  EXPECT_EQ(before_reply, 1u);
 }
 
 }  // namespace
--- a/tests/coordination/key_trial_test.cpp
+++ b/tests/coordination/key_trial_test.cpp
@@ -19,8 +19,8 @@
 namespace {
 
 constexpr double slow_clock = 1.02;
-constexpr Duration beat_every = 1500ms;
-constexpr Duration beat_patience = 1s;
+constexpr Duration heartbeat_period = 1500ms;
+constexpr Duration heartbeat_timeout = 1s;
 
 struct Loop {
   struct Event {
@@ -34,7 +34,9 @@
   std::priority_queue<Event> queue;
   std::mt19937_64 chance;
 
-  void after(Duration const d, std::function<void()> run) { queue.push(Event{now + d, ++events, std::move(run)}); }
+  void after(Duration const d, std::function<void()> run) {
+    queue.send_urgent(Event{now + d, ++events, std::move(run)});
+  }
   void run_for(Duration const d) {
     Instant const end = now + d;
     while (!queue.empty() && queue.top().at <= end) {
@@ -57,12 +59,12 @@
     std::uint16_t from, to;
     std::uint32_t fence;
     Instant end;
-    bool letting_go = false;
+    bool releasing = false;
   };
   std::string instance;
   bool alive = true, draining = false;
-  Instant frozen_until{};
-  std::uint64_t beats = 0, acknowledged = 0;
+  Instant suspended_until{};
+  std::uint64_t heartbeats = 0, acknowledged = 0;
   std::vector<Row> rows;
   std::vector<ReleasedRange> released;
   std::size_t without_token = 0, with_token = 0;
@@ -72,12 +74,12 @@
 struct Node {
   std::string name;
   std::unique_ptr<KeyGranter> holder;
-  std::uint64_t life = 0;
-  bool up = true, core_cut = false, registries_cut = false;
-  Instant frozen_until{};
+  std::uint64_t incarnation = 0;
+  bool up = true, voters_cut = false, registries_cut = false;
+  Instant suspended_until{};
   std::shared_ptr<Backend> backend;
-  std::function<void()> pending;  // answers the beat that waits
-  std::uint64_t pending_number = 0;
+  std::function<void()> pending_reply;  // answers the beat that waits
+  std::uint64_t pending_heartbeat = 0;
   RegisterValue known;
 };
 
@@ -87,7 +89,7 @@
     for (int i = 0; i < 2; ++i) planners.push_back(std::make_unique<KeyPlanner>(planning));
     acting = {true, false};
     for (std::size_t i = 0; i < count; ++i) add_node();
-    for (std::size_t i = 0; i < 2; ++i) coordinate(i);
+    for (std::size_t i = 0; i < 2; ++i) run_coordinator(i);
   }
 
   void add_node() {
@@ -99,56 +101,56 @@
   }
 
   void start_node(Node& node) {
-    ++node.life;
+    ++node.incarnation;
     node.up = true;
     node.holder =
         std::make_unique<KeyGranter>("payments", node.name, node.name + ":1", "zone", KeySettings{}, loop.now);
-    node.pending = nullptr;
-    std::uint64_t const life = node.life;
-    confirm(node, life);
-    report(node, life);
+    node.pending_reply = nullptr;
+    std::uint64_t const incarnation = node.incarnation;
+    confirm(node, incarnation);
+    report(node, incarnation);
   }
 
   // Runs at once, or when the node has thawed; not in a later life.
-  void on_node(Node& node, std::uint64_t const life, std::function<void()> run) {
-    if (node.life != life || !node.up) return;
-    if (loop.now >= node.frozen_until) return run();
-    loop.after(node.frozen_until - loop.now + loop.between(0, 5),
-               [this, &node, life, run] { on_node(node, life, run); });
+  void on_node(Node& node, std::uint64_t const incarnation, std::function<void()> run) {
+    if (node.incarnation != incarnation || !node.up) return;
+    if (loop.now >= node.suspended_until) return run();
+    loop.after(node.suspended_until - loop.now + loop.between(0, 5),
+               [this, &node, incarnation, run] { on_node(node, incarnation, run); });
   }
 
-  void confirm(Node& node, std::uint64_t const life) {
-    on_node(node, life, [this, &node, life] {
+  void confirm(Node& node, std::uint64_t const incarnation) {
+    on_node(node, incarnation, [this, &node, incarnation] {
       Instant const sent = loop.now;
-      if (!node.core_cut && !core_down)
-        loop.after(loop.between(1, 60), [this, &node, life, sent] {
-          if (core_down || loop.one_in(20)) return;
+      if (!node.voters_cut && !voters_down)
+        loop.after(loop.between(1, 60), [this, &node, incarnation, sent] {
+          if (voters_down || loop.one_in(20)) return;
           RegisterValue const read = held;
-          loop.after(loop.between(1, 60), [this, &node, life, sent, read] {
-            on_node(node, life, [this, &node, life, sent, read] {
-              if (tables_come_apart) return confirm_version(node, life, sent, read.revision);
+          loop.after(loop.between(1, 60), [this, &node, incarnation, sent, read] {
+            on_node(node, incarnation, [this, &node, incarnation, sent, read] {
+              if (tables_arrive_separately) return confirm_version(node, incarnation, sent, read.revision);
               node.holder->on_table(*unpack_key_table(read.bytes, read.revision));
               node.holder->on_confirmed(read.revision, sent);
-              push(node);
+              send_urgent(node);
             });
           });
         });
-      loop.after(1s, [this, &node, life] { confirm(node, life); });
+      loop.after(1s, [this, &node, incarnation] { confirm(node, incarnation); });
     });
   }
 
   // The answer names the version only; the table, by then perhaps a later one, comes
   // afterwards from somewhere else, or is lost.
-  void confirm_version(Node& node, std::uint64_t const life, Instant const sent, Revision const revision) {
+  void confirm_version(Node& node, std::uint64_t const incarnation, Instant const sent, Revision const revision) {
     node.holder->on_confirmed(revision, sent);
-    push(node);
+    send_urgent(node);
     if (node.holder->table_revision() >= revision || loop.one_in(4)) return;
-    loop.after(loop.between(1, 400), [this, &node, life] {
+    loop.after(loop.between(1, 400), [this, &node, incarnation] {
       RegisterValue const read = held;
-      loop.after(loop.between(1, 60), [this, &node, life, read] {
-        on_node(node, life, [this, &node, read] {
+      loop.after(loop.between(1, 60), [this, &node, incarnation, read] {
+        on_node(node, incarnation, [this, &node, read] {
           node.holder->on_table(*unpack_key_table(read.bytes, read.revision));
-          push(node);
+          send_urgent(node);
         });
       });
     });
@@ -156,26 +158,26 @@
 
   void send_report(Node& node) {
     Instant const now = loop.now;
-    float const busy = static_cast<float>(busy_of ? busy_of(node) : 0.3);
+    float const busy = static_cast<float>(utilisation_of ? utilisation_of(node) : 0.3);
     KeyReport const made = node.holder->report(now, busy);
     for (std::size_t i = 0; i < planners.size(); ++i) {
-      if (node.core_cut || node.registries_cut || loop.one_in(30)) continue;
+      if (node.voters_cut || node.registries_cut || loop.one_in(30)) continue;
       loop.after(loop.between(1, 20), [this, i, made] { planners[i]->on_report(loop.now, made); });
     }
   }
-  void report(Node& node, std::uint64_t const life) {
-    on_node(node, life, [this, &node, life] {
+  void report(Node& node, std::uint64_t const incarnation) {
+    on_node(node, incarnation, [this, &node, incarnation] {
       send_report(node);
-      loop.after(500ms, [this, &node, life] { report(node, life); });
+      loop.after(500ms, [this, &node, incarnation] { report(node, incarnation); });
     });
   }
 
   // After news: a waiting answer may go, and coordinators are told.
-  void push(Node& node) {
+  void send_urgent(Node& node) {
     if (node.holder->has_urgent_report()) send_report(node);
-    if (node.pending && !node.holder->reply_may_wait(loop.now)) {
-      std::function<void()> const answer = std::move(node.pending);
-      node.pending = nullptr;
+    if (node.pending_reply && !node.holder->reply_may_wait(loop.now)) {
+      std::function<void()> const answer = std::move(node.pending_reply);
+      node.pending_reply = nullptr;
       answer();
     }
   }
@@ -183,7 +185,7 @@
   void start_backend(Node& node) {
     node.backend = std::make_shared<Backend>();
     node.backend->instance = "i-" + std::to_string(++instances);
-    all.push_back(node.backend);
+    backends.push_back(node.backend);
     loop.after(loop.between(0, 500), [this, &node, b = node.backend] { heartbeat(node, b); });
   }
 
@@ -193,77 +195,77 @@
 
   void heartbeat(Node& node, std::shared_ptr<Backend> const b) {
     if (!b->alive) return;
-    if (loop.now < b->frozen_until) {
-      loop.after(b->frozen_until - loop.now, [this, &node, b] { heartbeat(node, b); });
+    if (loop.now < b->suspended_until) {
+      loop.after(b->suspended_until - loop.now, [this, &node, b] { heartbeat(node, b); });
       return;
     }
     drop_expired(*b);
     KeyHeartbeat message;
     message.instance = b->instance;
-    message.sequence = ++b->beats;
+    message.sequence = ++b->heartbeats;
     message.slots = 4;
     message.state = b->draining ? KeyHolderState::draining : KeyHolderState::serving;
     for (Backend::Row const& r : b->rows) message.held.push_back(HeldRange{r.from, r.to, r.fence});
     message.released = b->released;
     Instant const sent = loop.now;
-    std::uint64_t const life = node.life;
-    std::size_t const told = b->released.size();
-    loop.after(loop.between(0, 3), [this, &node, b, life, message, sent, told] {
-      on_node(node, life, [this, &node, b, life, message, sent, told] {
+    std::uint64_t const incarnation = node.incarnation;
+    std::size_t const released_count = b->released.size();
+    loop.after(loop.between(0, 3), [this, &node, b, incarnation, message, sent, released_count] {
+      on_node(node, incarnation, [this, &node, b, incarnation, message, sent, released_count] {
         node.holder->take_heartbeat(loop.now, message);
-        push(node);
-        std::uint64_t const number = ++node.pending_number;
-        node.pending = [this, &node, b, message, sent, told] {
+        send_urgent(node);
+        std::uint64_t const number = ++node.pending_heartbeat;
+        node.pending_reply = [this, &node, b, message, sent, released_count] {
           KeyHeartbeatReply const answer = node.holder->reply(loop.now, message.instance, message.sequence);
           if (loop.one_in(50)) return;
-          loop.after(loop.between(0, 3), [this, &node, b, message, sent, told, answer] {
-            apply(node, b, message.sequence, sent, told, answer);
+          loop.after(loop.between(0, 3), [this, &node, b, message, sent, released_count, answer] {
+            apply(node, b, message.sequence, sent, released_count, answer);
           });
         };
-        if (!node.holder->reply_may_wait(loop.now)) push(node);
-        loop.after(KeySettings{}.answer_delay_limit, [this, &node, life, number] {
-          on_node(node, life, [&node, number] {
-            if (!node.pending || node.pending_number != number) return;
-            std::function<void()> const answer = std::move(node.pending);
-            node.pending = nullptr;
+        if (!node.holder->reply_may_wait(loop.now)) send_urgent(node);
+        loop.after(KeySettings{}.answer_delay_limit, [this, &node, incarnation, number] {
+          on_node(node, incarnation, [&node, number] {
+            if (!node.pending_reply || node.pending_heartbeat != number) return;
+            std::function<void()> const answer = std::move(node.pending_reply);
+            node.pending_reply = nullptr;
             answer();
           });
         });
       });
     });
-    loop.after(beat_patience, [this, &node, b, number = message.sequence] {
-      if (b->beats == number && b->acknowledged < number) heartbeat(node, b);
+    loop.after(heartbeat_timeout, [this, &node, b, number = message.sequence] {
+      if (b->heartbeats == number && b->acknowledged < number) heartbeat(node, b);
     });
   }
 
   void apply(Node& node, std::shared_ptr<Backend> const b, std::uint64_t const number, Instant const sent,
-             std::size_t const told, KeyHeartbeatReply const& answer) {
-    if (!b->alive || b->beats != number || b->acknowledged >= number) return;
-    if (loop.now < b->frozen_until || loop.now - sent > beat_patience) return;
+             std::size_t const released_count, KeyHeartbeatReply const& answer) {
+    if (!b->alive || b->heartbeats != number || b->acknowledged >= number) return;
+    if (loop.now < b->suspended_until || loop.now - sent > heartbeat_timeout) return;
     b->acknowledged = number;
-    b->released.erase(b->released.begin(), b->released.begin() + static_cast<std::ptrdiff_t>(told));
+    b->released.erase(b->released.begin(), b->released.begin() + static_cast<std::ptrdiff_t>(released_count));
     drop_expired(*b);
-    bool letting_go = false;
-    if (answer.renews) letting_go = take_rows(*b, sent, answer);
-    check();
-    loop.after(letting_go ? loop.between(20, 100) : std::max<Duration>(sent + beat_every - loop.now, 1ms),
+    bool releasing = false;
+    if (answer.renews) releasing = apply_grants(*b, sent, answer);
+    check_no_double_holds();
+    loop.after(releasing ? loop.between(20, 100) : std::max<Duration>(sent + heartbeat_period - loop.now, 1ms),
                [this, &node, b] {
-                 if (b->beats == b->acknowledged) heartbeat(node, b);
+                 if (b->heartbeats == b->acknowledged) heartbeat(node, b);
                });
   }
 
-  bool take_rows(Backend& b, Instant const sent, KeyHeartbeatReply const& answer) {
+  bool apply_grants(Backend& b, Instant const sent, KeyHeartbeatReply const& answer) {
     EXPECT_LE(answer.rows.size(), KeySettings{}.held_rows_limit);
     Instant const end =
         sent + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(answer.hold) * slow_clock);
     std::vector<Backend::Row> rows;
-    bool letting_go = false;
+    bool releasing = false;
     // What is left out is let go, part by part, once its work is done.
     for (Backend::Row const& old : b.rows) {
       std::uint32_t at = old.from;
-      auto const leave = [&](std::uint32_t const from, std::uint32_t const to) {
+      auto const release = [&](std::uint32_t const from, std::uint32_t const to) {
         if (from > to) return;
-        letting_go = true;
+        releasing = true;
         Backend::Row part{static_cast<std::uint16_t>(from), static_cast<std::uint16_t>(to), old.fence, old.end, true};
         if (loop.one_in(3)) {
           rows.push_back(part);  // still works on it
@@ -273,10 +275,10 @@
       };
       for (KeyGrant const& g : answer.rows) {
         if (g.to < old.from || g.from > old.to) continue;
-        if (g.from > at) leave(at, g.from - 1u);
+        if (g.from > at) release(at, g.from - 1u);
         at = std::max<std::uint32_t>(at, g.to + 1u);
       }
-      leave(at, old.to);
+      release(at, old.to);
     }
     for (KeyGrant const& g : answer.rows) {
       bool const higher_seen = std::any_of(b.seen.begin(), b.seen.end(), [&](HeldRange const& h) {
@@ -293,41 +295,41 @@
       rows.push_back(Backend::Row{g.from, g.to, g.fence, end, false});
     }
     b.rows = std::move(rows);
-    return letting_go;
+    return releasing;
   }
 
   // No key is held by two backends that are up.
-  void check() {
+  void check_no_double_holds() {
     struct Part {
       std::uint16_t from, to;
       Backend const* by;
     };
     std::vector<Part> parts;
-    for (std::shared_ptr<Backend> const& b : all) {
+    for (std::shared_ptr<Backend> const& b : backends) {
       if (!b->alive) continue;
       drop_expired(*b);
       for (Backend::Row const& r : b->rows) parts.push_back(Part{r.from, r.to, b.get()});
     }
     std::sort(parts.begin(), parts.end(), [](Part const& a, Part const& b) { return a.from < b.from; });
     for (std::size_t i = 1; i < parts.size(); ++i)
-      if (parts[i].from <= parts[i - 1].to && parts[i].by != parts[i - 1].by) ++twice_held;
+      if (parts[i].from <= parts[i - 1].to && parts[i].by != parts[i - 1].by) ++double_holds;
   }
 
   std::size_t keys_held() const {
     std::size_t keys = 0;
-    for (std::shared_ptr<Backend> const& b : all)
+    for (std::shared_ptr<Backend> const& b : backends)
       if (b->alive)
-        for (Backend::Row const& r : b->rows) keys += r.end > loop.now && !r.letting_go ? r.to - r.from + 1u : 0u;
+        for (Backend::Row const& r : b->rows) keys += r.end > loop.now && !r.releasing ? r.to - r.from + 1u : 0u;
     return keys;
   }
   std::size_t moved_without_token() const {
     std::size_t n = 0;
-    for (std::shared_ptr<Backend> const& b : all) n += b->without_token;
+    for (std::shared_ptr<Backend> const& b : backends) n += b->without_token;
     return n;
   }
   std::size_t moved_with_token() const {
     std::size_t n = 0;
-    for (std::shared_ptr<Backend> const& b : all) n += b->with_token;
+    for (std::shared_ptr<Backend> const& b : backends) n += b->with_token;
     return n;
   }
 
@@ -338,52 +340,52 @@
         node->holder->count(static_cast<std::uint16_t>(loop.one_in(2) ? loop.chance() % 3000 : loop.chance()));
     loop.after(50ms, [this] { send_requests(); });
   }
-  void load_at_random() {
-    busy_of = [this](Node&) { return static_cast<double>(loop.chance() % 120) / 100; };
+  void apply_random_load() {
+    utilisation_of = [this](Node&) { return static_cast<double>(loop.chance() % 120) / 100; };
     send_requests();
   }
 
   // A coordinator: plans ten times a second, writes by compare and set.
-  void coordinate(std::size_t const i) {
-    loop.after(100ms, [this, i] { coordinate(i); });
-    if (loop.now < planner_frozen[i]) return;
+  void run_coordinator(std::size_t const i) {
+    loop.after(100ms, [this, i] { run_coordinator(i); });
+    if (loop.now < planner_suspended_until[i]) return;
     KeyPlanner& planner = *planners[i];
     planner.tick(loop.now);
-    if (!acting[i] || writing[i] || core_down) return;
-    if (!fresh[i]) {
+    if (!acting[i] || writing[i] || voters_down) return;
+    if (!has_current_table[i]) {
       loop.after(loop.between(2, 40), [this, i] {
-        if (core_down) return;
+        if (voters_down) return;
         planners[i]->on_table(loop.now, *unpack_key_table(held.bytes, held.revision));
-        fresh[i] = true;
+        has_current_table[i] = true;
       });
       return;
     }
     std::optional<KeyTable> const plan = planner.plan(loop.now);
     if (!plan) return;
     writing[i] = true;
-    std::uint64_t const life = planner_life[i];
-    loop.after(loop.between(1, 40), [this, i, life, next = *plan] {
-      bool const lost = core_down || loop.one_in(15);
+    std::uint64_t const incarnation = planner_incarnation[i];
+    loop.after(loop.between(1, 40), [this, i, incarnation, next = *plan] {
+      bool const lost = voters_down || loop.one_in(15);
       bool const written = held.revision + 1 == next.revision && (!lost || loop.one_in(2));
       if (written) {
         std::size_t const rows_before = rows_in_table();
-        rows_joined += rows_before > rows_of(next) ? rows_before - rows_of(next) : 0;
+        rows_merged += rows_before > rows_of(next) ? rows_before - rows_of(next) : 0;
         held.revision = next.revision;
         held.bytes = pack_key_table(next);
         ++changes;
       }
-      loop.after(lost ? loop.between(300, 600) : loop.between(1, 40), [this, i, life, next, written, lost] {
-        if (life != planner_life[i]) return;
+      loop.after(lost ? loop.between(300, 600) : loop.between(1, 40), [this, i, incarnation, next, written, lost] {
+        if (incarnation != planner_incarnation[i]) return;
         writing[i] = false;
-        fresh[i] = written && !lost;
-        if (!fresh[i]) return;
+        has_current_table[i] = written && !lost;
+        if (!has_current_table[i]) return;
         planners[i]->on_table(loop.now, next);
         for (std::unique_ptr<Node> const& node : nodes) {
-          if (node->core_cut || node->registries_cut || loop.one_in(10)) continue;
-          loop.after(loop.between(1, 30), [this, &n = *node, life = node->life, next] {
-            on_node(n, life, [this, &n, next] {
+          if (node->voters_cut || node->registries_cut || loop.one_in(10)) continue;
+          loop.after(loop.between(1, 30), [this, &n = *node, incarnation = node->incarnation, next] {
+            on_node(n, incarnation, [this, &n, next] {
               n.holder->on_table(next);
-              push(n);
+              send_urgent(n);
             });
           });
         }
@@ -397,17 +399,17 @@
   std::size_t rows_in_table() const { return rows_of(*unpack_key_table(held.bytes, held.revision)); }
 
   void restart_planner(std::size_t const i) {
-    ++planner_life[i];
+    ++planner_incarnation[i];
     planners[i] = std::make_unique<KeyPlanner>(planning_settings);
-    writing[i] = fresh[i] = false;
+    writing[i] = has_current_table[i] = false;
   }
 
   void kill_backend(Node& node, bool const returns = true) {
     node.backend->alive = false;
-    loop.after(loop.between(50, 400), [this, &node, id = node.backend->instance, life = node.life] {
-      on_node(node, life, [this, &node, id] {
+    loop.after(loop.between(50, 400), [this, &node, id = node.backend->instance, incarnation = node.incarnation] {
+      on_node(node, incarnation, [this, &node, id] {
         node.holder->on_instance_ended(id, "its port refuses connections");
-        push(node);
+        send_urgent(node);
       });
     });
     if (!returns) return;
@@ -416,7 +418,7 @@
     });
   }
 
-  void trouble() {
+  void inject_fault() {
     Node& node = *nodes[loop.chance() % nodes.size()];
     std::size_t const i = loop.chance() % 2;
     switch (loop.chance() % 12) {
@@ -435,22 +437,22 @@
       case 2:  // the node only
         if (!node.up) break;
         node.up = false;
-        loop.after(loop.between(100, 4000), [this, &node, life = node.life] {
-          if (node.life == life && !node.up) start_node(node);
+        loop.after(loop.between(100, 4000), [this, &node, incarnation = node.incarnation] {
+          if (node.incarnation == incarnation && !node.up) start_node(node);
         });
         break;
       case 3:
-        node.frozen_until = loop.now + loop.between(500, 9000);
+        node.suspended_until = loop.now + loop.between(500, 9000);
         break;
       case 4:
-        node.backend->frozen_until = loop.now + loop.between(500, 6000);
+        node.backend->suspended_until = loop.now + loop.between(500, 6000);
         break;
       case 5:  // both, as a machine that stops
-        node.backend->frozen_until = node.frozen_until = loop.now + loop.between(500, 9000);
+        node.backend->suspended_until = node.suspended_until = loop.now + loop.between(500, 9000);
         break;
       case 6:
-        node.core_cut = true;
-        loop.after(loop.between(500, 12000), [&node] { node.core_cut = false; });
+        node.voters_cut = true;
+        loop.after(loop.between(500, 12000), [&node] { node.voters_cut = false; });
         break;
       case 7:
         acting[i] = !acting[i];
@@ -460,7 +462,7 @@
         if (loop.one_in(2)) {
           restart_planner(i);
         } else {
-          planner_frozen[i] = loop.now + loop.between(500, 8000);
+          planner_suspended_until[i] = loop.now + loop.between(500, 8000);
         }
         break;
       case 10:  // a planned end
@@ -475,41 +477,41 @@
         loop.after(loop.between(500, 12000), [&node] { node.registries_cut = false; });
         break;
       case 9:
-        core_down = true;
-        loop.after(loop.between(500, 7000), [this] { core_down = false; });
+        voters_down = true;
+        loop.after(loop.between(500, 7000), [this] { voters_down = false; });
         break;
     }
-    if (!over) loop.after(loop.between(300, 3000), [this] { trouble(); });
+    if (!faults_over) loop.after(loop.between(300, 3000), [this] { inject_fault(); });
   }
 
   KeySettings planning_settings;
   Loop loop;
   RegisterValue held;
   std::vector<std::unique_ptr<KeyPlanner>> planners;
-  std::array<bool, 2> acting{}, writing{}, fresh{};
-  std::array<std::uint64_t, 2> planner_life{};
-  std::array<Instant, 2> planner_frozen{};
+  std::array<bool, 2> acting{}, writing{}, has_current_table{};
+  std::array<std::uint64_t, 2> planner_incarnation{};
+  std::array<Instant, 2> planner_suspended_until{};
   std::vector<std::unique_ptr<Node>> nodes;
-  std::vector<std::shared_ptr<Backend>> all;
-  std::function<double(Node&)> busy_of;
-  std::size_t instances = 0, changes = 0, twice_held = 0, refused_for_fence = 0, rows_joined = 0;
-  bool core_down = false, over = false, tables_come_apart = false;
+  std::vector<std::shared_ptr<Backend>> backends;
+  std::function<double(Node&)> utilisation_of;
+  std::size_t instances = 0, changes = 0, double_holds = 0, refused_for_fence = 0, rows_merged = 0;
+  bool voters_down = false, faults_over = false, tables_arrive_separately = false;
 };
 
-void no_key_is_held_twice(bool const tables_come_apart) {
+void no_key_is_held_twice(bool const tables_arrive_separately) {
   std::size_t changes = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     Trial trial(seed, 5, KeySettings{});
-    trial.tables_come_apart = tables_come_apart;
+    trial.tables_arrive_separately = tables_arrive_separately;
     trial.loop.run_for(8s);
     ASSERT_EQ(trial.keys_held(), 65536u) << "seed " << seed;
-    if (seed % 2 == 0) trial.load_at_random();
-    trial.trouble();
+    if (seed % 2 == 0) trial.apply_random_load();
+    trial.inject_fault();
     trial.loop.run_for(90s);
-    trial.busy_of = nullptr;
-    trial.over = true;
+    trial.utilisation_of = nullptr;
+    trial.faults_over = true;
     trial.loop.run_for(32s);
-    EXPECT_EQ(trial.twice_held, 0u) << "seed " << seed;
+    EXPECT_EQ(trial.double_holds, 0u) << "seed " << seed;
     EXPECT_EQ(trial.refused_for_fence, 0u) << "seed " << seed;
     EXPECT_EQ(trial.keys_held(), 65536u) << "seed " << seed;
     changes += trial.changes;
@@ -523,40 +525,40 @@
 
 // Rows that were cut and are joined again take the higher fence of the two.
 TEST(KeyTrial, rows_joined_amid_troubles_are_neither_refused_nor_held_twice) {
-  KeySettings joining;
-  joining.many_rows_share = 0.05;
-  std::size_t rows_joined = 0;
+  KeySettings merging;
+  merging.many_rows_share = 0.05;
+  std::size_t rows_merged = 0;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
-    Trial trial(seed, 5, joining);
+    Trial trial(seed, 5, merging);
     trial.loop.run_for(8s);
-    trial.load_at_random();
-    trial.trouble();
+    trial.apply_random_load();
+    trial.inject_fault();
     trial.loop.run_for(90s);
-    trial.busy_of = nullptr;
-    trial.over = true;
+    trial.utilisation_of = nullptr;
+    trial.faults_over = true;
     trial.loop.run_for(32s);
-    EXPECT_EQ(trial.twice_held, 0u) << "seed " << seed;
+    EXPECT_EQ(trial.double_holds, 0u) << "seed " << seed;
     EXPECT_EQ(trial.refused_for_fence, 0u) << "seed " << seed;
     EXPECT_EQ(trial.keys_held(), 65536u) << "seed " << seed;
-    rows_joined += trial.rows_joined;
+    rows_merged += trial.rows_merged;
   }
-  EXPECT_GT(rows_joined, 30u);
+  EXPECT_GT(rows_merged, 30u);
 }
 
 // A coordinator that doesn't wait for the lease to end is found out.
 TEST(KeyTrial, the_check_finds_a_coordinator_that_does_not_wait) {
-  KeySettings hasty;
-  hasty.term = 0s;
-  hasty.revoke_slack = 0s;
-  std::size_t twice_held = 0;
+  KeySettings no_wait;
+  no_wait.term = 0s;
+  no_wait.revoke_slack = 0s;
+  std::size_t double_holds = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Trial trial(seed, 5, hasty);
+    Trial trial(seed, 5, no_wait);
     trial.loop.run_for(8s);
-    trial.trouble();
+    trial.inject_fault();
     trial.loop.run_for(90s);
-    twice_held += trial.twice_held;
+    double_holds += trial.double_holds;
   }
-  EXPECT_GT(twice_held, 0u);
+  EXPECT_GT(double_holds, 0u);
 }
 
 TEST(KeyTrial, a_drained_backend_is_without_keys_within_two_seconds_and_hands_its_tokens_over) {
@@ -570,13 +572,13 @@
     std::size_t const with_before = trial.moved_with_token();
     std::size_t const without_before = trial.moved_without_token();
     // The drain counts from the beat that tells of it.
-    std::uint64_t const beats = leaving.beats;
-    while (leaving.beats == beats) trial.loop.run_for(10ms);
+    std::uint64_t const heartbeats = leaving.heartbeats;
+    while (leaving.heartbeats == heartbeats) trial.loop.run_for(10ms);
     trial.loop.run_for(2s);
     EXPECT_TRUE(leaving.rows.empty()) << "seed " << seed;
     trial.loop.run_for(4s);
     EXPECT_EQ(trial.keys_held(), 65536u) << "seed " << seed;
-    EXPECT_EQ(trial.twice_held, 0u);
+    EXPECT_EQ(trial.double_holds, 0u);
     EXPECT_GE(trial.moved_with_token() - with_before, rows_before) << "seed " << seed;
     EXPECT_EQ(trial.moved_without_token(), without_before) << "seed " << seed;
   }
@@ -617,7 +619,7 @@
       node->backend->alive = false;
       node->up = false;
     }
-    trial.core_down = true;
+    trial.voters_down = true;
     for (std::size_t i = 0; i < 2; ++i) trial.restart_planner(i);
     trial.loop.run_for(900ms);
     for (std::unique_ptr<Node> const& node : trial.nodes)
@@ -625,9 +627,9 @@
         trial.start_node(node);
         trial.start_backend(node);
       });
-    trial.loop.after(400ms, [&trial] { trial.core_down = false; });
+    trial.loop.after(400ms, [&trial] { trial.voters_down = false; });
     trial.loop.run_for(500ms + 2s);
-    EXPECT_EQ(trial.twice_held, 0u) << "seed " << seed;
+    EXPECT_EQ(trial.double_holds, 0u) << "seed " << seed;
     trial.loop.run_for(3s);
     EXPECT_EQ(trial.keys_held(), 65536u) << "seed " << seed;
     for (std::unique_ptr<Node> const& node : trial.nodes) {
@@ -647,7 +649,7 @@
     double const busy_keys = std::max(0.0, std::min<double>(to, 9999) - std::max<double>(from, 5000) + 1);
     return 3.0 * busy_keys / 5000 + 2.6 * (to - from + 1) / 65536;
   };
-  trial.busy_of = [&](Node& node) {
+  trial.utilisation_of = [&](Node& node) {
     double wanted = 0;
     for (Backend::Row const& row : node.backend->rows) wanted += demand(row.from, row.to);
     return std::min(1.2, wanted / speed.at(node.name));
@@ -665,11 +667,11 @@
   request();
   trial.loop.run_for(60s);
   std::size_t const changes = trial.changes;
-  for (std::unique_ptr<Node> const& node : trial.nodes) EXPECT_LT(trial.busy_of(*node), 0.95) << node->name;
+  for (std::unique_ptr<Node> const& node : trial.nodes) EXPECT_LT(trial.utilisation_of(*node), 0.95) << node->name;
   trial.loop.run_for(60s);
   EXPECT_LT(trial.changes - changes, 15u);
   EXPECT_EQ(trial.keys_held(), 65536u);
-  EXPECT_EQ(trial.twice_held, 0u);
+  EXPECT_EQ(trial.double_holds, 0u);
 }
 
 }  // namespace
--- a/tests/coordination/zone_feed_test.cpp
+++ b/tests/coordination/zone_feed_test.cpp
@@ -248,7 +248,7 @@
 TEST(ZoneFeed, load_changes_wait_for_the_next_pulse_or_urgent_change) {
   FeedTrial t;
   std::vector<ZoneUpdate> sent;
-  t.net.tap = [&](SimProcess const&, Address const& to, std::uint8_t const kind, Bytes const& raw) {
+  t.net.on_send = [&](SimProcess const&, Address const& to, std::uint8_t const kind, Bytes const& raw) {
     if (kind == ZoneUpdate::kind && to == "n1:1") sent.push_back(*unpack<ZoneUpdate>(raw));
   };
   t.join("n1", {backend("s", "i", 8, 0)});
@@ -274,7 +274,7 @@
 TEST(ZoneFeed, its_heartbeats_carry_no_position_that_was_not_published) {
   FeedTrial t;
   std::vector<Position> told;
-  t.net.tap = [&](SimProcess const&, Address const&, std::uint8_t const kind, Bytes const& raw) {
+  t.net.on_send = [&](SimProcess const&, Address const&, std::uint8_t const kind, Bytes const& raw) {
     if (kind == Heartbeat::kind) told.push_back(unpack<Heartbeat>(raw)->at);
   };
   t.join("n1", {backend("s", "i", 8, 0)});
@@ -470,7 +470,7 @@
   std::size_t for_revisions = 0;
 
   void watch(ZoneTrial& t) {
-    t.net.tap = [this](SimProcess const& from, Address const&, std::uint8_t const kind, Bytes const& raw) {
+    t.net.on_send = [this](SimProcess const& from, Address const&, std::uint8_t const kind, Bytes const& raw) {
       if (kind != RegisterValuesRequest::kind) return;
       bool const revisions_only = unpack<RegisterValuesRequest>(raw)->revisions_only;
       revisions_only ? ++for_revisions : ++for_values[from.address];
--- a/tests/simulation/sim_fleet_test.cpp
+++ b/tests/simulation/sim_fleet_test.cpp
@@ -22,7 +22,7 @@
   s.faults_for = faults_for;
   s.last = last;
   SimFleet fleet(s);
-  std::string const all = joined(fleet.run().broken());
+  std::string const all = joined(fleet.run().violations());
   return all.empty() ? "" : deployment + " seed " + std::to_string(seed) + ": " + all;
 }
 
@@ -34,11 +34,11 @@
     s.faults_for = 5s;
     SimFleet fleet(s);
     History const h = fleet.run();
-    EXPECT_EQ(joined(h.broken()), "") << name;
+    EXPECT_EQ(joined(h.violations()), "") << name;
     EXPECT_GT(h.calls.size(), 1000u);
     for (auto const& [id, c] : h.calls)
       EXPECT_TRUE(c.outcome == "answered" || c.outcome == "hung-up" || c.service == "promo")
-          << id << " " << c.outcome << " " << c.why;
+          << id << " " << c.outcome << " " << c.reason;
   }
 }
 
@@ -79,7 +79,7 @@
     s.only = {"freeze_node", "reuse_port_intruder", "reuse_port_naive"};
     s.fault_every = 1200ms;
     SimFleet fleet(s);
-    EXPECT_EQ(joined(fleet.run().broken()), "") << seed;
+    EXPECT_EQ(joined(fleet.run().violations()), "") << seed;
   }
 }
 
@@ -102,7 +102,7 @@
     s.faults_for = 150s;
     s.fault_every = 30s;
     SimFleet fleet(s);
-    EXPECT_EQ(joined(fleet.run().broken()), "") << seed;
+    EXPECT_EQ(joined(fleet.run().violations()), "") << seed;
   }
 }
 
@@ -167,7 +167,7 @@
       SimFleet fleet(s);
       if (GetParam().hot) fleet.make_hot();
       seen.clear();
-      for (std::string const& line : fleet.run().broken()) seen += line + "\n";
+      for (std::string const& line : fleet.run().violations()) seen += line + "\n";
     }
     mutant_name.clear();
   }
