--- a/source/coordination/acceptor.hpp
+++ b/source/coordination/acceptor.hpp
@@ -189,7 +189,7 @@
       else
         log_disk_error(kept.error());
     }
-    turn_.leave();
+    turn_.unlock();
     co_return saved;
   }
 
--- a/source/programs/hollow_fleet_objects.cpp
+++ b/source/programs/hollow_fleet_objects.cpp
@@ -7,7 +7,7 @@
 #include "protocol/key_messages.hpp"
 #include "state/zone_view.hpp"
 #include "state/key_planner.hpp"
-#include "transport/socket_world.hpp"
+#include "transport/socket_environment.hpp"
 
 #include <ctime>
 #include <functional>
--- a/source/programs/mesh_proxy.cpp
+++ b/source/programs/mesh_proxy.cpp
@@ -3,7 +3,7 @@
 #include "programs/mesh_node.hpp"
 #include "programs/mesh_programs.hpp"
 #include "programs/mesh_settings.hpp"
-#include "transport/socket_world.hpp"
+#include "transport/socket_environment.hpp"
 
 namespace banktide {
 
--- a/source/programs/mesh_registry.cpp
+++ b/source/programs/mesh_registry.cpp
@@ -5,7 +5,7 @@
 #include "programs/mesh_programs.hpp"
 #include "programs/mesh_settings.hpp"
 #include "transport/http_server.hpp"
-#include "transport/socket_world.hpp"
+#include "transport/socket_environment.hpp"
 
 namespace banktide {
 
--- a/source/programs/settings.hpp
+++ b/source/programs/settings.hpp
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "state/layout.hpp"
-#include "transport/socket_world.hpp"
+#include "transport/socket_environment.hpp"
 
 #include <boost/program_options.hpp>
 #include <fstream>
--- a/source/transport/environment.hpp
+++ b/source/transport/environment.hpp
@@ -121,7 +121,7 @@
 }
 
 // One value, given once, awaited once, with a deadline. (Env is a Clock; it is not
-// constrained here, as a world's own parts hold these before it is complete.)
+// constrained here, as a environment's own parts hold these before it is complete.)
 template <class Env, class T>
 class OneShot {
  public:
@@ -157,7 +157,7 @@
     waiting_.push_back(mine);
     while (!mine->given()) co_await mine->wait(env_.now() + 3600s);
   }
-  void leave() {
+  void unlock() {
     if (waiting_.empty()) {
       busy_ = false;
       return;
@@ -180,7 +180,7 @@
                                                                              Instant deadline, Enough enough) {
   using Replies = std::vector<std::pair<std::size_t, Result<typename Q::Reply>>>;
   struct Shared {
-    explicit Shared(Env& world) : done(world) {}
+    explicit Shared(Env& environment) : done(environment) {}
     Replies replies;
     OneShot<Env, bool> done;
     Enough* enough = nullptr;
@@ -191,9 +191,9 @@
   std::size_t const n = peers.size();
   for (std::size_t i = 0; i < n; ++i) {
     spawn(env,
-          [](Env& world, std::shared_ptr<Shared> s, Address peer, Q question, std::size_t at, std::size_t all,
+          [](Env& environment, std::shared_ptr<Shared> s, Address peer, Q question, std::size_t at, std::size_t all,
              Instant until) -> Task<void> {
-            Result<typename Q::Reply> r = co_await ask(world, peer, std::move(question), until);
+            Result<typename Q::Reply> r = co_await ask(environment, peer, std::move(question), until);
             if (s->closed) co_return;
             s->replies.emplace_back(at, std::move(r));
             if (s->replies.size() == all || (*s->enough)(s->replies)) s->done.give(true);
--- a/source/transport/peer_connection.cpp
+++ b/source/transport/peer_connection.cpp
@@ -24,7 +24,7 @@
   OutgoingFrame request =
       OutgoingFrame::of(FrameType::ask, kind, id, std::make_shared<Bytes const>(std::move(payload)));
   Admission const admission = queue_.push(std::move(request), env_.now());
-  if (admission != Admission::taken) co_return make_error("ask", peer_, to_text(admission), Proof::not_run);
+  if (admission != Admission::accepted) co_return make_error("ask", peer_, to_text(admission), Proof::not_run);
   std::shared_ptr<PendingRequest> const waiting = std::make_shared<PendingRequest>(env_);
   if (pending_requests_.empty()) awaiting_since_ = env_.now();
   pending_requests_[id] = waiting;
@@ -64,7 +64,7 @@
   Instant const now = env_.now();
   if (!pinged_ && now - std::max(last_received_at_, awaiting_since_) > ping_delay) {
     OutgoingFrame ping = OutgoingFrame::of(FrameType::ask, ping_kind, 0, nullptr);
-    pinged_ = queue_.push(std::move(ping), now) == Admission::taken;
+    pinged_ = queue_.push(std::move(ping), now) == Admission::accepted;
     ping_sent_ = false;
     pinged_at_ = now;
     alarm_.wake();
--- a/source/transport/peer_limits.hpp
+++ b/source/transport/peer_limits.hpp
@@ -61,8 +61,8 @@
 /** The bytes that wait or are being written, of all queues of a process, and what was sent. */
 struct QueueTotals {
   std::array<std::size_t, queue_bounds> bytes{};
-  std::size_t held_back = 0;  // of responses that wait for room in a queue
-  std::size_t taken = 0;      // of large requests of peers; not part of the sum
+  std::size_t held_back = 0;          // of responses that wait for room in a queue
+  std::size_t accepted_requests = 0;  // of large requests of peers; not part of the sum
   SentTotals sent;
   std::size_t sum() const { return bytes[0] + bytes[1] + bytes[2] + held_back; }
   /** Of requests and responses; one-way messages are sent all the time. */
--- a/source/transport/peer_queue.cpp
+++ b/source/transport/peer_queue.cpp
@@ -18,7 +18,7 @@
 
 std::string to_text(Admission const a) {
   switch (a) {
-    case Admission::taken:
+    case Admission::accepted:
       return "taken";
     case Admission::too_many_frames:
       return "queue full: frames of this peer";
@@ -43,11 +43,11 @@
   std::size_t const bytes = frame.bytes();
   drop_late(now);
   Admission admission = admits(bound, bytes);
-  while (one_way && !others_exhaust_bound(bound, bytes) && admission != Admission::taken && !one_way_.empty()) {
+  while (one_way && !others_exhaust_bound(bound, bytes) && admission != Admission::accepted && !one_way_.empty()) {
     drop_oldest();
     admission = admits(bound, bytes);
   }
-  if (admission != Admission::taken) {
+  if (admission != Admission::accepted) {
     dropped_.over_bound += one_way;
     return admission;
   }
@@ -155,7 +155,7 @@
   if (load.frames >= limit.frames) return Admission::too_many_frames;
   if (load.frames > 0 && load.bytes + load.being_written + bytes > limit.bytes) return Admission::too_many_bytes;
   if (all > 0 && all + bytes > limit.all_bytes) return Admission::too_many_bytes_of_all;
-  return Admission::taken;
+  return Admission::accepted;
 }
 
 // Then dropping what waits here would make no room.
--- a/source/transport/peer_queue.hpp
+++ b/source/transport/peer_queue.hpp
@@ -28,7 +28,7 @@
 };
 
 /** Why a frame was not taken. */
-enum class Admission : std::uint8_t { taken, too_many_frames, too_many_bytes, too_many_bytes_of_all };
+enum class Admission : std::uint8_t { accepted, too_many_frames, too_many_bytes, too_many_bytes_of_all };
 
 std::string to_text(Admission a);
 
@@ -51,7 +51,7 @@
 
   /** Whether `push` would take a request or a response now. */
   bool has_room_for(OutgoingFrame const& frame) const {
-    return admits(bound_of(frame), frame.bytes()) == Admission::taken;
+    return admits(bound_of(frame), frame.bytes()) == Admission::accepted;
   }
 
   /** Takes a request out again. False if it isn't waiting: it was taken to be written, or never pushed. */
--- a/source/transport/peer_session.cpp
+++ b/source/transport/peer_session.cpp
@@ -65,14 +65,14 @@
 // Counts the bytes of a large request, as they are about to be read.
 bool PeerSession::try_accept(FrameHead const& head) {
   if (!is_large_request(head)) return true;
-  std::size_t& taken = env_.totals_->taken;
-  if (taken > 0 && taken + head.length > env_.limits_.accepted_request_bytes) return false;
-  taken += head.length;
+  std::size_t& accepted_bytes = env_.totals_->accepted_requests;
+  if (accepted_bytes > 0 && accepted_bytes + head.length > env_.limits_.accepted_request_bytes) return false;
+  accepted_bytes += head.length;
   return true;
 }
 
 void PeerSession::release_accepted(FrameHead const& head) {
-  if (is_large_request(head)) env_.totals_->taken -= head.length;
+  if (is_large_request(head)) env_.totals_->accepted_requests -= head.length;
 }
 
 bool PeerSession::is_large_request(FrameHead const& head) const {
@@ -82,9 +82,9 @@
 Task<void> PeerSession::read_requests() {
   std::optional<FrameHead> being_read;
   FrameFilter const has_room = [this, &being_read](FrameHead const& head) {
-    bool const taken = try_accept(head);
-    if (taken) being_read = head;
-    return taken;
+    bool const accepted = try_accept(head);
+    if (accepted) being_read = head;
+    return accepted;
   };
   while (!closed_) {
     being_read.reset();
--- a/source/transport/peer_session.hpp
+++ b/source/transport/peer_session.hpp
@@ -10,7 +10,7 @@
 
 #include "transport/peer_queue.hpp"
 #include "transport/peer_socket.hpp"
-#include "transport/socket_world.hpp"
+#include "transport/socket_environment.hpp"
 
 #include <list>
 
--- a/source/transport/socket_world.cpp
+++ b/source/transport/socket_environment.cpp
@@ -1,6 +1,6 @@
 // The real surroundings: the clock's alarms, the port that peers connect to, and
 // the connections to peers.
-#include "transport/socket_world.hpp"
+#include "transport/socket_environment.hpp"
 
 #include "transport/peer_connection.hpp"
 #include "transport/peer_session.hpp"
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr int connections_to_accept = 1024;
-constexpr Duration after_failed_accept = 100ms;
+constexpr int accept_backlog = 1024;
+constexpr Duration accept_retry_delay = 100ms;
 
 }  // namespace
 
@@ -70,13 +70,13 @@
   acceptor_->open(ep->protocol(), ec);
   if (!ec) acceptor_->set_option(asio::ip::tcp::acceptor::reuse_address(true), ec);
   if (!ec) acceptor_->bind(*ep, ec);
-  if (!ec) acceptor_->listen(connections_to_accept, ec);
+  if (!ec) acceptor_->listen(accept_backlog, ec);
   if (ec) return make_error("listen", at, ec.message());
   return ep->address().to_string() + ":" + std::to_string(acceptor_->local_endpoint().port());
 }
 
 void SocketEnvironment::serve(Dispatcher& dispatcher) {
-  desk_ = &dispatcher;
+  dispatcher_ = &dispatcher;
   start(accept());
 }
 
@@ -85,7 +85,7 @@
   if (payload.size() > frame_limit) co_return make_error("ask", peer, "frame over the limit", Proof::not_run);
   if (stopping_) co_return make_error("ask", peer, "stopping", Proof::not_run);
   std::shared_ptr<PeerConnection> const connection = connection_to(peer);
-  if (!std::exchange(watching_, true)) start(watch_connections());
+  if (!std::exchange(checking_connections_, true)) start(check_connections());
   Result<Bytes> reply = co_await connection->ask(kind, std::move(payload), deadline, std::move(cancellation));
   co_return reply;
 }
@@ -125,13 +125,13 @@
   std::shared_ptr<PeerConnection>& connection = connections_[peer];
   if (!connection) connection = std::make_shared<PeerConnection>(*this, peer);
   std::shared_ptr<PeerConnection> const found = connection;
-  if (!std::exchange(found->kept, true)) start(keep(found));
+  if (!std::exchange(found->is_running, true)) start(run(found));
   return found;
 }
 
-Task<void> SocketEnvironment::keep(std::shared_ptr<PeerConnection> const connection) {
-  co_await connection->keep();
-  if (!connection->is_owed()) connections_.erase(connection->peer());
+Task<void> SocketEnvironment::run(std::shared_ptr<PeerConnection> const connection) {
+  co_await connection->run();
+  if (!connection->awaits_replies()) connections_.erase(connection->peer());
 }
 
 // Runs only while answers are owed.
@@ -140,17 +140,17 @@
   return found == connections_.end() ? Duration::zero() : found->second->silence();
 }
 
-Task<void> SocketEnvironment::watch_connections() {
-  bool owed = true;
-  while (owed && !stopping_) {
-    co_await sleep_for(*this, PeerConnection::watch_period);
-    owed = false;
+Task<void> SocketEnvironment::check_connections() {
+  bool awaiting = true;
+  while (awaiting && !stopping_) {
+    co_await sleep_for(*this, PeerConnection::silence_check_interval);
+    awaiting = false;
     for (auto const& [peer, connection] : connections_) {
-      owed = owed || connection->is_owed();
-      connection->watch();
+      awaiting = awaiting || connection->awaits_replies();
+      connection->check_silence();
     }
   }
-  watching_ = false;
+  checking_connections_ = false;
 }
 
 void SocketEnvironment::drop_late_messages() {
@@ -164,7 +164,7 @@
     if (stopping_) break;
     if (ec) {
       log_warn("accept_failed", {{"reason", ec.message()}});
-      co_await sleep_for(*this, after_failed_accept);
+      co_await sleep_for(*this, accept_retry_delay);
       continue;
     }
     prepare(socket);
--- a/source/transport/socket_world.hpp
+++ b/source/transport/socket_environment.hpp
@@ -76,8 +76,8 @@
   // A task that `stop` waits for; its owner lives as long.
   void start(Task<void> task, std::shared_ptr<void const> owner = nullptr);
   std::shared_ptr<PeerConnection> connection_to(Address const& peer);
-  Task<void> keep(std::shared_ptr<PeerConnection> connection);
-  Task<void> watch_connections();
+  Task<void> run(std::shared_ptr<PeerConnection> connection);
+  Task<void> check_connections();
   Task<void> accept();
   void drop_late_messages();
 
@@ -86,9 +86,9 @@
   PeerLimits const limits_;
   std::shared_ptr<QueueTotals> const totals_;
   std::unique_ptr<asio::ip::tcp::acceptor> acceptor_;
-  Dispatcher* desk_ = nullptr;
+  Dispatcher* dispatcher_ = nullptr;
   std::uint64_t last_id_ = 0;
-  bool watching_ = false;
+  bool checking_connections_ = false;
   bool stopping_ = false;
   std::size_t tasks_ = 0;
   Alarm task_ended_;
--- a/tests/programs/client_leaves_trial.hpp
+++ b/tests/programs/client_leaves_trial.hpp
@@ -5,7 +5,7 @@
 
 #include "programs/mesh_node.hpp"
 #include "tests/transport/backend_stand_in.hpp"
-#include "transport/socket_world.hpp"
+#include "transport/socket_environment.hpp"
 
 #include <gtest/gtest.h>
 #include <future>
--- a/tests/transport/http_edge_test.cpp
+++ b/tests/transport/http_edge_test.cpp
@@ -1,7 +1,7 @@
 // Calls to crooked backends, and what listeners answer, byte for byte.
 #include "transport/http_edge.hpp"
 
-#include "transport/socket_world.hpp"
+#include "transport/socket_environment.hpp"
 
 #include <future>
 #include <gtest/gtest.h>
--- a/tests/transport/peer_queue_test.cpp
+++ b/tests/transport/peer_queue_test.cpp
@@ -104,11 +104,11 @@
       std::size_t const all = bytes_of_all(b), others = all - bytes_waiting(b);
       std::size_t frames = 0;
       for (ModelEntry const& e : waiting) frames += bound(limits_, e.frame) == b;
-      Admission a = Admission::taken;
+      Admission a = Admission::accepted;
       if (all > 0 && all + f.bytes() > limit.all_bytes) a = Admission::too_many_bytes_of_all;
       if (frames > 0 && bytes(b) + f.bytes() > limit.bytes) a = Admission::too_many_bytes;
       if (frames >= limit.frames) a = Admission::too_many_frames;
-      if (a == Admission::taken) break;
+      if (a == Admission::accepted) break;
       bool const hopeless = others > 0 && others + f.bytes() > limit.all_bytes;
       if (!one_way || hopeless || frames == 0) {
         over_bound += one_way;
@@ -118,7 +118,7 @@
       ++over_bound;
     }
     waiting.push_back(ModelEntry{f, now, lane(f)});
-    return Admission::taken;
+    return Admission::accepted;
   }
 
   void drop_late(Instant const now) {
@@ -300,7 +300,7 @@
   f.push(FrameType::ask, 1, 300);
   std::size_t small_before = 0;
   for (std::uint64_t id = 2; id < 1000; ++id) {
-    ASSERT_EQ(f.push(FrameType::ask, id, 50), Admission::taken);
+    ASSERT_EQ(f.push(FrameType::ask, id, 50), Admission::accepted);
     Ids const batch = ids_of(f.queue.take(f.now));
     f.queue.finish_batch();
     if (batch == Ids{1}) break;
@@ -313,7 +313,7 @@
 TEST(PeerQueue, small_frames_sent_while_nothing_else_waited_give_no_turn_away) {
   Fixture f;
   for (std::uint64_t id = 1; id <= 30; ++id) {
-    ASSERT_EQ(f.push(FrameType::ask, id, 50), Admission::taken);
+    ASSERT_EQ(f.push(FrameType::ask, id, 50), Admission::accepted);
     f.finish_batch();
   }
   f.push(FrameType::ask, 100, 300);
@@ -342,7 +342,7 @@
 TEST(PeerQueue, the_oldest_one_way_messages_make_room_and_requests_stay) {
   Fixture f;
   f.push(FrameType::ask, 100, 10);
-  for (std::uint64_t id = 1; id <= 9; ++id) EXPECT_EQ(f.push(FrameType::tell, id, 300), Admission::taken);
+  for (std::uint64_t id = 1; id <= 9; ++id) EXPECT_EQ(f.push(FrameType::tell, id, 300), Admission::accepted);
   EXPECT_EQ(f.queue.take_dropped().over_bound, 6u);
   EXPECT_EQ(f.finish_batch(), (Ids{100, 7, 8, 9}));
 }
@@ -358,9 +358,9 @@
   Fixture f;
   f.push(FrameType::tell, 1, 300);
   std::uint64_t id = 10;
-  while (f.push(FrameType::ask, id, 400) == Admission::taken) ++id;
+  while (f.push(FrameType::ask, id, 400) == Admission::accepted) ++id;
   EXPECT_EQ(f.push(FrameType::ask, id, 400), Admission::too_many_bytes);
-  EXPECT_EQ(f.push(FrameType::ask, 50, 10), Admission::taken);  // small ones have room of their own
+  EXPECT_EQ(f.push(FrameType::ask, 50, 10), Admission::accepted);  // small ones have room of their own
   EXPECT_EQ(f.queue.take_dropped().sum(), 0u);
   for (std::uint64_t more = 60; more < 70; ++more) f.push(FrameType::ask, more, 1);
   EXPECT_EQ(f.push(FrameType::ask, 70, 1), Admission::too_many_frames);
@@ -383,10 +383,10 @@
 
 TEST(PeerQueue, a_frame_over_its_bound_is_taken_if_nothing_else_waits) {
   Fixture f;
-  EXPECT_EQ(f.push(FrameType::ask, 1, 50000), Admission::taken);
+  EXPECT_EQ(f.push(FrameType::ask, 1, 50000), Admission::accepted);
   EXPECT_EQ(f.push(FrameType::ask, 2, 100), Admission::too_many_bytes);
-  EXPECT_EQ(f.push(FrameType::tell, 3, 50000), Admission::taken);
-  EXPECT_EQ(f.push(FrameType::tell, 4, 100), Admission::taken);  // in place of the older one
+  EXPECT_EQ(f.push(FrameType::tell, 3, 50000), Admission::accepted);
+  EXPECT_EQ(f.push(FrameType::tell, 4, 100), Admission::accepted);  // in place of the older one
   EXPECT_EQ(f.finish_batch(), (Ids{4, 1}));
 }
 
@@ -435,10 +435,10 @@
   fill(second);
   EXPECT_EQ(third.push(frame(FrameType::tell, 1, 310), f.now), Admission::too_many_bytes_of_all);
   EXPECT_EQ(third.take_dropped().over_bound, 1u);
-  EXPECT_EQ(third.push(frame(FrameType::ask, 2, 60), f.now), Admission::taken);
-  EXPECT_EQ(third.push(frame(FrameType::ask, 3, 600), f.now), Admission::taken);
+  EXPECT_EQ(third.push(frame(FrameType::ask, 2, 60), f.now), Admission::accepted);
+  EXPECT_EQ(third.push(frame(FrameType::ask, 3, 600), f.now), Admission::accepted);
   f.queue.take_all();
-  EXPECT_EQ(third.push(frame(FrameType::tell, 4, 310), f.now), Admission::taken);
+  EXPECT_EQ(third.push(frame(FrameType::tell, 4, 310), f.now), Admission::accepted);
 }
 
 TEST(PeerQueue, gives_its_bytes_back_when_it_goes) {
--- a/tests/transport/socket_world_test.cpp
+++ b/tests/transport/socket_environment_test.cpp
@@ -1,6 +1,6 @@
 // Peers over real sockets on loopback: answers, refusals and bad frames, and a
 // peer that doesn't read for a while.
-#include "transport/socket_world.hpp"
+#include "transport/socket_environment.hpp"
 
 #include "transport/peer_queue.hpp"
 #include "transport/peer_socket.hpp"
@@ -108,8 +108,8 @@
     while (true) {
       Result<ReceivedFrame> const frame = co_await read_frame(*socket, no_note);
       if (!frame) break;
-      if (frame->head.sort == FrameType::tell) notes.insert(unpack<Note>(frame->payload)->number);
-      if (frame->head.sort != FrameType::ask) continue;
+      if (frame->head.type == FrameType::tell) notes.insert(unpack<Note>(frame->payload)->number);
+      if (frame->head.type != FrameType::ask) continue;
       SharedBytes const payload = std::make_shared<Bytes const>(frame->payload);
       std::vector<OutgoingFrame> const back{
           OutgoingFrame::of(FrameType::reply, frame->head.kind, frame->head.id, payload)};
@@ -528,7 +528,7 @@
     };
     for (std::size_t const size : {2000000, 700000, 100}) spawn(asker, ask_once(size));
     while (answers.size() + refusals.size() < 3) co_await let_others_run(asker);
-    EXPECT_EQ(server.queued().taken, 0u);
+    EXPECT_EQ(server.queued().accepted_requests, 0u);
     co_await ask_once(700000);
     co_await asker.stop();
     co_await server.stop();
