--- a/source/programs/shell_main.cpp
+++ b/source/programs/shell_main.cpp
@@ -105,8 +105,8 @@
 
 class Shell {
  public:
-  Shell(Process& p, SocketEnvironment& env, std::vector<Address> doors, bool const json)
-      : process_(p), world_(env), caller_(env), doors_(std::move(doors)), json_(json) {}
+  Shell(Process& p, SocketEnvironment& env, std::vector<Address> registries, bool const json)
+      : process_(p), world_(env), caller_(env), registries_(std::move(registries)), json_(json) {}
 
   int run(std::vector<std::string> const& words) {
     if (words.empty()) return 0;
@@ -356,8 +356,8 @@
   Process& process_;
   SocketEnvironment& world_;
   HttpCaller<SocketEnvironment> caller_;
-  std::vector<Address> const doors_;
-  Address door_;
+  std::vector<Address> const registries_;
+  Address answering_registry_;
   bool const json_;
 };
 
