--- a/source/programs/proxy.hpp
+++ b/source/programs/proxy.hpp
@@ -72,7 +72,7 @@
   Json state() const {
     Json j = view_json(node_.view);
     j["node"] = node_.settings.id;
-    j["cell"] = node_.settings.cell;
+    j["cell"] = node_.settings.zone;
     j["gateway"] = node_.settings.gateway;
     j["epoch"] = follower_.position().epoch;
     j["position"] = follower_.position().seq;
--- a/tests/coordination/key_balance_test.cpp
+++ b/tests/coordination/key_balance_test.cpp
@@ -1,6 +1,5 @@
-// The load of keys evened out by real nodes' reports and a coordinator's plans, in
-// a model of a fleet on virtual time: requests come by chance, busy keys lie near
-// each other, and a row on the move is held by nobody until its holder let it go.
+// Load balancing of keys by real KeyGranters and a KeyPlanner, in a model of a fleet on virtual time: requests arrive
+// at random, busy keys are close to each other, and a moving row has no new holder until the old one has released it.
 #include "coordination/key_granter.hpp"
 #include "state/key_planner.hpp"
 
@@ -18,11 +17,11 @@
 constexpr std::size_t key_count = 65536;
 constexpr Duration step = 100ms;
 
-// Requests a second on each key.
+// Requests per second on each key.
 using Traffic = std::vector<double>;
 
-// Things of falling popularity; the most popular ones, which draw the given part
-// of all requests, lie on neighbouring keys, the others anywhere.
+// Items with Zipf-like popularity. The most popular ones, which receive the given part of all requests, are on
+// adjacent keys, the others on random keys.
 Traffic skewed(double const rate, double const busy_part, std::size_t const busy_from, std::size_t const busy_keys) {
   constexpr std::size_t items = 60000;
   constexpr double skew = 0.84;
@@ -41,7 +40,7 @@
 
 struct BalanceTrial {
   struct Member {
-    std::unique_ptr<KeyGranter> holder;
+    std::unique_ptr<KeyGranter> granter;
     std::string instance;
     double capacity = 0;
     std::uint64_t heartbeats = 0;
@@ -57,7 +56,7 @@
       member.instance = "i-" + std::to_string(i);
       member.capacity = capacities[i];
       member.until_report = step * static_cast<int>(i % 5);
-      member.holder = std::make_unique<KeyGranter>("payments", node, node + ":1", "zone", KeySettings{}, Instant{});
+      member.granter = std::make_unique<KeyGranter>("payments", node, node + ":1", "zone", KeySettings{}, Instant{});
       members.push_back(std::move(member));
     }
   }
@@ -71,8 +70,7 @@
 
   std::vector<KeyRow> const& rows() const { return planner.table().services.at(0).rows; }
 
-  // What a backend's share of the requests is, by the table; rows on the move
-  // count for their holder.
+  // Each backend's requests per second by the table; moving rows count for their current holder.
   std::vector<double> demands() const {
     std::vector<double> demands(members.size(), 0);
     if (planner.table().services.empty()) return demands;
@@ -87,8 +85,8 @@
     return static_cast<std::size_t>(std::stoi(planner.table().holders[holder].instance.substr(2)));
   }
 
-  // The utilisation of the most utilised backend by the mean, both without
-  // backends that one key alone brings above the mean.
+  // The highest utilisation of a backend divided by the mean, both without the load of single keys that alone exceed
+  // the mean.
   double worst_utilisation() const {
     std::vector<double> const demand = demands();
     std::vector<double> hottest(members.size(), 0);
@@ -124,7 +122,7 @@
     for (int n = coming(chance); n > 0; --n) {
       std::size_t const key = draw(chance);
       KeyRow const* const row = planner.table().services[0].row_of(static_cast<std::uint16_t>(key));
-      if (row->holder != no_holder) members[member_of(row->holder)].holder->count(static_cast<std::uint16_t>(key));
+      if (row->holder != no_holder) members[member_of(row->holder)].granter->count(static_cast<std::uint16_t>(key));
     }
   }
 
@@ -134,7 +132,7 @@
     heartbeat.sequence = ++member.heartbeats;
     heartbeat.held = member.held;
     heartbeat.slots = 9;
-    KeyHeartbeatReply const reply = member.holder->handle_heartbeat(now, heartbeat);
+    KeyHeartbeatReply const reply = member.granter->handle_heartbeat(now, heartbeat);
     if (!reply.renews) return;
     EXPECT_LE(reply.rows.size(), KeySettings{}.held_rows_limit);
     member.held.clear();
@@ -143,10 +141,10 @@
 
   void send_report(Member& member, double const demand) {
     member.until_report -= step;
-    if (member.until_report > Duration::zero() && !member.holder->has_urgent_report()) return;
+    if (member.until_report > Duration::zero() && !member.granter->has_urgent_report()) return;
     member.until_report = KeySettings{}.report_every;
     double const busy = std::min(1.3, demand / member.capacity);
-    KeyReport report = member.holder->report(now, static_cast<float>(busy), static_cast<float>(member.capacity));
+    KeyReport report = member.granter->report(now, static_cast<float>(busy), static_cast<float>(member.capacity));
     Bytes bytes;
     KeyReport calm = report;
     calm.released.clear();
@@ -161,7 +159,7 @@
       requests();
       std::vector<double> const demand = demands();
       for (std::size_t i = 0; i < members.size(); ++i) {
-        members[i].holder->on_confirmed(planner.table().revision, now);
+        members[i].granter->on_confirmed(planner.table().revision, now);
         heartbeat(members[i]);
         send_report(members[i], demand[i]);
       }
@@ -185,10 +183,10 @@
       EXPECT_LE(moving, KeySettings{}.moving_width_limit + 1e-9);
     }
     planner.on_table(now, table);
-    for (Member& member : members) member.holder->on_table(table);
+    for (Member& member : members) member.granter->on_table(table);
   }
 
-  // How long until the worst backend is within the bound; the limit if it never is.
+  // The time until the most utilised backend is within the bound; the limit if it never is.
   Duration time_to(double const bound, Duration const limit) {
     Instant const begun = now;
     while (now - begun < limit) {
@@ -225,7 +223,7 @@
   double moved_width = 0;
 };
 
-// Nine slots of 210 ms each, at speeds from 0.7 to 1.6.
+// Nine slots with 210 ms per request, at relative speeds from 0.7 to 1.6.
 std::vector<double> unequal_capacities(std::size_t const count) {
   std::vector<double> capacities;
   for (std::size_t i = 0; i < count; ++i) {
@@ -244,7 +242,7 @@
 
 constexpr double mean_utilisation = 0.75;  // of small fleets
 
-TEST(KeyBalance, a_large_fleet_is_even_within_seconds_of_an_uneven_start_and_then_hardly_moves) {
+TEST(KeyBalance, a_large_fleet_is_balanced_within_seconds_and_then_hardly_moves_rows) {
   BalanceTrial trial(unequal_capacities(44));
   trial.set_traffic(skewed(968, 0.37, 30000, 120));
   Duration const first = trial.time_to_first_table(10s);
@@ -270,7 +268,7 @@
   EXPECT_LE(trial.largest_report(), 1024u);
 }
 
-TEST(KeyBalance, busy_keys_that_move_all_day_are_followed_within_seconds) {
+TEST(KeyBalance, shifting_busy_keys_are_rebalanced_within_seconds) {
   BalanceTrial trial(unequal_capacities(44));
   std::mt19937_64 chance(3);
   trial.set_traffic(skewed(968, 0.37, 30000, 120));
@@ -297,7 +295,7 @@
   EXPECT_LE(trial.largest_report(), 1024u);
 }
 
-TEST(KeyBalance, small_fleets_are_even_within_seconds_too) {
+TEST(KeyBalance, small_fleets_are_balanced_within_seconds) {
   for (std::size_t const count : {2u, 5u, 6u}) {
     std::vector<double> const capacities = unequal_capacities(count);
     BalanceTrial trial(capacities);
@@ -317,8 +315,8 @@
   }
 }
 
-// While nearly all requests come to one backend, the others tell no capacity.
-TEST(KeyBalance, backends_that_had_hardly_a_request_take_load_from_the_only_busy_one) {
+// While one backend gets nearly all requests, the others can't report a capacity.
+TEST(KeyBalance, nearly_idle_backends_take_load_from_the_only_busy_one) {
   std::vector<double> const capacities = unequal_capacities(5);
   BalanceTrial trial(capacities);
   trial.set_traffic(skewed(mean_utilisation * capacity_of(capacities), 0.97, 30000, 400));
@@ -328,7 +326,7 @@
   EXPECT_LE(even, 20s);
 }
 
-TEST(KeyBalance, a_key_too_hot_for_any_backend_is_left_by_itself_and_the_others_are_evened_out) {
+TEST(KeyBalance, a_key_too_hot_for_any_backend_is_isolated_and_the_other_load_balanced) {
   for (std::size_t const count : {2u, 5u, 44u}) {
     std::vector<double> const capacities = unequal_capacities(count);
     BalanceTrial trial(capacities);
--- a/tests/coordination/key_coordinator_test.cpp
+++ b/tests/coordination/key_coordinator_test.cpp
@@ -1,5 +1,5 @@
-// The coordinator's loop over a store that holds one value: it writes the first
-// table, and reads anew when another coordinator's table came first.
+// The coordinator's loop on a store with a single value: it writes the first table, and reads again when another
+// coordinator's table was written first.
 #include "coordination/key_coordinator.hpp"
 
 #include <gtest/gtest.h>
@@ -79,7 +79,7 @@
   std::unique_ptr<KeyCoordinator<SimProcess, OneValueStore>> coordinator;
 };
 
-TEST(KeyCoordinator, writes_the_first_table_once_all_have_been_heard) {
+TEST(KeyCoordinator, writes_the_first_table_once_all_nodes_have_reported) {
   CoordinatorTrial trial;
   trial.sim.run_until(trial.sim.now + 5s);
   Result<KeyTable> const table = unpack_key_table(trial.store.held.bytes, trial.store.held.revision);
@@ -89,14 +89,14 @@
   EXPECT_EQ(table->holders.size(), 2u);
 }
 
-TEST(KeyCoordinator, one_that_does_not_act_writes_nothing) {
+TEST(KeyCoordinator, an_inactive_coordinator_writes_nothing) {
   CoordinatorTrial trial;
   trial.acting = false;
   trial.sim.run_until(trial.sim.now + 5s);
   EXPECT_EQ(trial.store.held.revision, 0u);
 }
 
-TEST(KeyCoordinator, takes_the_table_that_came_first) {
+TEST(KeyCoordinator, accepts_the_table_that_was_written_first) {
   CoordinatorTrial trial;
   KeyTable other;
   other.add_holder(KeyHolderRecord{"i-1", "node-of-i-1", "", ""});
--- a/tests/coordination/key_granter_test.cpp
+++ b/tests/coordination/key_granter_test.cpp
@@ -1,5 +1,5 @@
-// The node's side by itself: holds within the lease, proofs of letting go, ends
-// of lives, and which requests may run.
+// KeyGranter by itself: holds end within the lease, releases are proved, ends of instances are detected, and only
+// requests on held keys run.
 #include "coordination/key_granter.hpp"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
 
 struct GranterTrial {
   explicit GranterTrial(Instant const started = long_ago)
-      : holder("payments", "node-1", "a:1", "zone", KeySettings{}, started) {
+      : granter("payments", "node-1", "a:1", "zone", KeySettings{}, started) {
     table.revision = 1;
     table.add_holder(KeyHolderRecord{"i-1", "node-1", "a:1", "zone"});
     table.add_holder(KeyHolderRecord{"i-2", "node-2", "a:2", "zone"});
@@ -32,11 +32,11 @@
   KeyRow& first_row() { return table.services[0].rows[0]; }
   void receive_table() {
     ++table.revision;
-    holder.on_table(table);
+    granter.on_table(table);
   }
   void confirm_table() {
     receive_table();
-    holder.on_confirmed(table.revision, now);
+    granter.on_confirmed(table.revision, now);
   }
   KeyHeartbeat heartbeat(std::vector<HeldRange> held = {}, std::vector<ReleasedRange> released = {}) {
     KeyHeartbeat made;
@@ -51,7 +51,7 @@
   KeyTable table;
   std::uint64_t heartbeat_count = 0;
   KeySettings settings;
-  KeyGranter holder;
+  KeyGranter granter;
 };
 
 TEST(KeyGranter, every_hold_ends_before_the_lease_even_by_a_slow_clock) {
@@ -60,9 +60,9 @@
       GranterTrial t;
       t.confirm_table();
       KeyHeartbeat const heartbeat = t.heartbeat();
-      t.holder.take_heartbeat(t.now + age, heartbeat);
+      t.granter.take_heartbeat(t.now + age, heartbeat);
       KeyHeartbeatReply const answer =
-          t.holder.reply(t.now + age + reply_delay, heartbeat.instance, heartbeat.sequence);
+          t.granter.reply(t.now + age + reply_delay, heartbeat.instance, heartbeat.sequence);
       if (!answer.renews) {
         EXPECT_GT(age + reply_delay, 4800ms);
         continue;
@@ -73,248 +73,251 @@
     }
 }
 
-TEST(KeyGranter, grants_nothing_without_a_lease_or_by_a_table_older_than_the_confirmed) {
+TEST(KeyGranter, grants_nothing_without_a_lease_or_with_a_table_older_than_the_confirmed_one) {
   GranterTrial t;
-  EXPECT_FALSE(t.holder.handle_heartbeat(t.now, t.heartbeat()).renews);
+  EXPECT_FALSE(t.granter.handle_heartbeat(t.now, t.heartbeat()).renews);
   t.receive_table();
-  EXPECT_FALSE(t.holder.handle_heartbeat(t.now, t.heartbeat()).renews);
-  t.holder.on_confirmed(t.table.revision + 1, t.now);
-  EXPECT_FALSE(t.holder.handle_heartbeat(t.now, t.heartbeat()).renews);
+  EXPECT_FALSE(t.granter.handle_heartbeat(t.now, t.heartbeat()).renews);
+  t.granter.on_confirmed(t.table.revision + 1, t.now);
+  EXPECT_FALSE(t.granter.handle_heartbeat(t.now, t.heartbeat()).renews);
   t.receive_table();
-  EXPECT_TRUE(t.holder.handle_heartbeat(t.now, t.heartbeat()).renews);
+  EXPECT_TRUE(t.granter.handle_heartbeat(t.now, t.heartbeat()).renews);
 }
 
-TEST(KeyGranter, a_running_lease_goes_on_while_newer_tables_are_confirmed_that_are_not_here_yet) {
+TEST(KeyGranter, a_running_lease_continues_while_newer_confirmed_tables_are_missing) {
   GranterTrial t;
   t.confirm_table();
   Instant const first = t.now;
   for (Revision ahead = 1; ahead <= 40; ++ahead) {
     t.now += 100ms;
-    t.holder.on_confirmed(t.table.revision + ahead, t.now);
-    EXPECT_EQ(t.holder.handle_heartbeat(t.now, t.heartbeat()).renews, t.now + 300ms < first + t.settings.term) << ahead;
+    t.granter.on_confirmed(t.table.revision + ahead, t.now);
+    EXPECT_EQ(t.granter.handle_heartbeat(t.now, t.heartbeat()).renews, t.now + 300ms < first + t.settings.term)
+        << ahead;
   }
   t.now = first + t.settings.term;
-  EXPECT_FALSE(t.holder.leased(t.now)) << "what was confirmed without its table gives no lease";
+  EXPECT_FALSE(t.granter.leased(t.now)) << "a confirmed revision without its table gives no lease";
 }
 
-TEST(KeyGranter, a_confirmed_reading_counts_from_its_question_once_its_table_is_here) {
+TEST(KeyGranter, a_confirmed_reading_counts_from_its_request_once_its_table_has_arrived) {
   GranterTrial t;
-  t.holder.on_confirmed(3, t.now);
-  t.holder.on_confirmed(5, t.now + 1s);
+  t.granter.on_confirmed(3, t.now);
+  t.granter.on_confirmed(5, t.now + 1s);
   t.receive_table();
-  EXPECT_FALSE(t.holder.leased(t.now)) << "table 2";
+  EXPECT_FALSE(t.granter.leased(t.now)) << "table 2";
   t.receive_table();
-  EXPECT_TRUE(t.holder.leased(t.now)) << "table 3";
-  EXPECT_FALSE(t.holder.leased(t.now + t.settings.term));
+  EXPECT_TRUE(t.granter.leased(t.now)) << "table 3";
+  EXPECT_FALSE(t.granter.leased(t.now + t.settings.term));
   t.receive_table();
-  EXPECT_FALSE(t.holder.leased(t.now + t.settings.term)) << "table 4";
+  EXPECT_FALSE(t.granter.leased(t.now + t.settings.term)) << "table 4";
   t.receive_table();
-  EXPECT_TRUE(t.holder.leased(t.now + t.settings.term)) << "table 5";
-  EXPECT_FALSE(t.holder.leased(t.now + 1s + t.settings.term));
+  EXPECT_TRUE(t.granter.leased(t.now + t.settings.term)) << "table 5";
+  EXPECT_FALSE(t.granter.leased(t.now + 1s + t.settings.term));
 }
 
-TEST(KeyGranter, leaves_out_what_is_revoked_or_moving) {
+TEST(KeyGranter, does_not_grant_revoked_or_moving_rows) {
   GranterTrial t;
   t.confirm_table();
   t.first_row().revoked = 2;
   t.receive_table();
-  EXPECT_TRUE(t.holder.handle_heartbeat(t.now, t.heartbeat()).rows.empty());
+  EXPECT_TRUE(t.granter.handle_heartbeat(t.now, t.heartbeat()).rows.empty());
   t.first_row().revoked = 0;
   t.first_row().moving = 3;
   t.first_row().next = 1;
   t.receive_table();
-  EXPECT_TRUE(t.holder.handle_heartbeat(t.now, t.heartbeat()).rows.empty());
+  EXPECT_TRUE(t.granter.handle_heartbeat(t.now, t.heartbeat()).rows.empty());
 }
 
-TEST(KeyGranter, reports_a_release_only_when_the_backend_works_on_the_row_no_more) {
+TEST(KeyGranter, reports_a_release_only_when_the_backend_no_longer_works_on_the_row) {
   GranterTrial t;
   t.confirm_table();
-  t.holder.handle_heartbeat(t.now, t.heartbeat());
+  t.granter.handle_heartbeat(t.now, t.heartbeat());
   t.first_row().moving = 3;
   t.first_row().next = 1;
   t.receive_table();
-  t.holder.handle_heartbeat(t.now, t.heartbeat({{0, 99, 5}}));
-  EXPECT_TRUE(t.holder.report(t.now, 0).released.empty());
-  t.holder.handle_heartbeat(t.now, t.heartbeat({{50, 99, 5}}, {{0, 49, "part"}}));  // still works on a part
-  EXPECT_TRUE(t.holder.report(t.now, 0).released.empty());
-  t.holder.handle_heartbeat(t.now, t.heartbeat({}, {{0, 99, "token"}}));
-  EXPECT_TRUE(t.holder.has_urgent_report());
-  KeyReport const report = t.holder.report(t.now, 0);
+  t.granter.handle_heartbeat(t.now, t.heartbeat({{0, 99, 5}}));
+  EXPECT_TRUE(t.granter.report(t.now, 0).released.empty());
+  t.granter.handle_heartbeat(t.now, t.heartbeat({{50, 99, 5}}, {{0, 49, "part"}}));  // still works on a part
+  EXPECT_TRUE(t.granter.report(t.now, 0).released.empty());
+  t.granter.handle_heartbeat(t.now, t.heartbeat({}, {{0, 99, "token"}}));
+  EXPECT_TRUE(t.granter.has_urgent_report());
+  KeyReport const report = t.granter.report(t.now, 0);
   ASSERT_EQ(report.released.size(), 1u);
   EXPECT_EQ(report.released[0].handover, "token");
   EXPECT_EQ(report.released[0].moving, 3u);
   EXPECT_EQ(report.released[0].fence, 5u);
 }
 
-TEST(KeyGranter, takes_a_row_that_is_not_shown_as_let_go_only_by_a_beat_after_the_one_that_left_it_out) {
+TEST(KeyGranter, an_unlisted_row_counts_as_released_only_after_a_heartbeat_whose_reply_omitted_it) {
   GranterTrial t;
   t.confirm_table();
-  t.holder.handle_heartbeat(t.now, t.heartbeat());
+  t.granter.handle_heartbeat(t.now, t.heartbeat());
   t.first_row().moving = 3;
   t.receive_table();
-  t.holder.handle_heartbeat(t.now, t.heartbeat());
-  EXPECT_TRUE(t.holder.report(t.now, 0).released.empty());
-  t.holder.handle_heartbeat(t.now, t.heartbeat());
-  ASSERT_EQ(t.holder.report(t.now, 0).released.size(), 1u);
-  EXPECT_EQ(t.holder.report(t.now, 0).released[0].handover, "");
+  t.granter.handle_heartbeat(t.now, t.heartbeat());
+  EXPECT_TRUE(t.granter.report(t.now, 0).released.empty());
+  t.granter.handle_heartbeat(t.now, t.heartbeat());
+  ASSERT_EQ(t.granter.report(t.now, 0).released.size(), 1u);
+  EXPECT_EQ(t.granter.report(t.now, 0).released[0].handover, "");
 }
 
-TEST(KeyGranter, a_move_called_off_gives_the_row_back_with_its_own_token_but_never_with_an_old_one) {
+TEST(KeyGranter, a_cancelled_move_returns_the_row_with_its_own_token_but_never_with_an_old_one) {
   GranterTrial t;
   t.confirm_table();
   t.first_row().moving = 3;
   t.receive_table();
-  t.holder.handle_heartbeat(t.now, t.heartbeat({}, {{0, 99, "own"}}));
+  t.granter.handle_heartbeat(t.now, t.heartbeat({}, {{0, 99, "own"}}));
   t.first_row().moving = 0;
   t.receive_table();
-  EXPECT_EQ(t.holder.handle_heartbeat(t.now, t.heartbeat()).rows, (std::vector<KeyGrant>{{0, 99, 5, "own"}}));
+  EXPECT_EQ(t.granter.handle_heartbeat(t.now, t.heartbeat()).rows, (std::vector<KeyGrant>{{0, 99, 5, "own"}}));
   t.first_row().fence = 9;  // another held it in between
   t.first_row().handover = "theirs";
   t.receive_table();
-  EXPECT_EQ(t.holder.handle_heartbeat(t.now, t.heartbeat()).rows, (std::vector<KeyGrant>{{0, 99, 9, "theirs"}}));
+  EXPECT_EQ(t.granter.handle_heartbeat(t.now, t.heartbeat()).rows, (std::vector<KeyGrant>{{0, 99, 9, "theirs"}}));
 }
 
-// Guards against OWNER: another instance's heartbeat may be a late one of a former life, and the holder runs on.
-TEST(KeyGranter, an_instance_gives_way_to_another_and_ends_only_when_its_hold_has_run_out) {
+// Guards against two holders of one key: another instance's heartbeat may be a delayed one of a former instance,
+// while the holder is still running.
+TEST(KeyGranter, a_replaced_instance_ends_only_when_its_hold_has_expired) {
   GranterTrial t;
   t.confirm_table();
-  for (int i = 0; i < 4; ++i, t.now += 500ms) t.holder.report(t.now, 0);
-  KeyHeartbeatReply const granted = t.holder.handle_heartbeat(t.now, t.heartbeat());
+  for (int i = 0; i < 4; ++i, t.now += 500ms) t.granter.report(t.now, 0);
+  KeyHeartbeatReply const granted = t.granter.handle_heartbeat(t.now, t.heartbeat());
   ASSERT_TRUE(granted.renews);
   Instant const end_of_hold = t.now + std::chrono::duration_cast<Duration>(granted.hold * 1.02);
   KeyHeartbeat newer = t.heartbeat();
   newer.instance = "i-9";
-  EXPECT_TRUE(t.holder.handle_heartbeat(t.now, newer).rows.empty());
-  EXPECT_EQ(t.holder.instance(), "i-9");
-  EXPECT_TRUE(t.holder.report(end_of_hold - 10ms, 0).ended.empty());
-  KeyReport const report = t.holder.report(end_of_hold + 10ms, 0);
+  EXPECT_TRUE(t.granter.handle_heartbeat(t.now, newer).rows.empty());
+  EXPECT_EQ(t.granter.instance(), "i-9");
+  EXPECT_TRUE(t.granter.report(end_of_hold - 10ms, 0).ended.empty());
+  KeyReport const report = t.granter.report(end_of_hold + 10ms, 0);
   ASSERT_EQ(report.ended.size(), 1u);
   EXPECT_EQ(report.ended[0].instance, "i-1");
-  EXPECT_FALSE(t.holder.handle_heartbeat(end_of_hold + 20ms, t.heartbeat()).renews);
-  EXPECT_EQ(t.holder.instance(), "i-9");
+  EXPECT_FALSE(t.granter.handle_heartbeat(end_of_hold + 20ms, t.heartbeat()).renews);
+  EXPECT_EQ(t.granter.instance(), "i-9");
 }
 
-TEST(KeyGranter, an_instance_that_stays_silent_while_another_beats_on_has_ended) {
+TEST(KeyGranter, an_instance_that_stays_silent_while_another_sends_heartbeats_has_ended) {
   GranterTrial t;
   t.confirm_table();
-  for (int i = 0; i < 4; ++i, t.now += 500ms) t.holder.report(t.now, 0);
+  for (int i = 0; i < 4; ++i, t.now += 500ms) t.granter.report(t.now, 0);
   Instant const last_beat = t.now;
-  ASSERT_TRUE(t.holder.handle_heartbeat(t.now, t.heartbeat()).renews);
+  ASSERT_TRUE(t.granter.handle_heartbeat(t.now, t.heartbeat()).renews);
   for (int i = 0; i < 5; ++i, t.now += 500ms) {
     KeyHeartbeat newer = t.heartbeat();
     newer.instance = "i-9";
-    t.holder.handle_heartbeat(t.now + 100ms, newer);
-    EXPECT_TRUE(t.holder.report(t.now + 200ms, 0).ended.empty()) << i;
+    t.granter.handle_heartbeat(t.now + 100ms, newer);
+    EXPECT_TRUE(t.granter.report(t.now + 200ms, 0).ended.empty()) << i;
   }
-  EXPECT_EQ(t.holder.report(last_beat + t.settings.revoke_after, 0).ended.size(), 1u);
+  EXPECT_EQ(t.granter.report(last_beat + t.settings.revoke_after, 0).ended.size(), 1u);
 }
 
-TEST(KeyGranter, an_instance_without_a_hold_ends_as_another_takes_its_place) {
+TEST(KeyGranter, an_instance_without_a_hold_ends_when_another_replaces_it) {
   GranterTrial t;
-  for (int i = 0; i < 4; ++i, t.now += 500ms) t.holder.report(t.now, 0);
-  EXPECT_FALSE(t.holder.handle_heartbeat(t.now, t.heartbeat()).renews);
+  for (int i = 0; i < 4; ++i, t.now += 500ms) t.granter.report(t.now, 0);
+  EXPECT_FALSE(t.granter.handle_heartbeat(t.now, t.heartbeat()).renews);
   KeyHeartbeat newer = t.heartbeat();
   newer.instance = "i-9";
-  t.holder.handle_heartbeat(t.now, newer);
-  EXPECT_TRUE(t.holder.has_urgent_report());
-  EXPECT_EQ(t.holder.report(t.now, 0).ended.size(), 1u);
+  t.granter.handle_heartbeat(t.now, newer);
+  EXPECT_TRUE(t.granter.has_urgent_report());
+  EXPECT_EQ(t.granter.report(t.now, 0).ended.size(), 1u);
 }
 
-TEST(KeyGranter, who_was_taken_for_gone_by_mistake_is_granted_its_rows_again) {
+TEST(KeyGranter, an_instance_replaced_by_mistake_is_granted_its_rows_again) {
   GranterTrial t;
   t.confirm_table();
-  for (int i = 0; i < 4; ++i, t.now += 500ms) t.holder.report(t.now, 0);
-  ASSERT_TRUE(t.holder.handle_heartbeat(t.now, t.heartbeat()).renews);
+  for (int i = 0; i < 4; ++i, t.now += 500ms) t.granter.report(t.now, 0);
+  ASSERT_TRUE(t.granter.handle_heartbeat(t.now, t.heartbeat()).renews);
   KeyHeartbeat late = t.heartbeat();
   late.instance = "i-0";
-  t.holder.handle_heartbeat(t.now + 100ms, late);
-  KeyHeartbeatReply const again = t.holder.handle_heartbeat(t.now + 200ms, t.heartbeat());
+  t.granter.handle_heartbeat(t.now + 100ms, late);
+  KeyHeartbeatReply const again = t.granter.handle_heartbeat(t.now + 200ms, t.heartbeat());
   EXPECT_EQ(again.rows, (std::vector<KeyGrant>{{0, 99, 5, ""}}));
-  KeyReport const report = t.holder.report(t.now + 10s, 0);
+  KeyReport const report = t.granter.report(t.now + 10s, 0);
   for (KeyEnd const& end : report.ended) EXPECT_EQ(end.instance, "i-0");
 }
 
-// It serves on after it has signed off, and holds its keys until they run out.
-TEST(KeyGranter, who_signs_off_without_draining_first_ends_when_its_hold_has_run_out) {
+// An instance may keep serving after it has signed off, and holds its keys until the hold expires.
+TEST(KeyGranter, an_instance_that_signs_off_without_draining_ends_when_its_hold_has_expired) {
   GranterTrial t;
   t.confirm_table();
-  KeyHeartbeatReply const granted = t.holder.handle_heartbeat(t.now, t.heartbeat());
+  KeyHeartbeatReply const granted = t.granter.handle_heartbeat(t.now, t.heartbeat());
   ASSERT_TRUE(granted.renews);
   Instant const end_of_hold = t.now + std::chrono::duration_cast<Duration>(granted.hold * 1.02);
-  // The answer to a beat may still be held back when it signs off.
+  // The reply to a heartbeat may still be pending when the instance signs off.
   KeyHeartbeat const unanswered = t.heartbeat();
-  t.holder.take_heartbeat(t.now + 50ms, unanswered);
-  t.holder.on_instance_signed_off("i-1", t.now + 100ms);
-  EXPECT_FALSE(t.holder.reply(t.now + 110ms, "i-1", unanswered.sequence).renews);
-  EXPECT_FALSE(t.holder.may_run(50, t.now + 200ms, 1ms));
-  EXPECT_FALSE(t.holder.handle_heartbeat(t.now + 300ms, t.heartbeat()).renews);
-  KeyReport const before = t.holder.report(end_of_hold - 10ms, 0);
+  t.granter.take_heartbeat(t.now + 50ms, unanswered);
+  t.granter.on_instance_signed_off("i-1", t.now + 100ms);
+  EXPECT_FALSE(t.granter.reply(t.now + 110ms, "i-1", unanswered.sequence).renews);
+  EXPECT_FALSE(t.granter.may_run(50, t.now + 200ms, 1ms));
+  EXPECT_FALSE(t.granter.handle_heartbeat(t.now + 300ms, t.heartbeat()).renews);
+  KeyReport const before = t.granter.report(end_of_hold - 10ms, 0);
   EXPECT_TRUE(before.ended.empty());
   EXPECT_EQ(before.instance, "i-1");
   EXPECT_EQ(before.state, KeyHolderState::draining);
-  KeyReport const after = t.holder.report(end_of_hold + 1ms, 0);
+  KeyReport const after = t.granter.report(end_of_hold + 1ms, 0);
   ASSERT_EQ(after.ended.size(), 1u);
   EXPECT_EQ(after.ended[0].instance, "i-1");
   EXPECT_EQ(after.instance, "");
 }
 
-TEST(KeyGranter, who_signs_off_after_draining_or_without_a_hold_ends_at_once) {
+TEST(KeyGranter, an_instance_that_signs_off_after_draining_or_without_a_hold_ends_at_once) {
   GranterTrial drained;
   drained.confirm_table();
   KeyHeartbeat leaving = drained.heartbeat();
   leaving.state = KeyHolderState::draining;
-  ASSERT_TRUE(drained.holder.handle_heartbeat(drained.now, leaving).renews);
-  drained.holder.on_instance_signed_off("i-1", drained.now + 100ms);
-  EXPECT_EQ(drained.holder.report(drained.now + 200ms, 0).ended.size(), 1u);
+  ASSERT_TRUE(drained.granter.handle_heartbeat(drained.now, leaving).renews);
+  drained.granter.on_instance_signed_off("i-1", drained.now + 100ms);
+  EXPECT_EQ(drained.granter.report(drained.now + 200ms, 0).ended.size(), 1u);
 
   GranterTrial without_lease;
-  without_lease.holder.handle_heartbeat(without_lease.now, without_lease.heartbeat());
-  without_lease.holder.on_instance_signed_off("i-1", without_lease.now + 100ms);
-  EXPECT_EQ(without_lease.holder.report(without_lease.now + 200ms, 0).ended.size(), 1u);
+  without_lease.granter.handle_heartbeat(without_lease.now, without_lease.heartbeat());
+  without_lease.granter.on_instance_signed_off("i-1", without_lease.now + 100ms);
+  EXPECT_EQ(without_lease.granter.report(without_lease.now + 200ms, 0).ended.size(), 1u);
 }
 
-// Keys held twice (OWNER): a node that had just restarted took a backend that signed off for one without a hold.
-TEST(KeyGranter, who_signs_off_after_a_restart_of_its_node_may_hold_by_a_grant_of_the_process_before) {
+// Guards against two holders of one key: a node that had just restarted assumed that a backend that signed off had no
+// hold.
+TEST(KeyGranter, an_instance_that_signs_off_after_a_node_restart_may_hold_keys_granted_before) {
   Instant const started = long_ago + 1000s;
   GranterTrial t(started);
   Duration const longest_hold = std::chrono::duration_cast<Duration>(t.settings.term * 1.02);
   t.now += 400ms;
-  t.holder.take_heartbeat(t.now, t.heartbeat({{0, 99, 5}}));
-  t.holder.on_instance_signed_off("i-1", t.now + 100ms);
-  KeyReport const within = t.holder.report(started + longest_hold - 10ms, 0);
+  t.granter.take_heartbeat(t.now, t.heartbeat({{0, 99, 5}}));
+  t.granter.on_instance_signed_off("i-1", t.now + 100ms);
+  KeyReport const within = t.granter.report(started + longest_hold - 10ms, 0);
   EXPECT_TRUE(within.ended.empty());
   EXPECT_EQ(within.state, KeyHolderState::draining);
-  EXPECT_EQ(t.holder.report(started + longest_hold + 10ms, 0).ended.size(), 1u);
+  EXPECT_EQ(t.granter.report(started + longest_hold + 10ms, 0).ended.size(), 1u);
 }
 
-TEST(KeyGranter, who_signs_off_long_after_its_nodes_start_waits_for_the_grants_of_this_process_only) {
+TEST(KeyGranter, long_after_a_node_start_only_grants_of_this_process_delay_the_end) {
   GranterTrial t(long_ago + 1000s - 2 * KeySettings{}.term);
-  t.holder.take_heartbeat(t.now, t.heartbeat());
-  t.holder.on_instance_signed_off("i-1", t.now + 100ms);
-  EXPECT_EQ(t.holder.report(t.now + 200ms, 0).ended.size(), 1u);
+  t.granter.take_heartbeat(t.now, t.heartbeat());
+  t.granter.on_instance_signed_off("i-1", t.now + 100ms);
+  EXPECT_EQ(t.granter.report(t.now + 200ms, 0).ended.size(), 1u);
 }
 
-TEST(KeyGranter, right_after_a_freeze_no_beat_ends_another_life) {
+TEST(KeyGranter, right_after_a_suspension_no_heartbeat_replaces_an_instance) {
   GranterTrial t;
   t.confirm_table();
-  for (int i = 0; i < 4; ++i, t.now += 500ms) t.holder.report(t.now, 0);
-  t.holder.handle_heartbeat(t.now, t.heartbeat());
+  for (int i = 0; i < 4; ++i, t.now += 500ms) t.granter.report(t.now, 0);
+  t.granter.handle_heartbeat(t.now, t.heartbeat());
   t.now += 10s;
   KeyHeartbeat stale = t.heartbeat();
   stale.instance = "i-0";
-  t.holder.handle_heartbeat(t.now, stale);
-  t.holder.report(t.now, 0);
-  t.holder.handle_heartbeat(t.now, stale);
-  EXPECT_EQ(t.holder.instance(), "i-1");
+  t.granter.handle_heartbeat(t.now, stale);
+  t.granter.report(t.now, 0);
+  t.granter.handle_heartbeat(t.now, stale);
+  EXPECT_EQ(t.granter.instance(), "i-1");
 }
 
-TEST(KeyGranter, a_node_that_began_anew_finds_the_end_of_a_life_in_the_table) {
+TEST(KeyGranter, a_restarted_node_finds_ended_instances_in_the_table) {
   GranterTrial t;
   KeyHeartbeat newer = t.heartbeat();
   newer.instance = "i-9";
-  t.holder.handle_heartbeat(t.now, newer);
+  t.granter.handle_heartbeat(t.now, newer);
   t.confirm_table();
-  KeyReport const report = t.holder.report(t.now, 0);
+  KeyReport const report = t.granter.report(t.now, 0);
   ASSERT_EQ(report.ended.size(), 1u);
   EXPECT_EQ(report.ended[0].instance, "i-1");
 }
@@ -322,25 +325,25 @@
 TEST(KeyGranter, runs_requests_on_held_keys_that_end_within_the_hold) {
   GranterTrial t;
   t.confirm_table();
-  EXPECT_FALSE(t.holder.may_run(7, t.now, 1ms));
-  Duration const hold = t.holder.handle_heartbeat(t.now, t.heartbeat()).hold;
-  EXPECT_EQ(t.holder.may_run(7, t.now, 1ms), 5u);
-  EXPECT_EQ(t.holder.may_run(99, t.now, 1ms), 5u);
-  EXPECT_FALSE(t.holder.may_run(100, t.now, 1ms));
-  EXPECT_FALSE(t.holder.may_run(7, t.now, hold));
-  EXPECT_FALSE(t.holder.may_run(7, t.now + hold, 0ms));
-  EXPECT_FALSE(t.holder.handle_heartbeat(t.now + 20s, t.heartbeat()).renews);
-  EXPECT_FALSE(t.holder.may_run(7, t.now + 20s, 1ms));
+  EXPECT_FALSE(t.granter.may_run(7, t.now, 1ms));
+  Duration const hold = t.granter.handle_heartbeat(t.now, t.heartbeat()).hold;
+  EXPECT_EQ(t.granter.may_run(7, t.now, 1ms), 5u);
+  EXPECT_EQ(t.granter.may_run(99, t.now, 1ms), 5u);
+  EXPECT_FALSE(t.granter.may_run(100, t.now, 1ms));
+  EXPECT_FALSE(t.granter.may_run(7, t.now, hold));
+  EXPECT_FALSE(t.granter.may_run(7, t.now + hold, 0ms));
+  EXPECT_FALSE(t.granter.handle_heartbeat(t.now + 20s, t.heartbeat()).renews);
+  EXPECT_FALSE(t.granter.may_run(7, t.now + 20s, 1ms));
 }
 
-TEST(KeyGranter, joins_neighbours_under_one_fence_when_an_answer_would_be_too_long) {
+TEST(KeyGranter, merges_adjacent_rows_with_one_fence_when_a_reply_would_be_too_long) {
   GranterTrial t;
   std::vector<KeyRow>& rows = t.table.services[0].rows;
   rows.clear();
   for (std::uint32_t i = 0; i < 128; ++i)
     rows.push_back(row_of(static_cast<std::uint16_t>(i * 512), static_cast<std::uint16_t>(i * 512 + 511), 0, 5));
   t.confirm_table();
-  std::vector<KeyGrant> const granted = t.holder.handle_heartbeat(t.now, t.heartbeat()).rows;
+  std::vector<KeyGrant> const granted = t.granter.handle_heartbeat(t.now, t.heartbeat()).rows;
   EXPECT_LE(granted.size(), t.settings.held_rows_limit);
   std::uint32_t from = 0;
   for (KeyGrant const& grant : granted) {
@@ -350,44 +353,44 @@
   EXPECT_EQ(from, 65536u);
 }
 
-// A coordinator must not take a row that has just come for an idle one.
-TEST(KeyGranter, tells_no_rate_of_a_row_before_it_is_measured_and_then_the_whole_rate_at_once) {
+// A coordinator must not mistake a row that was just granted for an idle one.
+TEST(KeyGranter, reports_no_rate_before_it_is_measured_and_then_the_full_rate) {
   GranterTrial t;
   t.confirm_table();
-  t.holder.report(t.now, 0.5F);
+  t.granter.report(t.now, 0.5F);
   t.now += 1s;
   t.confirm_table();
-  t.holder.handle_heartbeat(t.now, t.heartbeat());
-  for (int i = 0; i < 20; ++i) t.holder.count(static_cast<std::uint16_t>(i));
+  t.granter.handle_heartbeat(t.now, t.heartbeat());
+  for (int i = 0; i < 20; ++i) t.granter.count(static_cast<std::uint16_t>(i));
   t.now += 100ms;
-  KeyReport const early = t.holder.report(t.now, 0.5F, 120);
+  KeyReport const early = t.granter.report(t.now, 0.5F, 120);
   ASSERT_EQ(early.held.size(), 1u);
   EXPECT_LT(early.held[0].rate, 0);
   EXPECT_EQ(early.capacity, 120);
   t.now += 400ms;
-  KeyReport const measured = t.holder.report(t.now, 0.5F, 120);
+  KeyReport const measured = t.granter.report(t.now, 0.5F, 120);
   EXPECT_FLOAT_EQ(measured.held[0].rate, 40);
   t.now += 500ms;
-  EXPECT_LT(t.holder.report(t.now, 0.5F, 120).held[0].rate, 40);
+  EXPECT_LT(t.granter.report(t.now, 0.5F, 120).held[0].rate, 40);
 }
 
-// A node whose backend holds keys 0 to 9999, and requests on them.
+// A node whose backend holds keys 0 to 9999 and receives requests on them.
 struct LoadTrial : GranterTrial {
   LoadTrial() {
     table.services[0].rows = {row_of(0, 9999, 0, 5), row_of(10000, last_key, 1, 6)};
     renew();
-    holder.report(now, 0.5F);
+    granter.report(now, 0.5F);
   }
   void renew() {
     confirm_table();
-    holder.handle_heartbeat(now, heartbeat());
+    granter.handle_heartbeat(now, heartbeat());
   }
-  // So many requests on each key in half a second, and a report.
+  // Counts the given requests on each key over half a second, and returns a report.
   KeyReport report_after(std::map<std::uint16_t, int> const& requests, float const capacity) {
     for (auto const& [key, times] : requests)
-      for (int i = 0; i < times; ++i) holder.count(key);
+      for (int i = 0; i < times; ++i) granter.count(key);
     now += 500ms;
-    return holder.report(now, 0.5F, capacity);
+    return granter.report(now, 0.5F, capacity);
   }
   static std::size_t size_of(KeyReport const& report) {
     Bytes bytes;
@@ -397,7 +400,7 @@
   }
 };
 
-// The parts that a report's cuts make of a row, the first one included.
+// The shares of the parts into which a report's cuts split a row, including the first part.
 std::vector<double> shares_of(KeyRowCuts const& cuts) {
   std::vector<double> shares{1};
   for (KeyCut const& cut : cuts.cuts) {
@@ -407,7 +410,7 @@
   return shares;
 }
 
-TEST(KeyGranter, tells_where_a_hot_row_may_be_cut_into_parts_of_about_equal_load) {
+TEST(KeyGranter, reports_cuts_of_a_hot_row_into_parts_of_about_equal_load) {
   LoadTrial t;
   std::map<std::uint16_t, int> requests;
   for (std::uint16_t key = 7000; key < 7120; ++key) requests[key] = 1 + key % 3;
@@ -431,7 +434,7 @@
   EXPECT_NEAR(all, 1, 0.001);
 }
 
-TEST(KeyGranter, tells_no_cuts_of_cool_rows_and_makes_a_very_hot_key_a_part_by_itself) {
+TEST(KeyGranter, reports_no_cuts_of_cool_rows_and_isolates_a_very_hot_key) {
   LoadTrial t;
   std::map<std::uint16_t, int> requests;
   for (std::uint16_t key = 0; key < 100; ++key) requests[key] = 1;
@@ -468,25 +471,25 @@
   }
 }
 
-// Otherwise a coordinator would have to wait for another measurement after each cut.
-TEST(KeyGranter, knows_the_rates_of_the_parts_of_a_cut_row_at_once_and_of_a_joined_one) {
+// Otherwise a coordinator would have to wait for a new measurement after each split.
+TEST(KeyGranter, knows_the_rates_of_split_and_merged_rows_at_once) {
   LoadTrial t;
   t.report_after({{100, 30}, {8000, 10}}, 0);
   std::vector<KeyRow>& rows = t.table.services[0].rows;
   rows = {row_of(0, 4999, 0, 5), row_of(5000, 9999, 0, 5), row_of(10000, last_key, 1, 6)};
   t.renew();
-  KeyReport const cut = t.holder.report(t.now, 0.5F);
+  KeyReport const cut = t.granter.report(t.now, 0.5F);
   ASSERT_EQ(cut.held.size(), 2u);
   EXPECT_FLOAT_EQ(cut.held[0].rate, 60);
   EXPECT_FLOAT_EQ(cut.held[1].rate, 20);
   rows = {row_of(0, 9999, 0, 7), row_of(10000, last_key, 1, 6)};
   t.renew();
-  KeyReport const joined = t.holder.report(t.now, 0.5F);
+  KeyReport const joined = t.granter.report(t.now, 0.5F);
   ASSERT_EQ(joined.held.size(), 1u);
   EXPECT_FLOAT_EQ(joined.held[0].rate, 80);
 }
 
-TEST(KeyGranter, a_rate_steadies_over_seconds_and_begins_anew_when_the_load_changes) {
+TEST(KeyGranter, a_rate_is_averaged_over_seconds_and_restarts_when_the_load_changes) {
   LoadTrial t;
   KeyReport report;
   for (int i = 0; i < 20; ++i) report = t.report_after({{1, i % 2 == 0 ? 40 : 60}}, 0);
--- a/tests/coordination/key_table_feed_test.cpp
+++ b/tests/coordination/key_table_feed_test.cpp
@@ -1,5 +1,5 @@
-// How tables of keys reach every node: by what has changed, whatever is lost on the
-// way, and the bytes that this takes. Counts of bytes only, on virtual time.
+// Key tables reach every node as deltas, whatever messages are lost, within bounds on the bytes sent. On virtual
+// time; only bytes are counted.
 #include "tests/coordination/store_trial.hpp"
 #include "tests/coordination/zone_trial.hpp"
 #include "tests/state/key_table_changes.hpp"
@@ -9,7 +9,7 @@
 
 constexpr std::size_t delta_overhead_bytes = 28;
 
-// Bytes of tables and deltas in all messages and answers.
+// Bytes of tables and deltas in all messages and replies.
 struct TableBytes {
   std::size_t whole = 0, deltas = 0, whole_tables = 0, whole_tables_read = 0;
 
@@ -52,7 +52,7 @@
   }
 };
 
-// Counts the answers that leave a process.
+// Counts the replies sent by a process.
 void watch_replies(Dispatcher& dispatcher, TableBytes& bytes) {
   for (std::uint8_t const kind : {RegisterValuesRequest::kind, ReadRegister::kind}) {
     PeerHandler const handler = dispatcher.handlers[kind];
@@ -68,7 +68,7 @@
   }
 }
 
-// Two zones whose nodes follow the changes of one large table.
+// Nodes of two zones follow the changes of one large table.
 struct TableTrial : ZoneTrial {
   explicit TableTrial(std::uint64_t const seed) : ZoneTrial(seed), changes(seed) {
     seeds = {"ra", "rb", "rc"};
@@ -76,13 +76,13 @@
     for (int i = 0; i < 10; ++i) add_node("a" + std::to_string(i), "a", "s");
     for (int i = 0; i < 5; ++i) add_node("b" + std::to_string(i), "b", "s");
     watch_dispatchers();
-    net.on_send = [this](SimProcess const&, Address const&, std::uint8_t const kind, Bytes const& raw) {
+    net.tap = [this](SimProcess const&, Address const&, std::uint8_t const kind, Bytes const& raw) {
       bytes.add_sent(kind, raw);
     };
     EXPECT_TRUE(run_until([&] { return nodes_seen("a9") == 10 && nodes_seen("b4") == 5; }, 15s));
   }
 
-  /// Desks that were made since the last call.
+  /// Watches the dispatchers that were created since the last call.
   void watch_dispatchers() {
     for (; watched < dispatchers.size(); ++watched) watch_replies(*dispatchers[watched], bytes);
   }
@@ -105,7 +105,7 @@
       *done = true;
     }
   }
-  /// Some changes, one after the other, by that registry.
+  /// Writes some changes one after the other, through that registry.
   void write_some(std::string const& by, int const count) {
     for (int i = 0; i < count; ++i) {
       std::shared_ptr<bool> const done = std::make_shared<bool>(false);
@@ -142,9 +142,9 @@
   EXPECT_LT(t.bytes.deltas, t.whole_tables_cost / 20);
 }
 
-// News that are lost, late or doubled, a node cut off, and restarts of nodes and of
-// the registry that writes. A registry to which the writer's word is lost reads the
-// whole from a store, so the bound is wider than in calm.
+// Updates are lost, delayed or duplicated, a node is cut off, and nodes and the writing registry restart. A registry
+// that misses the writer's message reads the whole value from a store, so the bound on bytes is wider than without
+// faults.
 TEST(KeyTableFeed, every_node_ends_with_the_same_table_whatever_was_lost) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     TableTrial t(seed);
@@ -174,20 +174,20 @@
     EXPECT_GT(t.written, 150u) << seed;
     EXPECT_TRUE(t.run_until([&] { return t.all_have_newest(); }, 10s)) << seed;
     for (auto const& [id, n] : t.nodes) EXPECT_EQ(n.values.at(Register::keys), t.newest.bytes) << seed << " " << id;
-    EXPECT_GT(t.bytes.whole_tables, 0u) << "those that were restarted need it";
-    EXPECT_LT(t.bytes.whole_tables - t.bytes.whole_tables_read, 40u) << "hardly any goes to a node";
+    EXPECT_GT(t.bytes.whole_tables, 0u) << "restarted processes need the whole table";
+    EXPECT_LT(t.bytes.whole_tables - t.bytes.whole_tables_read, 40u) << "hardly any whole table is sent to a node";
     EXPECT_LT(t.bytes.whole + t.bytes.deltas, t.whole_tables_cost / 6) << seed << " " << t.bytes.whole_tables;
   }
 }
 
-TEST(KeyTableFeed, a_node_that_missed_the_news_gets_the_changes_from_a_registry_at_once) {
+TEST(KeyTableFeed, a_node_that_missed_updates_gets_the_deltas_from_a_registry_at_once) {
   TableTrial t(3);
   t.write_some("ra", 5);
   ASSERT_TRUE(t.run_until([&] { return t.all_have_newest(); }, 2s));
   t.net.at.at("a2:1")->freeze();
   t.write_some("ra", 3);
   t.bytes = {};
-  // Its lease's question tells it of the version; all news were lost.
+  // The node learns of the revision by its lease request only; all updates were lost.
   SimProcess& process = *t.nodes.at("a2").process;
   t.sim.weather = false;
   process.thaw();
@@ -201,7 +201,7 @@
   EXPECT_EQ(t.bytes.whole_tables, 0u);
 }
 
-TEST(KeyTableFeed, a_node_that_gets_deltas_that_do_not_fit_asks_for_the_whole) {
+TEST(KeyTableFeed, a_node_that_gets_wrong_deltas_requests_the_whole_table) {
   TableTrial t(5);
   t.write_some("ra", 3);
   ASSERT_TRUE(t.run_until([&] { return t.all_have_newest(); }, 2s));
@@ -216,10 +216,10 @@
   t.write_some("ra", 1);
   EXPECT_TRUE(t.run_until([&] { return t.all_have_newest(); }, 1s));
   EXPECT_GE(t.bytes.whole_tables, 1u);
-  EXPECT_LE(t.bytes.whole_tables, 4u) << "those to which it passed the news on, too";
+  EXPECT_LE(t.bytes.whole_tables, 4u) << "including the nodes to which it forwarded the update";
 }
 
-TEST(KeyTableFeed, fetching_from_nobody_says_no) {
+TEST(KeyTableFeed, fetching_without_a_live_registry_fails) {
   TableTrial t(4);
   t.write_some("ra", 2);
   for (std::string const registry : {"ra:1", "rb:1", "rc:1"}) t.kill(registry);
@@ -252,7 +252,7 @@
   TableBytes bytes;
 };
 
-TEST(ConfirmedRevision, is_that_of_every_change_completed_before_it_was_asked_and_brings_no_value) {
+TEST(ConfirmedRevision, covers_every_change_completed_before_the_request_and_transfers_no_value) {
   ReadingTrial t(2);
   std::size_t seen = 0;
   for (Revision n = 1; n <= 30; ++n) {
@@ -291,7 +291,7 @@
   }
 }
 
-TEST(ConfirmedRevision, of_voters_that_do_not_agree_it_is_the_highest_of_a_quorum_in_one_round_of_questions) {
+TEST(ConfirmedRevision, without_agreement_it_is_the_highest_of_a_quorum_in_one_round) {
   ReadingTrial t(5);
   ASSERT_TRUE(t.put(0, Register::keys, 7, "seven"));
   hold_apart(t, 8);
@@ -319,7 +319,7 @@
   EXPECT_EQ(prepares, 0u);
 }
 
-TEST(ConfirmedRevision, who_knows_the_newest_value_reads_without_a_write_while_ballots_differ) {
+TEST(ConfirmedRevision, a_client_with_the_newest_value_reads_without_a_write_while_ballots_differ) {
   ReadingTrial t(7);
   ASSERT_TRUE(t.put(0, Register::keys, 7, "seven"));
   hold_apart(t, 8);
@@ -342,7 +342,7 @@
   EXPECT_EQ(prepares, 0u);
 }
 
-TEST(ConfirmedRevision, clients_that_find_no_quorum_ask_less_and_less_often) {
+TEST(ConfirmedRevision, clients_without_a_quorum_back_off) {
   ReadingTrial t(8);
   ASSERT_TRUE(t.confirm_revision(1, 2s));
   for (std::size_t i = 0; i < 3; ++i) t.power_off(i);
@@ -356,7 +356,7 @@
   EXPECT_LE(questions, 70u);
 }
 
-TEST(ConfirmedRevision, one_voter_sends_the_value_to_who_has_none_and_another_if_that_one_is_gone) {
+TEST(ConfirmedRevision, one_voter_sends_the_missing_value_and_another_one_if_the_first_fails) {
   ReadingTrial t(3);
   ASSERT_TRUE(t.put(0, Register::keys, 7, "seven"));
   ASSERT_TRUE(t.confirm_revision(1, 2s));
@@ -366,10 +366,10 @@
   EXPECT_EQ(read->held.bytes, "seven");
   EXPECT_EQ(t.bytes.whole_tables, 1u);
   // A voter that loses its power as it is about to send the value.
-  std::size_t before_reply = 0;
-  t.net.before_reply = [&](SimProcess& voter, std::uint8_t const kind) {
-    if (kind != ReadRegister::kind || t.bytes.whole_tables != 2 || before_reply > 0) return false;
-    ++before_reply;
+  std::size_t struck = 0;
+  t.net.struck = [&](SimProcess& voter, std::uint8_t const kind) {
+    if (kind != ReadRegister::kind || t.bytes.whole_tables != 2 || struck > 0) return false;
+    ++struck;
     voter.kill();
     return true;
   };
--- a/tests/coordination/key_trial_test.cpp
+++ b/tests/coordination/key_trial_test.cpp
@@ -1,6 +1,6 @@
-// Backends, nodes and two coordinators in virtual time, over a register that is
-// linearizable but slow and lossy. Backends keep to their protocol with clocks
-// 2 % slow; whatever is killed, frozen or cut, no two of them may hold one key.
+// Backends, nodes and two coordinators in virtual time, over a register that is linearizable but slow and lossy.
+// Backends follow their protocol with clocks 2 % slow. Whatever is killed, suspended or partitioned, no two backends
+// may hold the same key.
 #include "coordination/key_granter.hpp"
 #include "state/key_planner.hpp"
 
@@ -68,17 +68,17 @@
   std::vector<Row> rows;
   std::vector<ReleasedRange> released;
   std::size_t without_token = 0, with_token = 0;
-  std::vector<HeldRange> seen;  // every row it ever took
+  std::vector<HeldRange> seen;  // every row that it ever accepted
 };
 
 struct Node {
   std::string name;
-  std::unique_ptr<KeyGranter> holder;
+  std::unique_ptr<KeyGranter> granter;
   std::uint64_t incarnation = 0;
   bool up = true, voters_cut = false, registries_cut = false;
   Instant suspended_until{};
   std::shared_ptr<Backend> backend;
-  std::function<void()> pending_reply;  // answers the beat that waits
+  std::function<void()> pending_reply;  // sends the pending reply to a heartbeat
   std::uint64_t pending_heartbeat = 0;
   RegisterValue known;
 };
@@ -103,7 +103,7 @@
   void start_node(Node& node) {
     ++node.incarnation;
     node.up = true;
-    node.holder =
+    node.granter =
         std::make_unique<KeyGranter>("payments", node.name, node.name + ":1", "zone", KeySettings{}, loop.now);
     node.pending_reply = nullptr;
     std::uint64_t const incarnation = node.incarnation;
@@ -111,7 +111,7 @@
     report(node, incarnation);
   }
 
-  // Runs at once, or when the node has thawed; not in a later life.
+  // Runs at once, or when the node resumes; not in a later incarnation.
   void on_node(Node& node, std::uint64_t const incarnation, std::function<void()> run) {
     if (node.incarnation != incarnation || !node.up) return;
     if (loop.now >= node.suspended_until) return run();
@@ -129,8 +129,8 @@
           loop.after(loop.between(1, 60), [this, &node, incarnation, sent, read] {
             on_node(node, incarnation, [this, &node, incarnation, sent, read] {
               if (tables_arrive_separately) return confirm_version(node, incarnation, sent, read.revision);
-              node.holder->on_table(*unpack_key_table(read.bytes, read.revision));
-              node.holder->on_confirmed(read.revision, sent);
+              node.granter->on_table(*unpack_key_table(read.bytes, read.revision));
+              node.granter->on_confirmed(read.revision, sent);
               send_urgent(node);
             });
           });
@@ -139,17 +139,17 @@
     });
   }
 
-  // The answer names the version only; the table, by then perhaps a later one, comes
-  // afterwards from somewhere else, or is lost.
+  // The reply contains the revision only; the table, by then possibly a later one, arrives afterwards from another
+  // source, or is lost.
   void confirm_version(Node& node, std::uint64_t const incarnation, Instant const sent, Revision const revision) {
-    node.holder->on_confirmed(revision, sent);
+    node.granter->on_confirmed(revision, sent);
     send_urgent(node);
-    if (node.holder->table_revision() >= revision || loop.one_in(4)) return;
+    if (node.granter->table_revision() >= revision || loop.one_in(4)) return;
     loop.after(loop.between(1, 400), [this, &node, incarnation] {
       RegisterValue const read = held;
       loop.after(loop.between(1, 60), [this, &node, incarnation, read] {
         on_node(node, incarnation, [this, &node, read] {
-          node.holder->on_table(*unpack_key_table(read.bytes, read.revision));
+          node.granter->on_table(*unpack_key_table(read.bytes, read.revision));
           send_urgent(node);
         });
       });
@@ -159,7 +159,7 @@
   void send_report(Node& node) {
     Instant const now = loop.now;
     float const busy = static_cast<float>(utilisation_of ? utilisation_of(node) : 0.3);
-    KeyReport const made = node.holder->report(now, busy);
+    KeyReport const made = node.granter->report(now, busy);
     for (std::size_t i = 0; i < planners.size(); ++i) {
       if (node.voters_cut || node.registries_cut || loop.one_in(30)) continue;
       loop.after(loop.between(1, 20), [this, i, made] { planners[i]->on_report(loop.now, made); });
@@ -172,10 +172,10 @@
     });
   }
 
-  // After news: a waiting answer may go, and coordinators are told.
+  // After a change: sends a pending reply if due, and an urgent report.
   void send_urgent(Node& node) {
-    if (node.holder->has_urgent_report()) send_report(node);
-    if (node.pending_reply && !node.holder->reply_may_wait(loop.now)) {
+    if (node.granter->has_urgent_report()) send_report(node);
+    if (node.pending_reply && !node.granter->reply_may_wait(loop.now)) {
       std::function<void()> const answer = std::move(node.pending_reply);
       node.pending_reply = nullptr;
       answer();
@@ -212,17 +212,17 @@
     std::size_t const released_count = b->released.size();
     loop.after(loop.between(0, 3), [this, &node, b, incarnation, message, sent, released_count] {
       on_node(node, incarnation, [this, &node, b, incarnation, message, sent, released_count] {
-        node.holder->take_heartbeat(loop.now, message);
+        node.granter->take_heartbeat(loop.now, message);
         send_urgent(node);
         std::uint64_t const number = ++node.pending_heartbeat;
         node.pending_reply = [this, &node, b, message, sent, released_count] {
-          KeyHeartbeatReply const answer = node.holder->reply(loop.now, message.instance, message.sequence);
+          KeyHeartbeatReply const answer = node.granter->reply(loop.now, message.instance, message.sequence);
           if (loop.one_in(50)) return;
           loop.after(loop.between(0, 3), [this, &node, b, message, sent, released_count, answer] {
             apply(node, b, message.sequence, sent, released_count, answer);
           });
         };
-        if (!node.holder->reply_may_wait(loop.now)) send_urgent(node);
+        if (!node.granter->reply_may_wait(loop.now)) send_urgent(node);
         loop.after(KeySettings{}.answer_delay_limit, [this, &node, incarnation, number] {
           on_node(node, incarnation, [&node, number] {
             if (!node.pending_reply || node.pending_heartbeat != number) return;
@@ -260,7 +260,7 @@
         sent + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(answer.hold) * slow_clock);
     std::vector<Backend::Row> rows;
     bool releasing = false;
-    // What is left out is let go, part by part, once its work is done.
+    // Rows that the reply omits are released part by part, once their work is done.
     for (Backend::Row const& old : b.rows) {
       std::uint32_t at = old.from;
       auto const release = [&](std::uint32_t const from, std::uint32_t const to) {
@@ -298,7 +298,7 @@
     return releasing;
   }
 
-  // No key is held by two backends that are up.
+  // Checks that no key is held by two running backends.
   void check_no_double_holds() {
     struct Part {
       std::uint16_t from, to;
@@ -333,11 +333,11 @@
     return n;
   }
 
-  // Requests on a few busy keys, and loads that call for moves and splits.
+  // Requests on a few busy keys, with loads that cause moves and splits.
   void send_requests() {
     for (std::unique_ptr<Node> const& node : nodes)
       for (int i = 0; i < 10; ++i)
-        node->holder->count(static_cast<std::uint16_t>(loop.one_in(2) ? loop.chance() % 3000 : loop.chance()));
+        node->granter->count(static_cast<std::uint16_t>(loop.one_in(2) ? loop.chance() % 3000 : loop.chance()));
     loop.after(50ms, [this] { send_requests(); });
   }
   void apply_random_load() {
@@ -345,7 +345,7 @@
     send_requests();
   }
 
-  // A coordinator: plans ten times a second, writes by compare and set.
+  // A coordinator that plans ten times a second and writes by compare-and-set.
   void run_coordinator(std::size_t const i) {
     loop.after(100ms, [this, i] { run_coordinator(i); });
     if (loop.now < planner_suspended_until[i]) return;
@@ -384,7 +384,7 @@
           if (node->voters_cut || node->registries_cut || loop.one_in(10)) continue;
           loop.after(loop.between(1, 30), [this, &n = *node, incarnation = node->incarnation, next] {
             on_node(n, incarnation, [this, &n, next] {
-              n.holder->on_table(next);
+              n.granter->on_table(next);
               send_urgent(n);
             });
           });
@@ -408,7 +408,7 @@
     node.backend->alive = false;
     loop.after(loop.between(50, 400), [this, &node, id = node.backend->instance, incarnation = node.incarnation] {
       on_node(node, incarnation, [this, &node, id] {
-        node.holder->on_instance_ended(id, "its port refuses connections");
+        node.granter->on_instance_ended(id, "its port refuses connections");
         send_urgent(node);
       });
     });
@@ -447,7 +447,7 @@
       case 4:
         node.backend->suspended_until = loop.now + loop.between(500, 6000);
         break;
-      case 5:  // both, as a machine that stops
+      case 5:  // both, like a machine that stops
         node.backend->suspended_until = node.suspended_until = loop.now + loop.between(500, 9000);
         break;
       case 6:
@@ -465,14 +465,14 @@
           planner_suspended_until[i] = loop.now + loop.between(500, 8000);
         }
         break;
-      case 10:  // a planned end
+      case 10:  // a planned shutdown
         if (!node.backend->alive || node.backend->draining) break;
         node.backend->draining = true;
         loop.after(loop.between(1500, 4000), [this, &node, b = node.backend] {
           if (b->alive && node.backend == b) kill_backend(node);
         });
         break;
-      case 11:  // from the registries, while the core is still in reach
+      case 11:  // cut off from the registries, while the core is still reachable
         node.registries_cut = true;
         loop.after(loop.between(500, 12000), [&node] { node.registries_cut = false; });
         break;
@@ -519,12 +519,12 @@
   EXPECT_GT(changes, 500u);
 }
 
-TEST(KeyTrial, no_key_is_held_twice_and_all_are_held_again_in_calm) { no_key_is_held_twice(false); }
+TEST(KeyTrial, no_key_is_held_twice_and_all_are_held_again_after_the_faults) { no_key_is_held_twice(false); }
 
-TEST(KeyTrial, the_same_holds_when_a_table_comes_after_the_version_that_was_confirmed) { no_key_is_held_twice(true); }
+TEST(KeyTrial, no_key_is_held_twice_when_a_table_arrives_after_its_confirmed_revision) { no_key_is_held_twice(true); }
 
-// Rows that were cut and are joined again take the higher fence of the two.
-TEST(KeyTrial, rows_joined_amid_troubles_are_neither_refused_nor_held_twice) {
+// A row merged from two parts takes the higher fence of the two.
+TEST(KeyTrial, rows_merged_during_faults_are_neither_refused_nor_held_twice) {
   KeySettings merging;
   merging.many_rows_share = 0.05;
   std::size_t rows_merged = 0;
@@ -545,7 +545,7 @@
   EXPECT_GT(rows_merged, 30u);
 }
 
-// A coordinator that doesn't wait for the lease to end is found out.
+// Checks the checker: a coordinator that doesn't wait for the end of a lease must be detected.
 TEST(KeyTrial, the_check_finds_a_coordinator_that_does_not_wait) {
   KeySettings no_wait;
   no_wait.term = 0s;
@@ -561,7 +561,7 @@
   EXPECT_GT(double_holds, 0u);
 }
 
-TEST(KeyTrial, a_drained_backend_is_without_keys_within_two_seconds_and_hands_its_tokens_over) {
+TEST(KeyTrial, a_drained_backend_hands_over_its_keys_with_tokens_within_two_seconds) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Trial trial(seed, 5, KeySettings{});
     trial.loop.run_for(10s);
@@ -571,7 +571,7 @@
     std::size_t const rows_before = leaving.rows.size();
     std::size_t const with_before = trial.moved_with_token();
     std::size_t const without_before = trial.moved_without_token();
-    // The drain counts from the beat that tells of it.
+    // The drain counts from the heartbeat that reports it.
     std::uint64_t const heartbeats = leaving.heartbeats;
     while (leaving.heartbeats == heartbeats) trial.loop.run_for(10ms);
     trial.loop.run_for(2s);
@@ -607,9 +607,9 @@
   }
 }
 
-// A loss of power everywhere: every node comes back with a new backend, in any
-// order, and the coordinators know nothing but the table.
-TEST(KeyTrial, after_everything_was_off_each_node_has_its_rows_back) {
+// A power loss of the whole fleet: every node returns with a new backend, in any order, and the coordinators only
+// have the table.
+TEST(KeyTrial, after_a_full_power_loss_each_node_gets_its_rows_back) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Trial trial(seed, 5, KeySettings{});
     trial.loop.run_for(10s);
@@ -640,9 +640,8 @@
   }
 }
 
-// Backends of three speeds and busy keys that lie together: the load evens out,
-// and then hardly a row moves.
-TEST(KeyTrial, load_evens_out_between_backends_of_different_speed_and_then_rests) {
+// Backends of three speeds with adjacent busy keys: the load becomes balanced, and then hardly a row moves.
+TEST(KeyTrial, load_is_balanced_between_backends_of_different_speed_and_then_stays) {
   Trial trial(11, 4, KeySettings{});
   std::map<std::string, double> const speed{{"node-1", 1.0}, {"node-2", 2.0}, {"node-3", 3.0}, {"node-4", 2.0}};
   auto const demand = [](std::uint32_t const from, std::uint32_t const to) {
@@ -660,7 +659,7 @@
       std::size_t const times =
           static_cast<std::size_t>(weight) + (trial.loop.chance() % 1000 < (weight - std::floor(weight)) * 1000);
       for (std::size_t i = 0; i < times; ++i)
-        for (std::unique_ptr<Node> const& node : trial.nodes) node->holder->count(static_cast<std::uint16_t>(key));
+        for (std::unique_ptr<Node> const& node : trial.nodes) node->granter->count(static_cast<std::uint16_t>(key));
     }
     trial.loop.after(100ms, request);
   };
