--- a/tests/coordination/key_table_feed_test.cpp
+++ b/tests/coordination/key_table_feed_test.cpp
@@ -76,7 +76,7 @@
     for (int i = 0; i < 10; ++i) add_node("a" + std::to_string(i), "a", "s");
     for (int i = 0; i < 5; ++i) add_node("b" + std::to_string(i), "b", "s");
     watch_dispatchers();
-    net.tap = [this](SimProcess const&, Address const&, std::uint8_t const kind, Bytes const& raw) {
+    net.on_send = [this](SimProcess const&, Address const&, std::uint8_t const kind, Bytes const& raw) {
       bytes.add_sent(kind, raw);
     };
     EXPECT_TRUE(run_until([&] { return nodes_seen("a9") == 10 && nodes_seen("b4") == 5; }, 15s));
@@ -366,10 +366,10 @@
   EXPECT_EQ(read->held.bytes, "seven");
   EXPECT_EQ(t.bytes.whole_tables, 1u);
   // A voter that loses its power as it is about to send the value.
-  std::size_t struck = 0;
-  t.net.struck = [&](SimProcess& voter, std::uint8_t const kind) {
-    if (kind != ReadRegister::kind || t.bytes.whole_tables != 2 || struck > 0) return false;
-    ++struck;
+  std::size_t before_reply = 0;
+  t.net.before_reply = [&](SimProcess& voter, std::uint8_t const kind) {
+    if (kind != ReadRegister::kind || t.bytes.whole_tables != 2 || before_reply > 0) return false;
+    ++before_reply;
     voter.kill();
     return true;
   };
