--- a/source/transport/idle_limit.hpp
+++ b/source/transport/idle_limit.hpp
@@ -15,10 +15,10 @@
   /// A reused connection ended before any byte of an answer. `rested` is how long it was
   /// idle before, `after` how long the request had been out: a backend that has forgotten
   /// a connection resets it at once, one that fails while it works does not.
-  void on_silent_end(Instant now, Duration rested, Duration after);
+  void on_silent_end(Instant now, Duration idle_for, Duration after);
 
  private:
-  Duration learnt_{};
+  Duration learnt_limit_{};
   Instant learnt_until_{};
 };
 
