--- a/source/programs/proxy.hpp
+++ b/source/programs/proxy.hpp
@@ -48,12 +48,12 @@
   Rules const& rules() const { return *node_.rules; }
 
   Task<HttpReply> call(HttpRequest q) { return caller_side_.call(std::move(q)); }
-  HttpReply beat(std::string const& body) { return backend_side_.on_heartbeat(body); }
+  HttpReply handle_heartbeat(std::string const& body) { return backend_side_.on_heartbeat(body); }
 
   HttpReply handle_platform_request(HttpRequest const& q) {
     std::string const path = q.target.substr(0, q.target.find('?'));
     if (path == "/beat") {
-      if (q.method == "POST") return beat(q.body);
+      if (q.method == "POST") return handle_heartbeat(q.body);
       HttpReply no = json_reply(405, {{"error", "use POST"}});
       no.headers.push_back({"Allow", "POST"});
       return no;
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -55,7 +55,7 @@
     dispatcher.on<Follow>([this](Follow q) { return follow(std::move(q)); });
     dispatcher.on<RegisterValuesRequest>([this](RegisterValuesRequest q) { return layouts(q); });
     dispatcher.on<RegistryExchange>([this](RegistryExchange q) { return meet(std::move(q)); });
-    dispatcher.on<Heartbeat>([this](Heartbeat q) { return beat(std::move(q)); });
+    dispatcher.on<Heartbeat>([this](Heartbeat q) { return on_heartbeat(std::move(q)); });
     dispatcher.on<Suspect>([this](Suspect q) { return suspect(std::move(q)); });
     dispatcher.on<ZoneAnnouncement>([this](ZoneAnnouncement q) { return receive_announcement(std::move(q)); });
     dispatcher.on<ChosenValue>([this](ChosenValue q) { return chosen(std::move(q)); });
@@ -471,7 +471,7 @@
     co_return reply;
   }
 
-  Task<NoReply> beat(Heartbeat q) {
+  Task<NoReply> on_heartbeat(Heartbeat q) {
     std::shared_ptr<ZoneFeed<Env>> const feed = feed_of(q.zone);
     if (feed) feed->on_heartbeat(q);
     co_return NoReply{};
