--- a/source/state/decision_log.hpp
+++ b/source/state/decision_log.hpp
@@ -10,8 +10,8 @@
 
 class DecisionLog {
  public:
-  DecisionLog(std::string node, std::uint64_t const life, std::size_t const limit)
-      : node_(std::move(node)), life_(life), journal_(limit) {}
+  DecisionLog(std::string node, std::uint64_t const incarnation, std::size_t const limit)
+      : node_(std::move(node)), incarnation_(incarnation), journal_(limit) {}
 
   void append(CallEvent e) {
     e.node = node_;
@@ -22,29 +22,29 @@
   DecisionsReply since(DecisionsRequest const& q) const {
     DecisionsReply reply;
     std::uint64_t from = q.from_now ? journal_.last() : 0;
-    auto const had = q.after.find(node_);
-    if (had != q.after.end()) {
-      from = had->second.epoch == life_ ? std::min(had->second.seq, journal_.last()) : 0;
-      if (had->second.epoch != life_) reply.gaps.push_back(Gap{node_, 0});
+    auto const last_seen = q.after.find(node_);
+    if (last_seen != q.after.end()) {
+      from = last_seen->second.epoch == incarnation_ ? std::min(last_seen->second.seq, journal_.last()) : 0;
+      if (last_seen->second.epoch != incarnation_) reply.gaps.push_back(Gap{node_, 0});
     }
     if (from < journal_.trimmed()) {
-      if (had != q.after.end()) reply.gaps.push_back(Gap{node_, journal_.trimmed() - from});
+      if (last_seen != q.after.end()) reply.gaps.push_back(Gap{node_, journal_.trimmed() - from});
       from = journal_.trimmed();
     }
-    std::uint64_t at = from;
+    std::uint64_t last_read = from;
     std::vector<CallEvent> const events = *journal_.since(from, 4096);
     for (CallEvent const& e : events) {
       if (reply.events.size() >= q.max_events) break;
-      at = e.number;
+      last_read = e.number;
       if (q.filter.matches(e)) reply.events.push_back(e);
     }
-    reply.next[node_] = Position{life_, at};
+    reply.next[node_] = Position{incarnation_, last_read};
     return reply;
   }
 
  private:
   std::string const node_;
-  std::uint64_t const life_;
+  std::uint64_t const incarnation_;
   Journal<CallEvent> journal_;
 };
 
--- a/source/state/journal.hpp
+++ b/source/state/journal.hpp
@@ -10,13 +10,13 @@
 
 namespace banktide {
 
-template <class E>
+template <class Event>
 class Journal {
  public:
   explicit Journal(std::size_t const limit) : limit_(limit) {}
 
-  std::uint64_t append(E e) {
-    events_.push_back(std::move(e));
+  std::uint64_t append(Event event) {
+    events_.push_back(std::move(event));
     if (events_.size() > limit_) {
       events_.pop_front();
       ++trimmed_;
@@ -27,11 +27,11 @@
   std::uint64_t trimmed() const { return trimmed_; }
 
   // Events after `seen`, at most `most`; none if some of them are trimmed.
-  std::optional<std::vector<E>> since(std::uint64_t const seen,
-                                      std::size_t const most = static_cast<std::size_t>(-1)) const {
+  std::optional<std::vector<Event>> since(std::uint64_t const seen,
+                                          std::size_t const max_events = static_cast<std::size_t>(-1)) const {
     if (seen < trimmed_ || seen > last()) return std::nullopt;
-    std::vector<E> out;
-    for (std::size_t i = static_cast<std::size_t>(seen - trimmed_); i < events_.size() && out.size() < most; ++i)
+    std::vector<Event> out;
+    for (std::size_t i = static_cast<std::size_t>(seen - trimmed_); i < events_.size() && out.size() < max_events; ++i)
       out.push_back(events_[i]);
     return out;
   }
@@ -39,7 +39,7 @@
  private:
   std::size_t const limit_;
   std::uint64_t trimmed_ = 0;
-  std::deque<E> events_;
+  std::deque<Event> events_;
 };
 
 }  // namespace banktide
--- a/source/state/layout.hpp
+++ b/source/state/layout.hpp
@@ -100,15 +100,15 @@
       l.services.push_back(std::move(service));
     }
     std::set<std::string> prefixes;
-    std::size_t at = 0;
+    std::size_t index = 0;
     for (Json const& w : (*j)["ways"]) {
-      std::string const pointer = "/ways/" + std::to_string(at++);
-      PathRoute way{w["prefix"].get<std::string>(), l.service_names.find(w["service"].get<std::string>())};
-      if (way.service == no_index)
+      std::string const pointer = "/ways/" + std::to_string(index++);
+      PathRoute route{w["prefix"].get<std::string>(), l.service_names.find(w["service"].get<std::string>())};
+      if (route.service == no_index)
         return make_error("check_references", pointer + "/service", "no such service", Proof::not_run);
-      if (!prefixes.insert(way.prefix).second)
+      if (!prefixes.insert(route.prefix).second)
         return make_error("check_references", pointer + "/prefix", "prefix stands twice", Proof::not_run);
-      l.path_routes.push_back(std::move(way));
+      l.path_routes.push_back(std::move(route));
     }
     std::sort(l.path_routes.begin(), l.path_routes.end(),
               [](PathRoute const& a, PathRoute const& b) { return a.prefix.size() > b.prefix.size(); });
@@ -159,13 +159,13 @@
     Catalogue c;
     c.entries.resize(layout.services.size());
     c.closed.resize(layout.services.size(), false);
-    std::size_t at = 0;
+    std::size_t index = 0;
     for (Json const& name : j->value("closed", Json::array())) {
       Index const s = layout.service_names.find(name.get<std::string>());
       if (s == no_index && !lenient)
-        return make_error("check_references", "/closed/" + std::to_string(at), "no such service", Proof::not_run);
+        return make_error("check_references", "/closed/" + std::to_string(index), "no such service", Proof::not_run);
       if (s != no_index) c.closed[s] = true;
-      ++at;
+      ++index;
     }
     for (auto const& [zone, services] : (*j)["cells"].items()) {
       bool const gone = layout.zones.find(zone) == no_index;
--- a/source/state/placement.hpp
+++ b/source/state/placement.hpp
@@ -39,7 +39,7 @@
     if (!now) return tl::unexpected<Error>(now.error());
     try {
       Placement p(*want, layout, *now);
-      Result<bool> const met = p.meet();
+      Result<bool> const met = p.find_placement();
       if (!met) return tl::unexpected<Error>(met.error());
       return p.catalogue().dump();
     } catch (z3::exception const& e) {
@@ -48,26 +48,26 @@
   }
 
  private:
-  struct Part {
+  struct Assignment {
     std::string service, cell;
     bool keyed = false;
-    std::vector<std::uint32_t> had;  // slices; for a service without keys one 0 if it was here
-    z3::expr n;                      // how many slices; 0 or 1 without keys
+    std::vector<std::uint32_t> current_slices;  // slices; for a service without keys one 0 if it was here
+    z3::expr n;                                 // how many slices; 0 or 1 without keys
   };
 
   Placement(Json const& want, Layout const& layout, Json now)
-      : want_(want), layout_(layout), now_(std::move(now)), rules_(z_) {
+      : want_(want), layout_(layout), now_(std::move(now)), constraints_(z_) {
     for (auto const& [service, w] : want_["services"].items())
       for (auto const& [cell, c] : want_["cells"].items()) {
         Service const& s = layout_.services[layout_.service_names.find(service)];
-        Part p{service, cell, s.keyed(), {}, z_.int_const((service + "@" + cell).c_str())};
+        Assignment p{service, cell, s.keyed(), {}, z_.int_const((service + "@" + cell).c_str())};
         Json const& cells = now_["cells"];
         if (cells.contains(cell) && cells[cell].contains(service)) {
           Json const all = s.keyed() ? Json{{0, s.slices - 1}} : Json{{0, 0}};
           for (Json const& range : cells[cell][service].value("slices", all))
-            for (std::uint32_t i = range[0]; i <= range[1].get<std::uint32_t>(); ++i) p.had.push_back(i);
+            for (std::uint32_t i = range[0]; i <= range[1].get<std::uint32_t>(); ++i) p.current_slices.push_back(i);
         }
-        parts_.push_back(std::move(p));
+        assignments_.push_back(std::move(p));
       }
   }
 
@@ -94,47 +94,47 @@
     return true;
   }
 
-  void rule(z3::expr const& e, std::string const& pointer) {
-    rules_.push_back(e);
+  void add_constraint(z3::expr const& e, std::string const& pointer) {
+    constraints_.push_back(e);
     pointers_.push_back(pointer);
   }
 
   z3::expr number(std::uint64_t const n) { return z_.int_val(n); }
 
-  void make_rules() {
+  void add_constraints() {
     for (auto const& [service, w] : want_["services"].items()) {
       Service const& s = layout_.services[layout_.service_names.find(service)];
       z3::expr sum = number(0), cells = number(0);
-      for (Part const& p : parts_) {
+      for (Assignment const& p : assignments_) {
         if (p.service != service) continue;
         sum = sum + p.n;
         cells = cells + z3::ite(p.n > 0, number(1), number(0));
         Json const allowed = w.value("cells", Json::array());
         if (!allowed.empty() && std::find(allowed.begin(), allowed.end(), Json(p.cell)) == allowed.end())
-          rule(p.n == 0, "/services/" + service + "/cells");
+          add_constraint(p.n == 0, "/services/" + service + "/cells");
       }
-      if (s.keyed()) rule(sum == number(s.slices), "/services/" + service);
-      rule(cells >= number(w.value("spread", 1u)), "/services/" + service + "/spread");
+      if (s.keyed()) add_constraint(sum == number(s.slices), "/services/" + service);
+      add_constraint(cells >= number(w.value("spread", 1u)), "/services/" + service + "/spread");
     }
     for (auto const& [cell, c] : want_["cells"].items()) {
       z3::expr sum = number(0);
-      for (Part const& p : parts_)
+      for (Assignment const& p : assignments_)
         if (p.cell == cell) sum = sum + number(want_["services"][p.service]["burden"].get<std::uint64_t>()) * p.n;
-      rule(sum <= number(c["capacity"].get<std::uint64_t>()), "/cells/" + cell + "/capacity");
+      add_constraint(sum <= number(c["capacity"].get<std::uint64_t>()), "/cells/" + cell + "/capacity");
     }
     std::size_t at = 0;
     for (Json const& pair : want_.value("apart", Json::array())) {
-      for (Part const& a : parts_)
-        for (Part const& b : parts_)
+      for (Assignment const& a : assignments_)
+        for (Assignment const& b : assignments_)
           if (a.cell == b.cell && pair[0] == a.service && pair[1] == b.service)
-            rule(a.n == 0 || b.n == 0, "/apart/" + std::to_string(at));
+            add_constraint(a.n == 0 || b.n == 0, "/apart/" + std::to_string(at));
       ++at;
     }
   }
 
   z3::expr bounds() {
     z3::expr all = z_.bool_val(true);
-    for (Part const& p : parts_) {
+    for (Assignment const& p : assignments_) {
       std::uint32_t const most = p.keyed ? layout_.services[layout_.service_names.find(p.service)].slices : 1;
       all = all && p.n >= 0 && p.n <= number(most);
     }
@@ -142,36 +142,37 @@
   }
 
   // The fewest moves, then as few places as that leaves.
-  Result<bool> meet() {
-    make_rules();
+  Result<bool> find_placement() {
+    add_constraints();
     z3::optimize best(z_);
     z3::params limits(z_);
     limits.set("timeout", 20000u);
     best.set(limits);
     best.add(bounds());
     z3::expr moves = number(0), places = number(0);
-    for (Part const& p : parts_) {
-      z3::expr const had = number(p.had.size());
-      moves = moves + z3::ite(p.n > had, p.n - had, had - p.n);
+    for (Assignment const& p : assignments_) {
+      z3::expr const current_slices = number(p.current_slices.size());
+      moves = moves + z3::ite(p.n > current_slices, p.n - current_slices, current_slices - p.n);
       places = places + z3::ite(p.n > 0, number(1), number(0));
     }
-    for (z3::expr const& r : rules_) best.add(r);
+    for (z3::expr const& r : constraints_) best.add(r);
     best.minimize(moves);
     best.minimize(places);
     z3::check_result const r = best.check();
-    if (r == z3::unsat) return unmet();
+    if (r == z3::unsat) return report_conflict();
     if (r == z3::unknown) return make_error("solve", "", "no answer in 20 s", Proof::not_run);
     z3::model const m = best.get_model();
-    for (Part const& p : parts_) counts_.push_back(static_cast<std::size_t>(m.eval(p.n, true).get_numeral_int()));
+    for (Assignment const& p : assignments_)
+      counts_.push_back(static_cast<std::size_t>(m.eval(p.n, true).get_numeral_int()));
     return true;
   }
 
   // Which constraints can't be met together.
-  Result<bool> unmet() {
+  Result<bool> report_conflict() {
     z3::solver s(z_);
     s.add(bounds());
     for (std::size_t i = 0; i < pointers_.size(); ++i)
-      s.add(rules_[static_cast<int>(i)], ("r" + std::to_string(i)).c_str());
+      s.add(constraints_[static_cast<int>(i)], ("r" + std::to_string(i)).c_str());
     s.check();
     std::set<std::string> names;
     z3::expr_vector const core = s.unsat_core();
@@ -191,18 +192,19 @@
       Service const& s = layout_.services[layout_.service_names.find(service)];
       std::vector<bool> free(std::max<std::uint32_t>(s.slices, 1), true);
       std::map<std::string, std::vector<std::uint32_t>> has;
-      for (std::size_t i = 0; i < parts_.size(); ++i)
-        if (parts_[i].service == service)
-          for (std::uint32_t const slice : parts_[i].had)
-            if (has[parts_[i].cell].size() < counts_[i] && (free[slice] || !parts_[i].keyed)) {
-              has[parts_[i].cell].push_back(slice);
+      for (std::size_t i = 0; i < assignments_.size(); ++i)
+        if (assignments_[i].service == service)
+          for (std::uint32_t const slice : assignments_[i].current_slices)
+            if (has[assignments_[i].cell].size() < counts_[i] && (free[slice] || !assignments_[i].keyed)) {
+              has[assignments_[i].cell].push_back(slice);
               free[slice] = false;
             }
-      for (std::size_t i = 0; i < parts_.size(); ++i)
+      for (std::size_t i = 0; i < assignments_.size(); ++i)
         for (std::uint32_t slice = 0;
-             parts_[i].service == service && has[parts_[i].cell].size() < counts_[i] && slice < free.size(); ++slice)
-          if (free[slice] || !parts_[i].keyed) {
-            has[parts_[i].cell].push_back(slice);
+             assignments_[i].service == service && has[assignments_[i].cell].size() < counts_[i] && slice < free.size();
+             ++slice)
+          if (free[slice] || !assignments_[i].keyed) {
+            has[assignments_[i].cell].push_back(slice);
             free[slice] = false;
           }
       for (auto& [cell, slices] : has) {
@@ -226,9 +228,9 @@
   Layout const& layout_;
   Json const now_;
   z3::context z_;
-  z3::expr_vector rules_;
+  z3::expr_vector constraints_;
   std::vector<std::string> pointers_;
-  std::vector<Part> parts_;
+  std::vector<Assignment> assignments_;
   std::vector<std::size_t> counts_;
 };
 
