--- a/source/simulation/history.hpp
+++ b/source/simulation/history.hpp
@@ -19,7 +19,7 @@
   std::string id, service, key, zone, machine;
   bool repeatable = false;
   Instant sent{}, answered{};
-  Instant taken{};  // by the node, which may have been frozen for a while
+  Instant received_at{};  // by the node, which may have been frozen for a while
   std::uint16_t status = 0;
   // answered, not-run, unknown; lost: no answer came; unsent: nobody listened;
   // hung-up: the caller went away.
@@ -139,7 +139,7 @@
         out.push_back("ran twice: " + r.id);
       else if (r.service != c->second.service)
         out.push_back("ran at the wrong service: " + r.id + " at " + r.service);
-      else if (r.begin > c->second.taken + 2500ms)
+      else if (r.begin > c->second.received_at + 2500ms)
         out.push_back("ran past its deadline: " + r.id + " at " + ms(r.begin));
       else if (c->second.outcome == "unsent")
         out.push_back("ran though never sent: " + r.id);
--- a/source/simulation/sim_mishaps.hpp
+++ b/source/simulation/sim_faults.hpp
@@ -10,7 +10,7 @@
 class SimFaults : public SimTraffic {
  protected:
   explicit SimFaults(Scenario s) : SimTraffic(std::move(s)) {
-    net_.struck = [this](SimProcess& p, std::uint8_t const kind) { return struck(p, kind); };
+    net_.before_reply = [this](SimProcess& p, std::uint8_t const kind) { return strike_before_reply(p, kind); };
   }
 
   static std::vector<std::string> const& kinds() {
@@ -80,7 +80,8 @@
   void extend_faults(Duration const d) { faults_until_ = std::max(faults_until_, sim_.now + d); }
 
   void fail(std::string const& kind) {
-    std::size_t const node = sim_.chance() % nodes_.size(), core = anyone(), backend = sim_.chance() % backends_.size();
+    std::size_t const node = sim_.chance() % nodes_.size(), core = random_core(),
+                      backend = sim_.chance() % backends_.size();
     Duration const for_a_while = std::chrono::milliseconds(300 + sim_.chance() % 4000);
     extend_faults(for_a_while + 100ms);
     fail_machines(kind, node, core, for_a_while);
@@ -100,27 +101,27 @@
     if (kind == "kill_herd") {
       for (std::size_t i = 0; i < nodes_.size(); ++i)
         if (sim_.chance() % 3 == 0) kill_node(i, for_a_while);
-      for (std::size_t k = 0; k < controls_.size(); ++k)
-        if (sim_.chance() % 3 == 0) kill_control(k, for_a_while);
+      for (std::size_t k = 0; k < registry_hosts_.size(); ++k)
+        if (sim_.chance() % 3 == 0) kill_registry(k, for_a_while);
     }
     if (kind == "kill_gateways")
       for (std::size_t i = 0; i < nodes_.size(); ++i)
-        if (nodes_[i].gateway && nodes_[i].cell == controls_[core].cell) kill_node(i, for_a_while);
-    if (kind == "roll_node") roll_node(node);
-    if (kind == "roll_registry") roll_control(core);
-    if (kind == "roll_store") roll_voter(core);
+        if (nodes_[i].gateway && nodes_[i].zone == registry_hosts_[core].zone) kill_node(i, for_a_while);
+    if (kind == "roll_node") restart_node(node);
+    if (kind == "roll_registry") restart_registry(core);
+    if (kind == "roll_store") restart_store(core);
     if (kind == "roll_all") {
       std::size_t at = 0;
-      for (std::size_t i = 0; i < nodes_.size(); ++i) sim_.after(9s * at++, [this, i] { roll_node(i); });
-      for (std::size_t k = 0; k < controls_.size(); ++k) {
-        sim_.after(9s * at++, [this, k] { roll_control(k); });
-        sim_.after(9s * at++, [this, k] { roll_voter(k); });
+      for (std::size_t i = 0; i < nodes_.size(); ++i) sim_.after(9s * at++, [this, i] { restart_node(i); });
+      for (std::size_t k = 0; k < registry_hosts_.size(); ++k) {
+        sim_.after(9s * at++, [this, k] { restart_registry(k); });
+        sim_.after(9s * at++, [this, k] { restart_store(k); });
       }
       extend_faults(9s * at);
     }
     if (kind == "freeze_node") freeze(nodes_[node].process, for_a_while);
-    if (kind == "kill_registry") kill_control(core, for_a_while);
-    if (kind == "freeze_registry") freeze(controls_[core].process, for_a_while);
+    if (kind == "kill_registry") kill_registry(core, for_a_while);
+    if (kind == "freeze_registry") freeze(registry_hosts_[core].process, for_a_while);
   }
 
   // ---- the core machines: voters, their disks and the registries beside them
@@ -129,7 +130,7 @@
     if (!voters_[k].process->alive) return;
     voters_[k].process->kill();
     if (wipe) voters_[k].disk.durable = VoterRecord{};
-    kill_control(k, down);
+    kill_registry(k, down);
     sim_.after(down, [this, k] {
       if (!voters_[k].process->alive && !gone_.contains(voters_[k].machine)) start_voter(k);
     });
@@ -148,7 +149,7 @@
     Duration down{};
   };
 
-  bool struck(SimProcess& p, std::uint8_t const kind) {
+  bool strike_before_reply(SimProcess& p, std::uint8_t const kind) {
     if (!strike_ || kind != strike_->kind) return false;
     for (std::size_t const k : strike_->voters) {
       if (voters_[k].process.get() != &p) continue;
@@ -167,10 +168,10 @@
 
   void on_accept_sent(SimProcess const& from) override {
     if (!kill_between_rounds_) return;
-    for (std::size_t k = 0; k < controls_.size(); ++k)
-      if (controls_[k].process.get() == &from) {
+    for (std::size_t k = 0; k < registry_hosts_.size(); ++k)
+      if (registry_hosts_[k].process.get() == &from) {
         kill_between_rounds_ = false;
-        sim_.after(std::chrono::microseconds(sim_.chance() % 300), [this, k] { kill_control(k, 1500ms); });
+        sim_.after(std::chrono::microseconds(sim_.chance() % 300), [this, k] { kill_registry(k, 1500ms); });
       }
   }
 
@@ -213,42 +214,43 @@
   void fail_links(std::string const& kind, std::size_t const core, Duration const for_a_while) {
     std::vector<std::string> machines;
     for (Node const& n : nodes_) machines.push_back(n.machine);
-    for (Control const& c : controls_) machines.push_back(c.machine);
+    for (RegistryHost const& c : registry_hosts_) machines.push_back(c.machine);
     bool cuts = true;
     if (kind == "cut_core") {
-      for (std::size_t i = 0; i < controls_.size(); ++i)
-        for (std::size_t j = 0; j < controls_.size(); ++j)
-          if ((i < 2) != (j < 2)) sim_.cut(controls_[i].machine, controls_[j].machine);
+      for (std::size_t i = 0; i < registry_hosts_.size(); ++i)
+        for (std::size_t j = 0; j < registry_hosts_.size(); ++j)
+          if ((i < 2) != (j < 2)) sim_.cut(registry_hosts_[i].machine, registry_hosts_[j].machine);
     } else if (kind == "cut_core_one") {
-      for (std::size_t j = 0; j < controls_.size(); ++j) {
+      for (std::size_t j = 0; j < registry_hosts_.size(); ++j) {
         if (j == core) continue;
-        sim_.cut(controls_[core].machine, controls_[j].machine);
-        sim_.cut(controls_[j].machine, controls_[core].machine);
+        sim_.cut(registry_hosts_[core].machine, registry_hosts_[j].machine);
+        sim_.cut(registry_hosts_[j].machine, registry_hosts_[core].machine);
       }
     } else if (kind == "cut_cell") {
-      std::string const cell = controls_[core].cell;
-      std::set<std::string> inside{controls_[core].machine};
+      std::string const zone = registry_hosts_[core].zone;
+      std::set<std::string> inside{registry_hosts_[core].machine};
       for (Node const& n : nodes_)
-        if (n.cell == cell) inside.insert(n.machine);
+        if (n.zone == zone) inside.insert(n.machine);
       for (std::string const& a : machines)
         for (std::string const& b : machines)
           if (inside.contains(a) != inside.contains(b)) sim_.cut(a, b);
     } else if (kind == "isolate" || kind == "isolate_one_way") {
-      cut_off(machines[sim_.chance() % machines.size()], machines, kind == "isolate", sim_.chance() % 2 == 0);
+      isolate_machine(machines[sim_.chance() % machines.size()], machines, kind == "isolate", sim_.chance() % 2 == 0);
     } else {
       cuts = false;
     }
     if (cuts)
       for (std::string const& m : machines)
-        if (sim_.cut_off(m)) mark_disturbed(m);
+        if (sim_.has_cut(m)) mark_disturbed(m);
     if (cuts) sim_.after(for_a_while, [this] { sim_.heal(); });
     if (kind == "weather") {
-      sim_.weather = true;
-      sim_.after(for_a_while, [this] { sim_.weather = false; });
+      sim_.unreliable_links = true;
+      sim_.after(for_a_while, [this] { sim_.unreliable_links = false; });
     }
   }
 
-  void cut_off(std::string const& m, std::vector<std::string> const& machines, bool const both, bool const out) {
+  void isolate_machine(std::string const& m, std::vector<std::string> const& machines, bool const both,
+                       bool const out) {
     for (std::string const& other : machines) {
       if (other == m) continue;
       if (both || out) sim_.cut(m, other);
@@ -262,14 +264,14 @@
                     Duration const for_a_while) {
     Backend const b = backends_[backend];
     if (!b.alive || b.leaving) return;
-    std::string const cell = nodes_[b.node].cell;
+    std::string const zone = nodes_[b.node].zone;
     if (kind == "kill_backend") {
       kill_backend(backend);
       sim_.after(for_a_while, [this, b] { add_backend(b.service, b.node); });
     }
     if (kind == "empty_service") {
       for (std::size_t i = 0; i < backends_.size(); ++i)
-        if (backends_[i].service == b.service && nodes_[backends_[i].node].cell == cell) kill_backend(i);
+        if (backends_[i].service == b.service && nodes_[backends_[i].node].zone == zone) kill_backend(i);
       sim_.after(for_a_while, [this, b] { add_backend(b.service, b.node); });
     }
     if (kind.starts_with("drain_") || kind == "replace_backend") {
@@ -277,8 +279,8 @@
       extend_faults(6s);
       std::shared_ptr<SimProcess> const p = nodes_[b.node].process;
       if (kind == "drain_registry_dead")
-        for (std::size_t k = 0; k < controls_.size(); ++k)
-          if (controls_[k].cell == cell) kill_control(k, 5s);
+        for (std::size_t k = 0; k < registry_hosts_.size(); ++k)
+          if (registry_hosts_[k].zone == zone) kill_registry(k, 5s);
       sim_.after(kind == "drain_registry_dead" ? 100ms : 0ms, [this, backend] { drain(backend); });
       Duration const soon = std::chrono::microseconds(sim_.chance() % 1500);
       if (kind == "drain_then_kill") sim_.after(soon, [this, b, for_a_while] { kill_node(b.node, for_a_while); });
@@ -287,8 +289,8 @@
         sim_.after(soon, [this, b, for_a_while] {
           std::vector<std::string> machines;
           for (Node const& n : nodes_) machines.push_back(n.machine);
-          for (Control const& c : controls_) machines.push_back(c.machine);
-          cut_off(nodes_[b.node].machine, machines, true, true);
+          for (RegistryHost const& c : registry_hosts_) machines.push_back(c.machine);
+          isolate_machine(nodes_[b.node].machine, machines, true, true);
           sim_.after(for_a_while, [this] { sim_.heal(); });
         });
     }
@@ -309,15 +311,15 @@
       sim_.after(400ms, [this, b, other] {
         std::size_t const fresh = add_backend(other, b.node, 700ms);
         backends_[fresh].port = b.port;
-        backends_[fresh].naive = true;
+        backends_[fresh].accepts_misrouted = true;
       });
     }
     if (kind == "freeze_backend") {
       backends_[backend].frozen = true;
-      mark_service_disturbed(b.service, cell);
-      sim_.after(for_a_while, [this, backend, b, cell] {
+      mark_service_disturbed(b.service, zone);
+      sim_.after(for_a_while, [this, backend, b, zone] {
         backends_[backend].frozen = false;
-        mark_service_disturbed(b.service, cell);
+        mark_service_disturbed(b.service, zone);
       });
     }
     (void)core;
@@ -328,15 +330,15 @@
   void fail_operators(std::string const& kind, std::size_t const core) {
     if (kind == "bad_revision")
       for (auto const& [reg, body] : bad_revisions()) {
-        std::shared_ptr<SimProcess> const p = controls_[core].process;
+        std::shared_ptr<SimProcess> const p = registry_hosts_[core].process;
         HttpRequest const q{"PUT", "/" + register_name(reg), {}, body};
-        if (p->alive && !p->frozen) spawn(*p, put_bad_revision(controls_[core].registry, q));
+        if (p->alive && !p->frozen) spawn(*p, put_bad_revision(registry_hosts_[core].registry, q));
       }
     if (kind == "race") {
       Revision const now = known_[0];
       for (int i = 0; i < 3; ++i) {
         note();
-        put(anyone(), Register::routing, routing_.dump(), i < 2 ? std::optional<Revision>(now) : std::nullopt);
+        put(random_core(), Register::routing, routing_.dump(), i < 2 ? std::optional<Revision>(now) : std::nullopt);
       }
       put_catalogue();
     }
@@ -352,13 +354,13 @@
   }
 
   std::vector<std::pair<Register, std::string>> bad_revisions() {
-    Json unknown_service = catalogue_, unknown_cell = catalogue_, twice = catalogue_, outside = catalogue_,
+    Json unknown_service = catalogue_, unknown_zone = catalogue_, twice = catalogue_, outside = catalogue_,
          way = routing_, type = routing_, gone = routing_;
-    unknown_service["cells"][d_.zones[0]]["nobody"] = Json::object();
-    unknown_cell["cells"]["nowhere"] = Json::object();
-    twice["cells"][d_.zones[0]][keyed_]["slices"] = {{0, 5}};
-    twice["cells"][d_.zones[1]][keyed_]["slices"] = {{5, 9}};
-    outside["cells"][d_.zones[0]][keyed_]["slices"] = {{0, 1023}};
+    unknown_service["cells"][deployment_.zones[0]]["nobody"] = Json::object();
+    unknown_zone["cells"]["nowhere"] = Json::object();
+    twice["cells"][deployment_.zones[0]][keyed_]["slices"] = {{0, 5}};
+    twice["cells"][deployment_.zones[1]][keyed_]["slices"] = {{5, 9}};
+    outside["cells"][deployment_.zones[0]][keyed_]["slices"] = {{0, 1023}};
     way["ways"].push_back({{"prefix", "/x"}, {"service", "nobody"}});
     type["services"][keyed_]["timeout_ms"] = "soon";
     gone["cells"] = {"elsewhere"};
@@ -375,7 +377,7 @@
                                                       {Register::routing, std::string(5000, '[')},
                                                       {Register::catalogue, "{}"},
                                                       {Register::catalogue, unknown_service.dump()},
-                                                      {Register::catalogue, unknown_cell.dump()},
+                                                      {Register::catalogue, unknown_zone.dump()},
                                                       {Register::catalogue, twice.dump()},
                                                       {Register::catalogue, outside.dump()},
                                                       {Register::catalogue, "\xff\xfe"}};
@@ -404,44 +406,44 @@
 
   // As the real process does: told to leave, it goes once it is idle and its
   // leaving has spread, at the latest after 5.5 s.
-  void roll_node(std::size_t const i) {
+  void restart_node(std::size_t const i) {
     Node& n = nodes_[i];
     if (!n.process->alive || n.process->frozen || n.rolling) return;
     mark_disturbed(n.machine);
     n.proxy->leave();
     n.rolling = true;
     extend_faults(7s);
-    wait_for_exit(i, n.process->run_number, sim_.now);
+    wait_for_exit(i, n.process->incarnation, sim_.now);
   }
   void wait_for_exit(std::size_t const i, std::uint64_t const run, Instant const told) {
     Node& n = nodes_[i];
-    if (n.process->run_number != run) return;
+    if (n.process->incarnation != run) return;
     Duration const waited = sim_.now - told;
     if (!n.process->alive || waited >= 5500ms ||
         (n.proxy->idle() && (waited > 2500ms || broken_on_purpose("leaves_at_once")))) {
       n.process->kill();
       sim_.after(300ms, [this, i, run] {
-        if (nodes_[i].process->run_number == run && !gone_.contains(nodes_[i].machine)) start_node(i);
+        if (nodes_[i].process->incarnation == run && !gone_.contains(nodes_[i].machine)) start_node(i);
       });
       return;
     }
     sim_.after(20ms, [this, i, run, told] { wait_for_exit(i, run, told); });
   }
 
-  void kill_control(std::size_t const i, Duration const down) {
-    if (!controls_[i].process->alive) return;
-    mark_disturbed(controls_[i].machine);
-    controls_[i].process->kill();
+  void kill_registry(std::size_t const i, Duration const down) {
+    if (!registry_hosts_[i].process->alive) return;
+    mark_disturbed(registry_hosts_[i].machine);
+    registry_hosts_[i].process->kill();
     sim_.after(down, [this, i] {
-      if (!controls_[i].process->alive && !gone_.contains(controls_[i].machine)) start_control(i);
+      if (!registry_hosts_[i].process->alive && !gone_.contains(registry_hosts_[i].machine)) start_registry(i);
     });
   }
-  void roll_control(std::size_t const i) {
-    controls_[i].registry->leave();
-    sim_.after(1s, [this, i] { kill_control(i, 300ms); });
+  void restart_registry(std::size_t const i) {
+    registry_hosts_[i].registry->leave();
+    sim_.after(1s, [this, i] { kill_registry(i, 300ms); });
     extend_faults(1500ms);
   }
-  void roll_voter(std::size_t const i) {
+  void restart_store(std::size_t const i) {
     if (!voters_[i].process->alive) return;
     voters_[i].process->kill();
     extend_faults(500ms);
@@ -464,12 +466,12 @@
   // new catalogue; nothing else is done.
   void inject_permanent_fault(std::string const& kind) {
     ++fault_counts_[kind];
-    std::size_t const core = anyone();
-    std::string const machine = controls_[core].machine, cell = controls_[core].cell;
+    std::size_t const core = random_core();
+    std::string const machine = registry_hosts_[core].machine, zone = registry_hosts_[core].zone;
     if (kind == "core_gone" || kind == "cell_gone") {
       gone_.insert(machine);
       power_off(core, false, 0s);
-      kill_control(core, 0s);
+      kill_registry(core, 0s);
     }
     if (kind == "disk_lost") power_off(core, true, 500ms);
     if (kind == "node_gone") {
@@ -479,7 +481,7 @@
     }
     if (kind != "cell_gone") return;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
-      if (nodes_[i].cell != cell) continue;
+      if (nodes_[i].zone != zone) continue;
       gone_.insert(nodes_[i].machine);
       nodes_[i].process->kill();
       for (std::size_t b = 0; b < backends_.size(); ++b)
@@ -488,30 +490,31 @@
     std::size_t const other = core == 0 ? 1 : 0;
     sim_.after(3s, [this, other] {
       std::uint64_t const slices = routing_["services"][keyed_]["key"]["slices"];
-      catalogue_ = {{"cells", {{d_.zones[other], {{keyed_, {{"slices", {{0, slices - 1}}}}}}}}}};
-      put((other + 2) % controls_.size(), Register::catalogue, catalogue_.dump(), std::nullopt, true);
+      catalogue_ = {{"cells", {{deployment_.zones[other], {{keyed_, {{"slices", {{0, slices - 1}}}}}}}}}};
+      put((other + 2) % registry_hosts_.size(), Register::catalogue, catalogue_.dump(), std::nullopt, true);
     });
   }
 
   void repair_all() {
     sim_.heal();
-    sim_.weather = false;
+    sim_.unreliable_links = false;
     hot_ = false;
     strike_.reset();
     kill_after_acknowledgement_ = kill_between_rounds_ = false;
     for (Backend& b : backends_) b.frozen = false;
-    for (std::size_t i = 0; i < controls_.size(); ++i) {
-      if (controls_[i].process->frozen) controls_[i].process->thaw();
+    for (std::size_t i = 0; i < registry_hosts_.size(); ++i) {
+      if (registry_hosts_[i].process->frozen) registry_hosts_[i].process->thaw();
       voters_[i].disk.stalled_until = {};
-      if (!controls_[i].process->alive) start_control(i);
+      if (!registry_hosts_[i].process->alive) start_registry(i);
       if (!voters_[i].process->alive) start_voter(i);
     }
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       if (nodes_[i].process->frozen) nodes_[i].process->thaw();
       if (!nodes_[i].process->alive) start_node(i);
     }
-    for (BackendLocation const& p : d_.backends)
-      if (healthy_backends(p.service, d_.zones[p.zone]) == 0) add_backend(p.service, node_in(d_.zones[p.zone], 0));
+    for (BackendLocation const& p : deployment_.backends)
+      if (healthy_backends(p.service, deployment_.zones[p.zone]) == 0)
+        add_backend(p.service, node_in(deployment_.zones[p.zone], 0));
   }
 
   std::map<std::string, std::uint64_t> fault_counts_;
--- a/source/simulation/sim_fleet.hpp
+++ b/source/simulation/sim_fleet.hpp
@@ -2,7 +2,7 @@
 // `run` plays a scenario and hands back what was seen.
 #pragma once
 
-#include "simulation/sim_mishaps.hpp"
+#include "simulation/sim_faults.hpp"
 
 namespace banktide {
 
@@ -44,7 +44,7 @@
     calling_ = false;
     sim_.run_until(sim_.now + 6s);
     read_back();
-    history_.count_extras();
+    history_.count_extra_attempts();
     return history_;
   }
 
--- a/source/simulation/sim_machines.hpp
+++ b/source/simulation/sim_machines.hpp
@@ -71,7 +71,7 @@
     for (auto& [address, p] : net_.at) p->kill();
     for (std::shared_ptr<SimProcess> const& p : retired_processes_) p->kill();
     sim_.clear();
-    sim_.settle();
+    sim_.run_ready_handlers();
   }
 
  protected:
--- a/source/simulation/sim_traffic.hpp
+++ b/source/simulation/sim_traffic.hpp
@@ -56,7 +56,7 @@
     c.repeatable = parts[1] == "GET";
     c.sent = sim_.now;
     if (keys > 0) c.key = "k" + std::to_string(hot_ && sim_.chance() % 2 ? 0 : sim_.chance() % keys);
-    if (sim_.now - fault_at_ < 3s) c.after = fault_kind_;
+    if (sim_.now - fault_at_ < 3s) c.after_fault = fault_kind_;
     if (!n.process->alive) {
       c.outcome = "unsent";
       history_.calls[c.id] = c;
@@ -72,7 +72,7 @@
     std::shared_ptr<SimProcess> const p = n.process;
     std::shared_ptr<Proxy<SimProcess, SimEdge>> const proxy = n.proxy;
     p->run([this, p, proxy, q, id, want, at] {
-      history_.calls[id].taken = sim_.now;
+      history_.calls[id].received_at = sim_.now;
       spawn(*p, answer(proxy, q, id, want, at));
     });
     if (sim_.chance() % 100 == 0)
@@ -96,7 +96,7 @@
     if (!c.outcome.empty()) co_return;
     c.answered = sim_.now;
     c.status = r.status;
-    c.right = r.status == 200 && r.body == want;
+    c.correct = r.status == 200 && r.body == want;
     for (Header const& h : r.headers) {
       if (h.name == "banktide-outcome") c.outcome = h.value;
       if (h.name == "Retry-After") c.retry_after = true;
--- a/source/simulation/sim_world.hpp
+++ b/source/simulation/sim_world.hpp
@@ -25,25 +25,25 @@
   void after(Duration const d, std::function<void()> f) { at(now + d, std::move(f)); }
 
   void run_until(Instant const end) {
-    settle();
+    run_ready_handlers();
     while (!queue_.empty() && queue_.top().at <= end) {
       Entry e = queue_.top();
       queue_.pop();
       now = e.at;
       e.f();
-      settle();
+      run_ready_handlers();
     }
     now = std::max(now, end);
   }
 
-  void settle() {
+  void run_ready_handlers() {
     io.restart();
     io.poll();
   }
 
   void clear() {
     queue_ = {};
-    settle();
+    run_ready_handlers();
   }
 
   // Cuts are one-way, by machine.
@@ -372,21 +372,21 @@
 
   Result<VoterRecord> load() { return durable; }
   Task<Result<bool>> save(VoterRecord const& r) {
-    SimProcess* const own_wait = process;
+    SimProcess* const owner = process;
     VoterRecord const next = r;
-    Duration wait = std::chrono::microseconds(200 + own_wait->chance()() % 2000);
-    if (stalled_until > own_wait->sim.now) wait += stalled_until - own_wait->sim.now;
+    Duration wait = std::chrono::microseconds(200 + owner->chance()() % 2000);
+    if (stalled_until > owner->sim.now) wait += stalled_until - own_wait->sim.now;
     if (broken_on_purpose("no_sync")) {
       unsynced = next;
       co_return true;
     }
-    bool const early = own_wait->chance()() % 2 == 0;
+    bool const early = owner->chance()() % 2 == 0;
     if (early) {
-      co_await sleep_for(*own_wait, wait / 2);
+      co_await sleep_for(*owner, wait / 2);
       durable = next;
-      co_await sleep_for(*own_wait, wait / 2);
+      co_await sleep_for(*owner, wait / 2);
     } else {
-      co_await sleep_for(*own_wait, wait);
+      co_await sleep_for(*owner, wait);
       durable = next;
     }
     co_return true;
--- a/tests/coordination/key_table_feed_test.cpp
+++ b/tests/coordination/key_table_feed_test.cpp
@@ -75,9 +75,9 @@
     for (std::string const zone : {"a", "b", "c"}) add_registry("r" + zone, zone);
     for (int i = 0; i < 10; ++i) add_node("a" + std::to_string(i), "a", "s");
     for (int i = 0; i < 5; ++i) add_node("b" + std::to_string(i), "b", "s");
-    watch_dispatchers();
+    watch_desks();
     net.on_send = [this](SimProcess const&, Address const&, std::uint8_t const kind, Bytes const& raw) {
-      bytes.add_sent(kind, raw);
+      bytes.add_told(kind, raw);
     };
     EXPECT_TRUE(run_until([&] { return nodes_seen("a9") == 10 && nodes_seen("b4") == 5; }, 15s));
   }
@@ -151,7 +151,7 @@
     t.write_some("ra", 1);
     ASSERT_TRUE(t.run_until([&] { return t.all_have_newest(); }, 2s));
     t.bytes = {};
-    t.sim.weather = true;
+    t.sim.unreliable_links = true;
     t.write_some("ra", 60);
     t.restart_node("a3");
     t.watch_dispatchers();
@@ -169,7 +169,7 @@
     t.restart_node("b1");
     t.watch_dispatchers();
     t.write_some("rc", 20);
-    t.sim.weather = false;
+    t.sim.unreliable_links = false;
     t.write_some("rc", 5);
     EXPECT_GT(t.written, 150u) << seed;
     EXPECT_TRUE(t.run_until([&] { return t.all_have_newest(); }, 10s)) << seed;
@@ -189,7 +189,7 @@
   t.bytes = {};
   // The node learns of the revision by its lease request only; all updates were lost.
   SimProcess& process = *t.nodes.at("a2").process;
-  t.sim.weather = false;
+  t.sim.unreliable_links = false;
   process.thaw();
   bool fetched = false;
   auto const fetch = [&t, &fetched]() -> Task<void> {
@@ -366,17 +366,17 @@
   EXPECT_EQ(read->held.bytes, "seven");
   EXPECT_EQ(t.bytes.whole_tables, 1u);
   // A voter that loses its power as it is about to send the value.
-  std::size_t before_reply = 0;
+  std::size_t power_losses = 0;
   t.net.before_reply = [&](SimProcess& voter, std::uint8_t const kind) {
-    if (kind != ReadRegister::kind || t.bytes.whole_tables != 2 || before_reply > 0) return false;
-    ++before_reply;
+    if (kind != ReadRegister::kind || t.bytes.wholes != 2 || power_losses > 0) return false;
+    ++power_losses;
     voter.kill();
     return true;
   };
   Result<ConfirmedValue> const again = t.confirm(2, Register::keys, RegisterValue{}, 3s);
   ASSERT_TRUE(again);
   EXPECT_EQ(again->held.bytes, "seven");
-  EXPECT_EQ(before_reply, 1u);
+  EXPECT_EQ(power_losses, 1u);
 }
 
 }  // namespace
--- a/tests/coordination/store_trial.hpp
+++ b/tests/coordination/store_trial.hpp
@@ -25,7 +25,7 @@
   }
   // Starts the coroutines spawned last, so that they end with their processes.
   ~StoreTrial() {
-    sim.settle();
+    sim.run_ready_handlers();
     for (std::shared_ptr<SimProcess> const& p : all) p->kill();
     for (std::shared_ptr<SimProcess> const& p : clients) p->kill();
     sim.clear();
--- a/tests/coordination/zone_feed_test.cpp
+++ b/tests/coordination/zone_feed_test.cpp
@@ -18,10 +18,10 @@
   }
   // Lets tasks that were spawned last start, so that they end with their process.
   ~FeedTrial() {
-    sim.settle();
+    sim.run_ready_handlers();
     process->kill();
     sim.clear();
-    sim.settle();
+    sim.run_ready_handlers();
   }
 
   JoinReply join(std::string const& id, std::vector<BackendRecord> backends, Liveness const liveness = Liveness::alive,
--- a/tests/coordination/zone_trial.hpp
+++ b/tests/coordination/zone_trial.hpp
@@ -35,11 +35,11 @@
   }
   // Lets tasks that were spawned last start, so that they end with their process.
   ~ZoneTrial() {
-    sim.settle();
+    sim.run_ready_handlers();
     for (auto const& [address, p] : net.at) p->kill();
     for (std::shared_ptr<SimProcess> const& p : dead_processes) p->kill();
     sim.clear();
-    sim.settle();
+    sim.run_ready_handlers();
   }
   ZoneTrial(ZoneTrial const&) = delete;
 
--- a/tests/data_path/request_path_model_test.cpp
+++ b/tests/data_path/request_path_model_test.cpp
@@ -54,7 +54,7 @@
   /// With leavers one client in four leaves before its answer.
   explicit FickleFleet(std::uint64_t const seed, bool const leavers = false)
       : sim_(seed), net_(sim_), leavers_(leavers) {
-    sim_.weather = true;
+    sim_.unreliable_links = true;
     own_.runs = &runs;
     own_.process = start("own");
     ServiceConfiguration configuration;
--- a/tests/programs/control_trial.hpp
+++ b/tests/programs/control_trial.hpp
@@ -65,7 +65,7 @@
   }
   ~ControlTrial() {
     over = true;
-    stores.sim.settle();
+    stores.sim.run_ready_handlers();
     for (Core const& core : all_) core.process->kill();
   }
   ControlTrial(ControlTrial const&) = delete;
--- a/tests/programs/mesh_trial.hpp
+++ b/tests/programs/mesh_trial.hpp
@@ -101,10 +101,10 @@
   }
   // Tasks spawned last must start before the processes are killed, so that they end with their process.
   ~MeshTrial() {
-    sim.settle();
+    sim.run_ready_handlers();
     for (std::shared_ptr<SimProcess> const& p : processes) p->kill();
     sim.clear();
-    sim.settle();
+    sim.run_ready_handlers();
   }
   MeshTrial(MeshTrial const&) = delete;
 
--- a/tests/programs/operator_streams_test.cpp
+++ b/tests/programs/operator_streams_test.cpp
@@ -38,12 +38,12 @@
     start_ = sim_.now;
     build();
     sim_.run_until(start_ + 6s);
-    put(0, Register::routing, d_.routing);
+    put(0, Register::routing, deployment_.routing);
     sim_.run_until(sim_.now + 1s);
-    put(1, Register::catalogue, d_.catalogue);
+    put(1, Register::catalogue, deployment_.catalogue);
     sim_.run_until(sim_.now + 3s);
     calling_ = true;
-    for (std::string const& m : d_.mix) keep_calling(m);
+    for (std::string const& m : deployment_.mix) keep_calling(m);
     streams = std::make_unique<OperatorStreams<SimProcess>>(*registry_hosts_[2].registry);
   }
   void run(Duration const d) { sim_.run_until(sim_.now + d); }
