--- a/tests/coordination/key_table_feed_test.cpp
+++ b/tests/coordination/key_table_feed_test.cpp
@@ -75,9 +75,9 @@
     for (std::string const zone : {"a", "b", "c"}) add_registry("r" + zone, zone);
     for (int i = 0; i < 10; ++i) add_node("a" + std::to_string(i), "a", "s");
     for (int i = 0; i < 5; ++i) add_node("b" + std::to_string(i), "b", "s");
-    watch_desks();
+    watch_dispatchers();
     net.on_send = [this](SimProcess const&, Address const&, std::uint8_t const kind, Bytes const& raw) {
-      bytes.add_told(kind, raw);
+      bytes.add_sent(kind, raw);
     };
     EXPECT_TRUE(run_until([&] { return nodes_seen("a9") == 10 && nodes_seen("b4") == 5; }, 15s));
   }
@@ -368,7 +368,7 @@
   // A voter that loses its power as it is about to send the value.
   std::size_t power_losses = 0;
   t.net.before_reply = [&](SimProcess& voter, std::uint8_t const kind) {
-    if (kind != ReadRegister::kind || t.bytes.wholes != 2 || power_losses > 0) return false;
+    if (kind != ReadRegister::kind || t.bytes.whole_tables != 2 || power_losses > 0) return false;
     ++power_losses;
     voter.kill();
     return true;
