--- a/tests/programs/access_keys_test.cpp
+++ b/tests/programs/access_keys_test.cpp
@@ -1,12 +1,12 @@
 // A request is executed for the tenant whose access key it carries, and refused without a valid key; tested from the
 // client's socket to the backend's.
 #include "platform/platform_adapter.hpp"
-#include "tests/programs/client_leaves_trial.hpp"
+#include "tests/programs/client_disconnect_trial.hpp"
 
 namespace banktide {
 namespace {
 
-using Script = std::function<Task<void>(LeavingTrial&)>;
+using Script = std::function<Task<void>(RoutingPathTrial&)>;
 
 /// Two tenants with two keys each; `open.test` needs no key.
 std::string const two_tenants = R"({"revision":"00000007",
@@ -26,16 +26,18 @@
   return TestNodeOptions{adapter.headers, *read};
 }
 
-void play(Way const way, Script const& script) { play_on(way, 4, tenants_options(), script); }
+void run_script(RoutingPath const routing_path, Script const& script) {
+  run_script_on(routing_path, 4, tenants_options(), script);
+}
 
 std::string request_with(std::string const& host, std::string const& attempt, std::string const& headers) {
   return "GET /thing HTTP/1.1\r\nHost: " + host + "\r\nBanktide-Attempt-Id: " + attempt + "\r\n" + headers + "\r\n";
 }
 
 /// A client that has sent one request.
-Task<std::shared_ptr<TestClient>> ask(LeavingTrial& trial, std::string const bytes) {
+Task<std::shared_ptr<TestClient>> ask(RoutingPathTrial& trial, std::string const bytes) {
   std::shared_ptr<TestClient> const client = std::make_shared<TestClient>(pool_io());
-  co_await client->connect(trial.taker().clients());
+  co_await client->connect(trial.ingress().clients());
   co_await client->send(bytes);
   co_return client;
 }
@@ -46,7 +48,7 @@
 
 /// Sends a request with these headers and returns it as the backend received it; expects that the client gets the
 /// backend's answer.
-Task<std::string> seen_by_backend(LeavingTrial& trial, std::string const host, std::string const headers) {
+Task<std::string> seen_by_backend(RoutingPathTrial& trial, std::string const host, std::string const headers) {
   std::shared_ptr<TestClient> const client = co_await ask(trial, request_with(host, "a-1", headers));
   std::shared_ptr<Peer> const run = co_await trial.backend().accept();
   std::string const request = co_await run->next();
@@ -68,14 +70,15 @@
   EXPECT_EQ(count_of(request, "key-"), 0u) << "the backend sees an access key: " << request;
 }
 
-class AccessKeysOnEachWay : public ::testing::TestWithParam<Way> {};
+class AccessKeysOnEachPath : public ::testing::TestWithParam<RoutingPath> {};
 
-INSTANTIATE_TEST_SUITE_P(Ways, AccessKeysOnEachWay,
-                         ::testing::Values(Way::same_node, Way::same_zone, Way::through_gateway));
+INSTANTIATE_TEST_SUITE_P(Paths, AccessKeysOnEachPath,
+                         ::testing::Values(RoutingPath::same_node, RoutingPath::same_zone,
+                                           RoutingPath::through_gateway));
 
 // Guards against UNASKED: requests executed for no tenant, or for a tenant that the client claims to be.
-TEST_P(AccessKeysOnEachWay, the_backend_is_told_whose_key_it_was_and_never_the_key) {
-  play(GetParam(), [](LeavingTrial& trial) -> Task<void> {
+TEST_P(AccessKeysOnEachPath, the_backend_gets_the_tenant_and_never_the_key) {
+  run_script(GetParam(), [](RoutingPathTrial& trial) -> Task<void> {
     std::string const request = co_await seen_by_backend(
         trial, "read.test", "Authorization: Bearer key-f2\r\nBanktide-Subscriber: mill\r\nbanktide-subscriber: x\r\n");
     expect_only_tenant(request, "forge");
@@ -83,16 +86,16 @@
 }
 
 // Guards against UNASKED: on a route without keys, a client claims to be a tenant.
-TEST_P(AccessKeysOnEachWay, a_route_without_keys_tells_no_tenant) {
-  play(GetParam(), [](LeavingTrial& trial) -> Task<void> {
+TEST_P(AccessKeysOnEachPath, a_route_without_keys_passes_no_tenant) {
+  run_script(GetParam(), [](RoutingPathTrial& trial) -> Task<void> {
     std::string const request = co_await seen_by_backend(trial, "open.test", "Banktide-Subscriber: mill\r\n");
     EXPECT_EQ(count_of(request, "Subscriber"), 0u) << request;
   });
 }
 
 // Guards against ROUTE: requests executed for an unknown key.
-TEST_P(AccessKeysOnEachWay, without_a_known_key_nothing_runs) {
-  play(GetParam(), [](LeavingTrial& trial) -> Task<void> {
+TEST_P(AccessKeysOnEachPath, without_a_known_key_nothing_is_executed) {
+  run_script(GetParam(), [](RoutingPathTrial& trial) -> Task<void> {
     for (std::string const headers :
          {"", "Authorization: Bearer key-m3\r\n", "Authorization: Bearer \r\n", "Authorization: Bearer\r\n",
           "Authorization: Basic key-m1\r\n", "Authorization: key-m1\r\n", "Authorization: Bearer key-m1 key-m2\r\n",
--- a/tests/programs/client_leaves_trial.hpp
+++ b/tests/programs/client_disconnect_trial.hpp
@@ -13,8 +13,8 @@
 namespace banktide {
 
 /// How long a test waits for an event before it fails; it checks no timing.
-inline constexpr Duration patience = 20s;
-/// Longer than `patience`, so that no deadline ends a request instead.
+inline constexpr Duration event_timeout = 20s;
+/// Longer than `event_timeout`, so that no deadline ends a request instead.
 inline constexpr Duration route_timeout = 120s;
 
 inline constexpr DataPathHeaders trial_header_names{"X-Attempt", "X-Remaining", "X-Target", "X-Answering", "X-Key",
@@ -40,16 +40,16 @@
 
 inline asio::io_context& pool_io() { return crossplat::threadpool::shared_instance().service(); }
 
-/// Lets other tasks of the thread run until `holds` returns true or `patience` is over.
-inline Task<bool> until(std::function<bool()> const holds) {
-  Instant const end = std::chrono::steady_clock::now() + patience;
+/// Lets other tasks of the thread run until `holds` returns true or `event_timeout` is over.
+inline Task<bool> wait_until(std::function<bool()> const holds) {
+  Instant const end = std::chrono::steady_clock::now() + event_timeout;
   while (!holds() && std::chrono::steady_clock::now() < end) co_await asio::post(pool_io(), asio::use_awaitable);
   co_return holds();
 }
 
-/// Whether the connection was closed or reset before `patience` was over.
-inline Task<bool> ends(std::shared_ptr<Peer> const peer) {
-  asio::steady_timer limit(peer->socket.get_executor(), patience);
+/// Whether the connection was closed or reset before `event_timeout` was over.
+inline Task<bool> wait_for_end(std::shared_ptr<Peer> const peer) {
+  asio::steady_timer limit(peer->socket.get_executor(), event_timeout);
   limit.async_wait([peer](ErrorCode const& cancelled) {
     ErrorCode ignored;
     if (!cancelled) peer->socket.cancel(ignored);
@@ -66,9 +66,9 @@
   explicit TestBackend(asio::io_context& io) : acceptor_(io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)) {}
   Address address() const { return address_of(acceptor_.local_endpoint()); }
 
-  /// The next connection; throws if none arrives before `patience` is over.
+  /// The next connection; throws if none arrives before `event_timeout` is over.
   Task<std::shared_ptr<Peer>> accept() {
-    asio::steady_timer limit(acceptor_.get_executor(), patience);
+    asio::steady_timer limit(acceptor_.get_executor(), event_timeout);
     limit.async_wait([this](ErrorCode const& cancelled) {
       ErrorCode ignored;
       if (!cancelled) acceptor_.cancel(ignored);
@@ -140,12 +140,12 @@
   HttpServer& server() { return *server_; }
 
   /// Sends the node the first heartbeat of a backend.
-  Task<void> take_backend(Address const address, std::uint32_t const slots) {
-    beat_.id = "i-1";
-    beat_.service = "orders";
-    beat_.address = address;
-    beat_.slots = slots;
-    beat_.sequence = 1;
+  Task<void> register_backend(Address const address, std::uint32_t const slots) {
+    heartbeat_.id = "i-1";
+    heartbeat_.service = "orders";
+    heartbeat_.address = address;
+    heartbeat_.slots = slots;
+    heartbeat_.sequence = 1;
     HttpRequest const request;
     HttpReply const reply = co_await node_->handle_interface_request(request);
     EXPECT_EQ(reply.status, 200);
@@ -166,7 +166,7 @@
   void make_adapter(DataPathHeaders const& headers) {
     adapter_.headers = headers;
     adapter_.interpret = [this](HttpRequest const&) -> tl::expected<InterfaceOperation, InterfaceReply> {
-      return InterfaceOperation(HeartbeatOperation{beat_});
+      return InterfaceOperation(HeartbeatOperation{heartbeat_});
     };
     adapter_.heartbeat_reply = [](HeartbeatAnswer const&) { return InterfaceReply{200, "", "", "", ""}; };
   }
@@ -176,53 +176,57 @@
   Address clients_;
   Dispatcher dispatcher_;
   InterfaceAdapter adapter_;
-  BackendHeartbeat beat_;
+  BackendHeartbeat heartbeat_;
   std::unique_ptr<MeshNode<SocketEnvironment>> node_;
   std::unique_ptr<HttpServer> server_;
 };
 
 /// The path of a request: where its backend is, as seen from the node that accepts it.
-enum class Way : std::uint8_t { same_node, same_zone, through_gateway };
+enum class RoutingPath : std::uint8_t { same_node, same_zone, through_gateway };
 
 /// The nodes on one path, the last of them beside the backend.
-class LeavingTrial {
+class RoutingPathTrial {
  public:
-  explicit LeavingTrial(Way const way, TestNodeOptions const& options = {})
-      : taker_(std::make_shared<TestNode>("taker", "zone-1", options)), holder_(taker_) {
-    if (way != Way::same_node) holder_ = std::make_shared<TestNode>("holder", zone_of(way), options);
-    if (way == Way::through_gateway) gateway_ = std::make_shared<TestNode>("gateway", "zone-2", options);
+  explicit RoutingPathTrial(RoutingPath const routing_path, TestNodeOptions const& options = {})
+      : ingress_(std::make_shared<TestNode>("taker", "zone-1", options)), backend_node_(ingress_) {
+    if (routing_path != RoutingPath::same_node)
+      backend_node_ = std::make_shared<TestNode>("holder", zone_of(routing_path), options);
+    if (routing_path == RoutingPath::through_gateway)
+      gateway_ = std::make_shared<TestNode>("gateway", "zone-2", options);
     backend_ = std::make_shared<TestBackend>(crossplat::threadpool::shared_instance().service());
-    static std::vector<std::shared_ptr<void>>& kept = *new std::vector<std::shared_ptr<void>>();
-    kept.insert(kept.end(), {taker_, holder_, gateway_, backend_});
+    static std::vector<std::shared_ptr<void>>& keep_alive = *new std::vector<std::shared_ptr<void>>();
+    keep_alive.insert(keep_alive.end(), {ingress_, backend_node_, gateway_, backend_});
   }
 
-  Task<void> form(Way const way, std::uint32_t const slots) {
-    co_await holder_->take_backend(backend_->address(), slots);
-    if (way == Way::same_zone) taker_->send_to(*holder_, true);
-    if (way == Way::through_gateway) {
-      taker_->send_to(*gateway_, false);
-      gateway_->send_to(*holder_, true);
+  Task<void> form(RoutingPath const routing_path, std::uint32_t const slots) {
+    co_await backend_node_->register_backend(backend_->address(), slots);
+    if (routing_path == RoutingPath::same_zone) ingress_->send_to(*backend_node_, true);
+    if (routing_path == RoutingPath::through_gateway) {
+      ingress_->send_to(*gateway_, false);
+      gateway_->send_to(*backend_node_, true);
     }
   }
 
-  TestNode& taker() { return *taker_; }
-  TestNode& holder() { return *holder_; }
+  TestNode& ingress() { return *ingress_; }
+  TestNode& backend_node() { return *backend_node_; }
   TestNode& gateway() { return *gateway_; }
   TestBackend& backend() { return *backend_; }
 
  private:
-  static std::string zone_of(Way const way) { return way == Way::same_zone ? "zone-1" : "zone-2"; }
+  static std::string zone_of(RoutingPath const routing_path) {
+    return routing_path == RoutingPath::same_zone ? "zone-1" : "zone-2";
+  }
 
-  std::shared_ptr<TestNode> taker_, holder_, gateway_;
+  std::shared_ptr<TestNode> ingress_, backend_node_, gateway_;
   std::shared_ptr<TestBackend> backend_;
 };
 
 /// Runs a script on the nodes of one path; `slots` is the concurrency of the backend.
-inline void play_on(Way const way, std::uint32_t const slots, TestNodeOptions const& options,
-                    std::function<Task<void>(LeavingTrial&)> const& script) {
+inline void run_script_on(RoutingPath const routing_path, std::uint32_t const slots, TestNodeOptions const& options,
+                          std::function<Task<void>(RoutingPathTrial&)> const& script) {
   run_on_pool_thread([&]() -> Task<void> {
-    LeavingTrial trial(way, options);
-    co_await trial.form(way, slots);
+    RoutingPathTrial trial(routing_path, options);
+    co_await trial.form(routing_path, slots);
     co_await script(trial);
   });
 }
--- a/tests/programs/configuration_reading_test.cpp
+++ b/tests/programs/configuration_reading_test.cpp
@@ -6,7 +6,7 @@
 
 // Guards against CONFIG: in a burst of changes each node parsed every version and had no time left to relay the
 // newest.
-TEST(ConfigurationReading, of_versions_that_come_at_once_only_the_newest_is_read) {
+TEST(ConfigurationReading, of_versions_that_arrive_together_only_the_newest_is_parsed) {
   std::map<std::uint64_t, std::size_t> read;
   MeshTrialOptions options;
   options.configuration = [&read](std::uint64_t const version) {
--- a/tests/programs/graceful_shutdown_test.cpp
+++ b/tests/programs/graceful_shutdown_test.cpp
@@ -2,7 +2,7 @@
 // the backend's.
 #include "programs/graceful_shutdown.hpp"
 
-#include "tests/programs/client_leaves_trial.hpp"
+#include "tests/programs/client_disconnect_trial.hpp"
 
 namespace banktide {
 namespace {
@@ -11,7 +11,7 @@
 constexpr Duration grace = 5400ms;
 constexpr Instant start = Instant{} + 1000s;
 
-TEST(GracefulShutdown, before_it_is_told_to_go_a_process_takes_everything_and_never_ends) {
+TEST(GracefulShutdown, before_the_signal_a_process_accepts_everything_and_never_exits) {
   GracefulShutdown departure(notice, grace);
   EXPECT_FALSE(departure.leaving());
   EXPECT_TRUE(departure.accepts(start, start + 1h));
@@ -19,7 +19,7 @@
 }
 
 // Guards against LOST: requests accepted 3.0 to 3.2 s after SIGTERM were cut off when the process exited.
-TEST(GracefulShutdown, takes_no_request_that_may_outlast_its_grace) {
+TEST(GracefulShutdown, accepts_no_request_that_may_outlast_the_grace_period) {
   for (Duration told = 0ms; told <= grace; told += 50ms)
     for (Duration lasts = 50ms; lasts <= grace; lasts += 50ms) {
       GracefulShutdown departure(notice, grace);
@@ -29,7 +29,7 @@
     }
 }
 
-TEST(GracefulShutdown, a_second_signal_gives_no_second_grace) {
+TEST(GracefulShutdown, a_second_signal_does_not_extend_the_grace_period) {
   GracefulShutdown departure(notice, grace);
   departure.begin(start);
   departure.begin(start + 2s);
@@ -37,7 +37,7 @@
   EXPECT_TRUE(departure.may_exit(start + grace, PendingWork{1, 1, 1}));
 }
 
-TEST(GracefulShutdown, ends_only_once_it_has_owed_nothing_for_a_moment) {
+TEST(GracefulShutdown, exits_only_after_no_work_was_pending_for_a_moment) {
   for (PendingWork const pending_work : {PendingWork{1, 0, 0}, PendingWork{0, 1, 0}, PendingWork{0, 0, 1}}) {
     GracefulShutdown departure(notice, grace);
     departure.begin(start);
@@ -50,33 +50,34 @@
   }
 }
 
-TEST(GracefulShutdown, ends_with_its_grace_whatever_it_owes) {
+TEST(GracefulShutdown, exits_after_the_grace_period_whatever_is_pending) {
   GracefulShutdown departure(notice, grace);
   departure.begin(start);
   EXPECT_FALSE(departure.may_exit(start + grace - 1ms, PendingWork{1, 1, 1}));
   EXPECT_TRUE(departure.may_exit(start + grace, PendingWork{1, 1, 1}));
 }
 
-using Script = std::function<Task<void>(LeavingTrial&)>;
+using Script = std::function<Task<void>(RoutingPathTrial&)>;
 
-void play(Way const way, Script const& script) { play_on(way, 4, {}, script); }
+void run_script(RoutingPath const routing_path, Script const& script) { run_script_on(routing_path, 4, {}, script); }
 
 std::string request_lasting(std::string const& attempt, Duration const lasting) {
   return "GET /thing HTTP/1.1\r\nHost: payments.test\r\nX-Attempt: " + attempt +
          "\r\nX-Remaining: " + std::to_string(as_ms(lasting)) + "\r\n\r\n";
 }
 
-class GracefulShutdownOnEachPath : public ::testing::TestWithParam<Way> {};
+class GracefulShutdownOnEachPath : public ::testing::TestWithParam<RoutingPath> {};
 
-INSTANTIATE_TEST_SUITE_P(Ways, GracefulShutdownOnEachPath,
-                         ::testing::Values(Way::same_node, Way::same_zone, Way::through_gateway));
+INSTANTIATE_TEST_SUITE_P(Paths, GracefulShutdownOnEachPath,
+                         ::testing::Values(RoutingPath::same_node, RoutingPath::same_zone,
+                                           RoutingPath::through_gateway));
 
 // Guards against LOST: a node that was shutting down accepted requests that it couldn't finish.
-TEST_P(GracefulShutdownOnEachPath, what_may_outlast_the_node_that_takes_it_is_refused_and_what_fits_runs) {
-  play(GetParam(), [](LeavingTrial& trial) -> Task<void> {
-    trial.taker().node().leave();
+TEST_P(GracefulShutdownOnEachPath, requests_that_may_outlast_the_node_are_refused_and_others_run) {
+  run_script(GetParam(), [](RoutingPathTrial& trial) -> Task<void> {
+    trial.ingress().node().leave();
     TestClient client(pool_io());
-    co_await client.connect(trial.taker().clients());
+    co_await client.connect(trial.ingress().clients());
     co_await client.send(request_lasting("a-1", 60s));
     HttpReply const refused = co_await client.next();
     EXPECT_EQ(refused.status, 503);
@@ -92,41 +93,42 @@
 }
 
 // Guards against LOST: a gateway that was shutting down didn't count the requests it had forwarded.
-TEST(GracefulShutdown, a_gateway_owes_what_it_has_passed_on) {
-  play(Way::through_gateway, [](LeavingTrial& trial) -> Task<void> {
+TEST(GracefulShutdown, a_gateway_counts_forwarded_requests_as_pending) {
+  run_script(RoutingPath::through_gateway, [](RoutingPathTrial& trial) -> Task<void> {
     TestClient client(pool_io());
-    co_await client.connect(trial.taker().clients());
+    co_await client.connect(trial.ingress().clients());
     co_await client.send(request_lasting("a-1", 60s));
     std::shared_ptr<Peer> const run = co_await trial.backend().accept();
     co_await run->next();
     EXPECT_EQ(trial.gateway().node().pending_work().requests, 1u);
-    EXPECT_EQ(trial.holder().node().pending_work().requests, 2u) << "taken from the gateway, and at the backend";
+    EXPECT_EQ(trial.backend_node().node().pending_work().requests, 2u)
+        << "accepted from the gateway, and in flight at the backend";
     co_await run->send(answer("a-1", "done"));
     HttpReply const reply = co_await client.next();
     EXPECT_EQ(reply.status, 200);
-    EXPECT_TRUE(co_await until([&] { return trial.gateway().node().pending_work().empty(); }));
+    EXPECT_TRUE(co_await wait_until([&] { return trial.gateway().node().pending_work().empty(); }));
   });
 }
 
 // Guards against LOST: a node exited before it had written complete responses of its backend.
-TEST_P(GracefulShutdownOnEachPath, an_answer_is_owed_until_its_last_byte_is_written) {
-  play(GetParam(), [](LeavingTrial& trial) -> Task<void> {
+TEST_P(GracefulShutdownOnEachPath, an_answer_is_pending_until_its_last_byte_is_written) {
+  run_script(GetParam(), [](RoutingPathTrial& trial) -> Task<void> {
     constexpr std::size_t more_than_sockets_buffer = 24u << 20;
     TestClient client(pool_io());
-    co_await client.connect(trial.taker().clients());
+    co_await client.connect(trial.ingress().clients());
     co_await client.send(request_lasting("a-1", 60s));
     std::shared_ptr<Peer> const run = co_await trial.backend().accept();
     co_await run->next();
-    trial.taker().node().leave();
-    trial.taker().server().drain();
+    trial.ingress().node().leave();
+    trial.ingress().server().drain();
     co_await run->send(answer("a-1", std::string(more_than_sockets_buffer, 'x')));
-    EXPECT_TRUE(co_await until([&] { return trial.taker().node().pending_work().requests == 0; }));
-    EXPECT_EQ(trial.taker().server().busy(), 1u) << "nobody has read the answer yet";
+    EXPECT_TRUE(co_await wait_until([&] { return trial.ingress().node().pending_work().requests == 0; }));
+    EXPECT_EQ(trial.ingress().server().busy(), 1u) << "nobody has read the answer yet";
     HttpReply const reply = co_await client.next();
     EXPECT_EQ(reply.body.size(), more_than_sockets_buffer);
     EXPECT_TRUE(has_header(reply.headers, "Connection"));
     client.close();
-    EXPECT_TRUE(co_await until([&] { return trial.taker().server().busy() == 0; }));
+    EXPECT_TRUE(co_await wait_until([&] { return trial.ingress().server().busy() == 0; }));
   });
 }
 
--- a/tests/programs/settings_test.cpp
+++ b/tests/programs/settings_test.cpp
@@ -7,7 +7,7 @@
 namespace banktide {
 namespace {
 
-TEST(Settings, every_error_is_told_at_once_flags_win_and_changes_are_named) {
+TEST(Settings, all_errors_are_reported_flags_take_precedence_and_changes_are_named) {
   std::filesystem::path const file =
       std::filesystem::temp_directory_path() / ("banktide-settings-" + std::to_string(::getpid()) + ".json");
   auto const load = [&](Settings& s, std::string const& json, std::vector<char const*> flags) {
