--- a/tests/platform/configuration_reader_test.cpp
+++ b/tests/platform/configuration_reader_test.cpp
@@ -11,7 +11,7 @@
 
 using Json = nlohmann::json;
 
-std::string const golden = R"({"revision":"000000a7","routingEntries":[
+std::string const sample = R"({"revision":"000000a7","routingEntries":[
   {"name":"read","domain":"Shop.test","pathPrefix":"/items/","routeType":"idempotent","releaseS":1.5,"targetS":0.25,
    "precedence":3,"distribution":[{"destination":"mill","share":75},{"destination":"forge","share":25.5}],
    "attemptLimit":4},
@@ -22,7 +22,7 @@
   {"name":"mill","healthPath":"/well","connectionLimit":90,"partitioned":true,"warmS":2.5,"grants":"keepalive"}],
  "admissionLimits":{"headerMaxBytes":2048,"bodyMaxBytes":5000000,"headerGuardS":0.75,"idleGuardS":20}})";
 
-Json document() { return Json::parse(golden); }
+Json document() { return Json::parse(sample); }
 Json& route(Json& document, std::size_t const index) { return document["routingEntries"][index]; }
 
 bool accepted(Json const& document) { return read_valid_configuration(document.dump()).has_value(); }
@@ -30,7 +30,7 @@
 }  // namespace
 
 TEST(ConfigurationReader, ReadsEveryField) {
-  Result<ServiceConfiguration> const read = read_valid_configuration(golden);
+  Result<ServiceConfiguration> const read = read_valid_configuration(sample);
   ASSERT_TRUE(read) << read.error().reason;
   EXPECT_EQ(read->version, 0xa7u);
   ASSERT_EQ(read->routes.size(), 2u);
@@ -66,15 +66,15 @@
 }
 
 TEST(ConfigurationReader, RefusesABodyCutAnywhere) {
-  for (std::size_t length = 0; length < golden.size(); ++length)
-    EXPECT_FALSE(read_configuration(std::string_view(golden).substr(0, length))) << "cut after " << length;
+  for (std::size_t length = 0; length < sample.size(); ++length)
+    EXPECT_FALSE(read_configuration(std::string_view(sample).substr(0, length))) << "cut after " << length;
 }
 
 TEST(ConfigurationReader, RefusesWhatIsNoConfiguration) {
   for (std::string const body : {"", "null", "7", "[]", "{}", "\"x\"", "[{}]", "{\"revision\":\"00000001\"}"})
     EXPECT_FALSE(read_configuration(body)) << body;
-  EXPECT_FALSE(read_configuration(golden + "}"));
-  EXPECT_FALSE(read_configuration(golden + golden));
+  EXPECT_FALSE(read_configuration(sample + "}"));
+  EXPECT_FALSE(read_configuration(sample + sample));
   EXPECT_FALSE(read_configuration(std::string(100000, '[')));
   EXPECT_FALSE(read_configuration("{\"x\":" + std::string(100000, '{')));
 }
@@ -177,7 +177,7 @@
 }
 
 TEST(ConfigurationReader, RefusesASectionThatStandsTwice) {
-  std::string const twice = golden.substr(0, golden.size() - 1) + ",\"revision\":\"00000009\"}";
+  std::string const twice = sample.substr(0, sample.size() - 1) + ",\"revision\":\"00000009\"}";
   EXPECT_FALSE(read_configuration(twice));
 }
 
@@ -197,7 +197,7 @@
 
 // Guards against UNASKED: a part of the configuration that was never built went unnoticed.
 TEST(ConfigurationReader, TellsWhichSectionsItPassedOver) {
-  EXPECT_TRUE(read_configuration(golden)->ignored_sections.empty());
+  EXPECT_TRUE(read_configuration(sample)->ignored_sections.empty());
   Json changed = document();
   changed["future"] = {{"routingEntries", 1}};
   changed["later"] = 7;
@@ -225,7 +225,7 @@
 }
 
 TEST(ConfigurationReader, TellsNoTenantsFromAnEmptyList) {
-  EXPECT_FALSE(read_configuration(golden)->tenants);
+  EXPECT_FALSE(read_configuration(sample)->tenants);
   Json changed = document();
   changed["subscribers"] = nullptr;
   EXPECT_FALSE(read_configuration(changed.dump())->tenants);
@@ -277,9 +277,10 @@
   std::mt19937 random(11);
   std::size_t refused = 0;
   for (int round = 0; round < 5000; ++round) {
-    std::string spoilt = golden;
-    for (int change = 0; change < 3; ++change) spoilt[random() % spoilt.size()] = static_cast<char>(random() % 256);
-    if (!read_valid_configuration(spoilt)) ++refused;
+    std::string corrupted = sample;
+    for (int change = 0; change < 3; ++change)
+      corrupted[random() % corrupted.size()] = static_cast<char>(random() % 256);
+    if (!read_valid_configuration(corrupted)) ++refused;
   }
   EXPECT_GT(refused, 0u);
 }
--- a/tests/platform/settings_templates_test.cpp
+++ b/tests/platform/settings_templates_test.cpp
@@ -43,9 +43,9 @@
   return value;
 }
 
-class Filler {
+class TemplateExpander {
  public:
-  Filler(std::string const& text, Json const& fields) : text_(text), fields_(fields) {}
+  TemplateExpander(std::string const& text, Json const& fields) : text_(text), fields_(fields) {}
 
   /// Fills from `position` to the end tag of the section, or to the end of the text; tells where it stopped.
   std::string fill(std::size_t& position, std::string const& section, bool const visible) {
@@ -126,7 +126,7 @@
 /// The template with all its gaps and sections filled from the fields, as the platform says that it does.
 std::string fill_template(std::string const& text, Json const& fields) {
   std::size_t position = 0;
-  return Filler(text, fields).fill(position, "", true);
+  return TemplateExpander(text, fields).fill(position, "", true);
 }
 
 std::string template_text(std::string const& name) {
