--- a/source/coordination/backend_handler.hpp
+++ b/source/coordination/backend_handler.hpp
@@ -154,7 +154,7 @@
                      {"standing", l.refused ? "refusing"
                                   : env_.now() - l.last_heartbeat > settings_.heartbeat_expiry
                                       ? "silent"
-                                      : standing_name(l.record.liveness)}});
+                                      : liveness_name(l.record.liveness)}});
     return all;
   }
 
--- a/source/coordination/zone_feed.hpp
+++ b/source/coordination/zone_feed.hpp
@@ -74,7 +74,7 @@
     if (it == view_.members.end() || !(it->second == q.self)) {
       log_info("member", {{"id", q.self.id},
                           {"zone", settings_.zone},
-                          {"standing", standing_name(q.self.liveness)},
+                          {"standing", liveness_name(q.self.liveness)},
                           {"incarnation", std::to_string(q.self.incarnation)}});
       publish_member(q.self);
     }
--- a/source/state/catalogue_edit.hpp
+++ b/source/state/catalogue_edit.hpp
@@ -1,8 +1,7 @@
-// Changes to a catalogue, smaller than a whole new one: move slices of a keyed
-// service to a cell, say in which cells a service is, leave it to the mesh, close
-// it, open it. Each is made from the newest catalogue inside the register's own
-// step, so two operators' changes never undo each other. The result goes through
-// the same door as a catalogue sent whole.
+// Edits of a catalogue that are smaller than a whole new one: move slices of a keyed service to a
+// zone, list the zones of a service, leave its placement to the mesh, close or open it. Each edit is
+// applied to the newest catalogue within the register's update, so two operators' edits never undo
+// each other. The result is validated like a catalogue that is sent whole.
 #pragma once
 
 #include "state/layout.hpp"
@@ -44,17 +43,17 @@
     if (layout.zones.find(change["to"]) == no_index)
       return make_error("check_references", "/to", "no such cell", Proof::not_run);
     std::map<std::string, std::vector<bool>> owned;
-    for (auto const& [cell, services] : j["cells"].items()) {
+    for (auto const& [zone, services] : j["cells"].items()) {
       if (!services.contains(name)) continue;
-      std::vector<bool>& has = owned[cell];
+      std::vector<bool>& has = owned[zone];
       has.assign(service.slices, !services[name].contains("slices"));
       for (Json const& range : services[name].value("slices", Json::array()))
         for (std::uint32_t i = range[0]; i <= range[1].get<std::uint32_t>() && i < service.slices; ++i) has[i] = true;
     }
     owned[change["to"]].resize(service.slices, false);
-    for (auto& [cell, has] : owned)
-      for (std::uint32_t i = first; i <= last; ++i) has[i] = cell == change["to"];
-    for (auto const& [cell, has] : owned) {
+    for (auto& [zone, has] : owned)
+      for (std::uint32_t i = first; i <= last; ++i) has[i] = zone == change["to"];
+    for (auto const& [zone, has] : owned) {
       Json ranges = Json::array();
       for (std::uint32_t i = 0; i < service.slices; ++i) {
         if (!has[i]) continue;
@@ -64,15 +63,15 @@
           ranges.push_back({i, i});
       }
       if (ranges.empty())
-        j["cells"][cell].erase(name);
+        j["cells"][zone].erase(name);
       else
-        j["cells"][cell][name] = {{"slices", ranges}};
+        j["cells"][zone][name] = {{"slices", ranges}};
     }
   }
   if (what == "place" || what == "leave")
-    for (auto& [cell, services] : j["cells"].items()) services.erase(name);
+    for (auto& [zone, services] : j["cells"].items()) services.erase(name);
   if (what == "place")
-    for (Json const& cell : change["cells"]) j["cells"][cell.get<std::string>()][name] = Json::object();
+    for (Json const& zone : change["cells"]) j["cells"][zone.get<std::string>()][name] = Json::object();
   if (what == "close" || what == "open") {
     std::set<std::string> closed;
     for (Json const& c : j.value("closed", Json::array())) closed.insert(c.get<std::string>());
--- a/source/state/decision_log.hpp
+++ b/source/state/decision_log.hpp
@@ -1,6 +1,6 @@
-// A node's decisions for those who watch them: events in a bounded journal, read
-// from a position through a filter. A reader that was too slow is told how much
-// it lost; one that had a former life of the node is told that, too.
+// A node's decisions about calls, for operators that watch them: events in a bounded journal, read
+// from a position with a filter. The reply reports how many events a slow reader has missed, and
+// whether its position is of an earlier incarnation of the node.
 #pragma once
 
 #include "protocol/messages.hpp"
--- a/source/state/journal.hpp
+++ b/source/state/journal.hpp
@@ -1,6 +1,5 @@
-// Events in the order they fell, numbered from 1, bounded: a view folds each
-// event as it is appended, so the oldest can be trimmed. A reader asks from a
-// position and is told when what it wanted has been trimmed.
+// A bounded list of events in order, numbered from 1. The oldest events are trimmed; a reader asks for
+// the events after a position and gets none if some of them have been trimmed.
 #pragma once
 
 #include <cstdint>
@@ -26,7 +25,7 @@
   std::uint64_t last() const { return trimmed_ + events_.size(); }
   std::uint64_t trimmed() const { return trimmed_; }
 
-  // Events after `seen`, at most `most`; none if some of them are trimmed.
+  // Returns the events after `seen`, at most `max_events`; none if some of them were trimmed.
   std::optional<std::vector<Event>> since(std::uint64_t const seen,
                                           std::size_t const max_events = static_cast<std::size_t>(-1)) const {
     if (seen < trimmed_ || seen > last()) return std::nullopt;
--- a/source/state/layout.hpp
+++ b/source/state/layout.hpp
@@ -1,8 +1,7 @@
-// What operators give: the routing layout (cells, services, path prefixes) and the
-// catalogue (which services and key slices each cell can serve). Both are read
-// through one door: size, JSON with no key twice, schema, then references.
-// A refusal names the JSON pointer. Service and cell names become dense indices
-// here and stay so in everything that picks.
+// The documents that operators send: the routing layout (zones, services, path prefixes) and the
+// catalogue (the services and key slices that each zone can serve). Both are validated in the same
+// order: size, JSON without duplicate keys, schema, references. An error names the JSON pointer.
+// Names of services and zones become dense indexes, which all code that selects targets uses.
 #pragma once
 
 #include "protocol/digest.hpp"
@@ -45,8 +44,8 @@
   std::string key_header;  // empty: not keyed
   std::uint32_t slices = 0;
   bool keyed() const { return slices > 0; }
-  // How keys come to slices. Two mappings of one service never hold leases at
-  // the same time, so a change of it is as safe as a move.
+  // Identifies the mapping of keys to slices. Leases of two mappings of one service never exist at
+  // the same time, so a change of the mapping is as safe as a move.
   std::uint64_t mapping() const { return digest_of(key_header + "/" + std::to_string(slices)); }
   bool may_repeat(std::string const& method) const {
     return std::find(idempotent.begin(), idempotent.end(), method) != idempotent.end();
@@ -115,7 +114,7 @@
     return l;
   }
 
-  // The longest prefix that ends at a path segment's end.
+  // Returns the service with the longest prefix of the path that ends at the end of a path segment.
   Index service_of_path(std::string const& target) const {
     std::string_view const path = std::string_view(target).substr(0, target.find('?'));
     for (PathRoute const& w : path_routes) {
@@ -148,9 +147,8 @@
     bool serves(std::uint32_t const slice) const { return slices.empty() || (slice < slices.size() && slices[slice]); }
   };
 
-  // An operator's catalogue is checked against the routing revision to the last
-  // name. A node that has a newer routing revision than the catalogue was made
-  // for passes over the names and slices that are gone, and nothing else.
+  // Every name in an operator's catalogue must exist in the layout. A node whose layout is newer than
+  // the catalogue reads it as `lenient`: names and slices that no longer exist are ignored.
   static Result<Catalogue> read(std::string const& bytes, Layout const& layout, bool const lenient = false) {
     Result<Json> j = parse_json(bytes);
     if (!j) return tl::unexpected<Error>(j.error());
@@ -209,24 +207,24 @@
     return c;
   }
 
-  std::vector<std::vector<Entry>> entries;  // by service; none: the catalogue is silent
+  std::vector<std::vector<Entry>> entries;  // by service; empty: the catalogue doesn't mention it
   std::vector<bool> closed;
 };
 
-// What a call may do, before anything is known of backends: the cells it may
-// run in, own first. `dropped` has the reason where there is none.
+// The zones that a call may run in, before backends are considered; the own zone comes first.
+// `refusal` has the reason if there is none.
 struct ZoneChoice {
   bool in_own_zone = false;
-  bool decided = false;                  // by the catalogue, or by the slice's home
-  bool by_home = false;                  // the catalogue is silent on a keyed service
-  std::vector<std::string> other_zones;  // empty and not settled: any cell
+  bool decided = false;                  // the zones are given by the catalogue or by the slice's home
+  bool by_home = false;                  // by a home zone, as the catalogue doesn't mention the keyed service
+  std::vector<std::string> other_zones;  // empty and not decided: any zone
   std::string refusal;
 };
 
-// `offering` tells the cells that have a backend of the service now. Where the
-// catalogue is silent on a keyed service, each slice has one home among them,
-// the one with the highest digest, so that all who see the same cells agree;
-// the leases see to it that it moves only when the old home has let go.
+// `offering` returns the zones that have a backend of the service now. If the catalogue doesn't mention
+// a keyed service, each slice has one home among them: the zone with the highest digest, so that all
+// nodes that see the same zones agree. Leases ensure that a slice moves only after its old home has
+// released it.
 template <class ZonesOffering>
 ZoneChoice choose_zones(Layout const& layout, Catalogue const& c, std::string const& own, Index const service,
                         std::uint32_t const slice, ZonesOffering offering) {
--- a/source/state/pick.hpp
+++ b/source/state/pick.hpp
@@ -1,7 +1,7 @@
-// Picking among targets: two are drawn at random and the one with the lesser
-// burden plus calls in flight is taken. A target that comes back or is new is
-// drawn less often until its re-entry is over. Marks hold what this node has
-// itself seen of each target; consecutive mishaps eject it for a while.
+// Load balancing by two random choices: two targets are drawn at random, and the one with the lower
+// burden plus calls in flight is picked. A target that returns after an ejection is drawn less often
+// during its slow start. `TargetHistories` records what this node has observed of each target;
+// consecutive failures eject it for a while.
 #pragma once
 
 #include "transport/result.hpp"
@@ -15,10 +15,10 @@
 
 struct Candidate {
   double burden = 0;            // reported burden plus own calls in flight
-  double slow_start_share = 1;  // 0..1: share of its turns that it takes
+  double slow_start_share = 1;  // 0..1: the probability that it is accepted when drawn
 };
 
-// The index picked; `n` must not be empty.
+// Returns the index picked; `n` must not be empty.
 inline std::size_t pick(std::vector<Candidate> const& n, std::mt19937_64& chance) {
   std::size_t best = n.size();
   std::uniform_real_distribution<double> unit(0, 1);
@@ -33,7 +33,7 @@
 
 struct TargetHistory {
   std::uint32_t in_flight = 0;
-  std::uint32_t consecutive_failures = 0;  // in a row
+  std::uint32_t consecutive_failures = 0;  // since the last success
   std::uint32_t ejections = 0;
   Instant ejected_until{};
   Instant slow_start_from{};
@@ -64,7 +64,8 @@
     return std::min(1.0, std::max(0.1, share));
   }
   void record_success(std::string const& name, Instant const now) { at(name, now).consecutive_failures = 0; }
-  // A refusal to connect ejects at once; others in a row. Says whether it did.
+  // Ejects the target at once if `at_once` (a refused connection), else after several consecutive failures. Returns
+  // whether it did.
   bool record_failure(std::string const& name, Instant const now, bool const at_once) {
     TargetHistory& m = at(name, now);
     ++m.consecutive_failures;
--- a/source/state/placement.hpp
+++ b/source/state/placement.hpp
@@ -1,7 +1,7 @@
-// Where services and key slices should go: constraints from a file (how much
-// each cell bears, what each service weighs, in how many cells it must be, what
-// is kept apart), solved by z3 with the fewest moves from the catalogue of now.
-// What can't be met is named.
+// Computes a placement of services and key slices on zones. The constraints come from a file: each
+// zone's capacity, each service's burden, the least number of zones of a service, and pairs of
+// services to keep apart. z3 solves them with the fewest moves from the current catalogue;
+// constraints that can't be met together are named in the error.
 #pragma once
 
 #include "state/layout.hpp"
@@ -26,8 +26,8 @@
           "cells": {"type": "array", "minItems": 1, "uniqueItems": true, "items": {"type": "string"}}}}},
       "apart": {"type": "array", "maxItems": 1000, "items": {"type": "array", "minItems": 2, "maxItems": 2, "uniqueItems": true, "items": {"type": "string"}}}}})";
 
-  // The new catalogue's bytes. `burden` is one slice's for a keyed service; for
-  // another it is the whole service's in each of its cells.
+  // Returns the bytes of the new catalogue. `burden` is that of one slice for a keyed service, and that
+  // of the whole service in each of its zones for another.
   static Result<std::string> solve(std::string const& constraints, Layout const& layout, std::string const& catalogue) {
     Result<Json> const want = parse_json(constraints);
     if (!want) return tl::unexpected<Error>(want.error());
@@ -49,22 +49,22 @@
 
  private:
   struct Assignment {
-    std::string service, cell;
+    std::string service, zone;
     bool keyed = false;
-    std::vector<std::uint32_t> current_slices;  // slices; for a service without keys one 0 if it was here
-    z3::expr n;                                 // how many slices; 0 or 1 without keys
+    std::vector<std::uint32_t> current_slices;  // slices; a single 0 for a service without keys that is in the zone
+    z3::expr n;                                 // the number of slices; 0 or 1 without keys
   };
 
   Placement(Json const& want, Layout const& layout, Json now)
       : want_(want), layout_(layout), now_(std::move(now)), constraints_(z_) {
     for (auto const& [service, w] : want_["services"].items())
-      for (auto const& [cell, c] : want_["cells"].items()) {
+      for (auto const& [zone, c] : want_["cells"].items()) {
         Service const& s = layout_.services[layout_.service_names.find(service)];
-        Assignment p{service, cell, s.keyed(), {}, z_.int_const((service + "@" + cell).c_str())};
-        Json const& cells = now_["cells"];
-        if (cells.contains(cell) && cells[cell].contains(service)) {
+        Assignment p{service, zone, s.keyed(), {}, z_.int_const((service + "@" + zone).c_str())};
+        Json const& zones = now_["cells"];
+        if (zones.contains(zone) && zones[zone].contains(service)) {
           Json const all = s.keyed() ? Json{{0, s.slices - 1}} : Json{{0, 0}};
-          for (Json const& range : cells[cell][service].value("slices", all))
+          for (Json const& range : zones[zone][service].value("slices", all))
             for (std::uint32_t i = range[0]; i <= range[1].get<std::uint32_t>(); ++i) p.current_slices.push_back(i);
         }
         assignments_.push_back(std::move(p));
@@ -72,14 +72,14 @@
   }
 
   static Result<bool> check_names(Json const& want, Layout const& layout) {
-    for (auto const& [cell, c] : want["cells"].items())
-      if (layout.zones.find(cell) == no_index)
-        return make_error("check_references", "/cells/" + cell, "no such cell", Proof::not_run);
+    for (auto const& [zone, c] : want["cells"].items())
+      if (layout.zones.find(zone) == no_index)
+        return make_error("check_references", "/cells/" + zone, "no such cell", Proof::not_run);
     for (auto const& [service, w] : want["services"].items()) {
       if (layout.service_names.find(service) == no_index)
         return make_error("check_references", "/services/" + service, "no such service", Proof::not_run);
-      for (Json const& cell : w.value("cells", Json::array()))
-        if (!want["cells"].contains(cell.get<std::string>()))
+      for (Json const& zone : w.value("cells", Json::array()))
+        if (!want["cells"].contains(zone.get<std::string>()))
           return make_error("check_references", "/services/" + service + "/cells", "a cell that isn't among the cells",
                             Proof::not_run);
     }
@@ -104,29 +104,29 @@
   void add_constraints() {
     for (auto const& [service, w] : want_["services"].items()) {
       Service const& s = layout_.services[layout_.service_names.find(service)];
-      z3::expr sum = number(0), cells = number(0);
+      z3::expr sum = number(0), zones = number(0);
       for (Assignment const& p : assignments_) {
         if (p.service != service) continue;
         sum = sum + p.n;
-        cells = cells + z3::ite(p.n > 0, number(1), number(0));
+        zones = zones + z3::ite(p.n > 0, number(1), number(0));
         Json const allowed = w.value("cells", Json::array());
-        if (!allowed.empty() && std::find(allowed.begin(), allowed.end(), Json(p.cell)) == allowed.end())
+        if (!allowed.empty() && std::find(allowed.begin(), allowed.end(), Json(p.zone)) == allowed.end())
           add_constraint(p.n == 0, "/services/" + service + "/cells");
       }
       if (s.keyed()) add_constraint(sum == number(s.slices), "/services/" + service);
-      add_constraint(cells >= number(w.value("spread", 1u)), "/services/" + service + "/spread");
+      add_constraint(zones >= number(w.value("spread", 1u)), "/services/" + service + "/spread");
     }
-    for (auto const& [cell, c] : want_["cells"].items()) {
+    for (auto const& [zone, c] : want_["cells"].items()) {
       z3::expr sum = number(0);
       for (Assignment const& p : assignments_)
-        if (p.cell == cell) sum = sum + number(want_["services"][p.service]["burden"].get<std::uint64_t>()) * p.n;
-      add_constraint(sum <= number(c["capacity"].get<std::uint64_t>()), "/cells/" + cell + "/capacity");
+        if (p.zone == zone) sum = sum + number(want_["services"][p.service]["burden"].get<std::uint64_t>()) * p.n;
+      add_constraint(sum <= number(c["capacity"].get<std::uint64_t>()), "/cells/" + zone + "/capacity");
     }
     std::size_t at = 0;
     for (Json const& pair : want_.value("apart", Json::array())) {
       for (Assignment const& a : assignments_)
         for (Assignment const& b : assignments_)
-          if (a.cell == b.cell && pair[0] == a.service && pair[1] == b.service)
+          if (a.zone == b.zone && pair[0] == a.service && pair[1] == b.service)
             add_constraint(a.n == 0 || b.n == 0, "/apart/" + std::to_string(at));
       ++at;
     }
@@ -141,7 +141,7 @@
     return all;
   }
 
-  // The fewest moves, then as few places as that leaves.
+  // Minimises the moves first, then the number of zones used.
   Result<bool> find_placement() {
     add_constraints();
     z3::optimize best(z_);
@@ -167,7 +167,7 @@
     return true;
   }
 
-  // Which constraints can't be met together.
+  // Returns an error that names constraints that can't be met together.
   Result<bool> report_conflict() {
     z3::solver s(z_);
     s.add(bounds());
@@ -183,31 +183,31 @@
     return make_error("solve", all, "these can't be met together", Proof::not_run);
   }
 
-  // The catalogue of now with the services of the file placed anew: a cell keeps
-  // what it had as far as it may, the rest goes where there is room.
+  // Returns the current catalogue with the services of the file placed anew: each zone keeps as many
+  // of its slices as it may, and the others go to zones with room.
   Json catalogue() const {
     Json out = now_;
     for (auto const& [service, w] : want_["services"].items()) {
-      for (auto& [cell, services] : out["cells"].items()) services.erase(service);
+      for (auto& [zone, services] : out["cells"].items()) services.erase(service);
       Service const& s = layout_.services[layout_.service_names.find(service)];
       std::vector<bool> free(std::max<std::uint32_t>(s.slices, 1), true);
       std::map<std::string, std::vector<std::uint32_t>> has;
       for (std::size_t i = 0; i < assignments_.size(); ++i)
         if (assignments_[i].service == service)
           for (std::uint32_t const slice : assignments_[i].current_slices)
-            if (has[assignments_[i].cell].size() < counts_[i] && (free[slice] || !assignments_[i].keyed)) {
-              has[assignments_[i].cell].push_back(slice);
+            if (has[assignments_[i].zone].size() < counts_[i] && (free[slice] || !assignments_[i].keyed)) {
+              has[assignments_[i].zone].push_back(slice);
               free[slice] = false;
             }
       for (std::size_t i = 0; i < assignments_.size(); ++i)
         for (std::uint32_t slice = 0;
-             assignments_[i].service == service && has[assignments_[i].cell].size() < counts_[i] && slice < free.size();
+             assignments_[i].service == service && has[assignments_[i].zone].size() < counts_[i] && slice < free.size();
              ++slice)
           if (free[slice] || !assignments_[i].keyed) {
-            has[assignments_[i].cell].push_back(slice);
+            has[assignments_[i].zone].push_back(slice);
             free[slice] = false;
           }
-      for (auto& [cell, slices] : has) {
+      for (auto& [zone, slices] : has) {
         if (slices.empty()) continue;
         Json entry = Json::object();
         std::sort(slices.begin(), slices.end());
@@ -218,7 +218,7 @@
           else
             ranges.push_back({slices[i], slices[i]});
         }
-        out["cells"][cell][service] = entry;
+        out["cells"][zone][service] = entry;
       }
     }
     return out;
--- a/source/state/slice_moves.hpp
+++ b/source/state/slice_moves.hpp
@@ -1,6 +1,6 @@
-// One view of where each slice of the keyed services is: the cell that should
-// have it, who holds its lease, what is in flight and what a move still waits
-// for. Made from the states that the registries and nodes tell of themselves.
+// Reports where each slice of the keyed services is: the zone that should have it, the holder of its
+// lease, the calls in flight and what a move still waits for. Built from the states that registries
+// and nodes report.
 #pragma once
 
 #include "state/layout.hpp"
@@ -12,15 +12,15 @@
   std::map<Slice, std::vector<Json>> leases;
   std::map<Slice, Json> grants;
   std::map<std::string, std::set<std::uint64_t>> mappings;  // with leases, by service
-  for (Json const& cell : fleet["cells"]) {
-    for (Json const& g : cell.value("grants", Json::array())) grants[Slice{g["service"], g["mapping"], g["slice"]}] = g;
-    for (Json const& node : cell["nodes"]) {
+  for (Json const& zone : fleet["cells"]) {
+    for (Json const& g : zone.value("grants", Json::array())) grants[Slice{g["service"], g["mapping"], g["slice"]}] = g;
+    for (Json const& node : zone["nodes"]) {
       for (Json const& b : node.value("local", Json::array()))
-        if (b.value("standing", "") == "fit") offering[b["service"]].insert(cell["cell"].get<std::string>());
+        if (b.value("standing", "") == "fit") offering[b["service"]].insert(zone["cell"].get<std::string>());
       for (Json const& l : node.value("leases", Json::array())) {
         Json lease = l;
         lease["node"] = node["node"];
-        lease["cell"] = cell["cell"];
+        lease["cell"] = zone["cell"];
         leases[Slice{l["service"], l["mapping"], l["slice"]}].push_back(lease);
         mappings[l["service"]].insert(l["mapping"].get<std::uint64_t>());
       }
@@ -64,7 +64,7 @@
         else
           row["waits_for"] = "its new holder's claim";
       }
-      // Neighbours that differ in nothing are one row.
+      // Consecutive slices with equal content are reported as one row.
       row["slices"] = {i, i};
       if (!out.empty()) {
         Json last = out.back(), mine = row;
--- a/source/state/view_json.hpp
+++ b/source/state/view_json.hpp
@@ -1,4 +1,4 @@
-// A cell's view as operators and the platform read it.
+// A zone's view as JSON, for operators and the platform.
 #pragma once
 
 #include "protocol/json.hpp"
@@ -6,7 +6,7 @@
 
 namespace banktide {
 
-inline char const* standing_name(Liveness const s) {
+inline char const* liveness_name(Liveness const s) {
   constexpr char const* names[] = {"fit", "suspected", "leaving", "dead"};
   return names[static_cast<std::size_t>(s) & 3];
 }
@@ -26,18 +26,18 @@
                             {"address", m.address},
                             {"role", role_name(m.role)},
                             {"incarnation", m.incarnation},
-                            {"standing", standing_name(m.liveness)}});
+                            {"standing", liveness_name(m.liveness)}});
   for (auto const& [key, b] : v.backends)
     j["backends"].push_back({{"service", b.service},
                              {"instance", b.instance},
                              {"node", b.node},
                              {"port", b.port},
                              {"burden", b.running},
-                             {"standing", standing_name(b.liveness)}});
-  for (auto const& [name, c] : v.zones) {
+                             {"standing", liveness_name(b.liveness)}});
+  for (auto const& [name, entry] : v.zones) {
     Json gateways = Json::array();
-    for (Member const& g : c.gateways) gateways.push_back({{"id", g.id}, {"address", g.address}});
-    j["cells"].push_back({{"cell", c.zone}, {"gateways", gateways}, {"offers", c.offers}});
+    for (Member const& g : entry.gateways) gateways.push_back({{"id", g.id}, {"address", g.address}});
+    j["cells"].push_back({{"cell", entry.zone}, {"gateways", gateways}, {"offers", entry.offers}});
   }
   return j;
 }
--- a/tests/state/catalogue_edit_test.cpp
+++ b/tests/state/catalogue_edit_test.cpp
@@ -1,4 +1,4 @@
-// Operators' single changes to the catalogue.
+// Operators' edits of the catalogue.
 #include "state/catalogue_edit.hpp"
 
 #include <gtest/gtest.h>
@@ -7,7 +7,7 @@
 namespace banktide {
 namespace {
 
-TEST(CatalogueEdit, moves_agree_with_a_plain_table_of_who_has_which_slice) {
+TEST(CatalogueEdit, moves_agree_with_a_table_of_the_zone_of_each_slice) {
   Layout const l = *Layout::read(
       R"({"cells":["a","b","c"],"services":{"pay":{"key":{"header":"x-key","slices":16}},"browse":{}},"ways":[]})");
   Index const pay = l.service_names.find("pay");
@@ -26,12 +26,12 @@
     for (std::uint32_t k = first; k <= last; ++k) table[k] = to;
     Catalogue const c = *Catalogue::read(bytes, l);
     for (std::uint32_t k = 0; k < 16; ++k)
-      for (std::string const cell : {"a", "b", "c"})
-        ASSERT_EQ(choose_zones(l, c, cell, pay, k, nowhere).in_own_zone, table[k] == cell) << bytes;
+      for (std::string const zone : {"a", "b", "c"})
+        ASSERT_EQ(choose_zones(l, c, zone, pay, k, nowhere).in_own_zone, table[k] == zone) << bytes;
   }
 }
 
-TEST(CatalogueEdit, a_change_that_names_what_is_not_there_is_refused_with_its_pointer) {
+TEST(CatalogueEdit, an_edit_with_unknown_names_is_refused_with_its_json_pointer) {
   Layout const l = *Layout::read(
       R"({"cells":["a","b"],"services":{"pay":{"key":{"header":"x-key","slices":16}},"browse":{}},"ways":[]})");
   struct Bad {
--- a/tests/state/decision_log_test.cpp
+++ b/tests/state/decision_log_test.cpp
@@ -1,4 +1,4 @@
-// What a reader of decisions gets, and when it is told of a gap.
+// The events that a reader of decisions gets, and the gaps that are reported.
 #include "state/decision_log.hpp"
 
 #include <gtest/gtest.h>
@@ -7,7 +7,7 @@
 namespace banktide {
 namespace {
 
-TEST(DecisionLog, a_reader_gets_every_event_once_or_is_told_of_the_gap) {
+TEST(DecisionLog, a_reader_gets_every_event_once_or_a_gap_is_reported) {
   DecisionLog d("n", 7, 100);
   DecisionsRequest q;
   q.max_events = 10;
@@ -37,9 +37,9 @@
   EXPECT_TRUE(d.since(q).events.empty());
   DecisionLog again("n", 8, 100);
   again.append(CallEvent{});
-  DecisionsReply const reborn = again.since(q);
-  ASSERT_EQ(reborn.gaps.size(), 1u);
-  EXPECT_EQ(reborn.gaps[0].lost, 0u);
+  DecisionsReply const after_restart = again.since(q);
+  ASSERT_EQ(after_restart.gaps.size(), 1u);
+  EXPECT_EQ(after_restart.gaps[0].lost, 0u);
 }
 
 }  // namespace
--- a/tests/state/journal_test.cpp
+++ b/tests/state/journal_test.cpp
@@ -1,4 +1,4 @@
-// What a reader of a bounded journal gets.
+// The events that a reader of a bounded journal gets.
 #include "state/journal.hpp"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace banktide {
 namespace {
 
-TEST(Journal, a_reader_gets_all_in_order_or_is_told_of_the_gap) {
+TEST(Journal, a_reader_gets_all_events_in_order_or_none_if_some_were_trimmed) {
   Journal<int> j(10);
   for (int i = 1; i <= 25; ++i) EXPECT_EQ(j.append(i), static_cast<std::uint64_t>(i));
   EXPECT_FALSE(j.since(14));
--- a/tests/state/layout_test.cpp
+++ b/tests/state/layout_test.cpp
@@ -1,4 +1,4 @@
-// Layouts and catalogues: what is refused, and where calls are placed.
+// Validation of layouts and catalogues, and the zones that they choose for calls.
 #include "state/layout.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 inline std::string const sample_layout =
     R"({"cells":["a","b"],"services":{"pay":{"key":{"header":"x-key","slices":8},"idempotent":["GET"]},"browse":{}},"ways":[{"prefix":"/pay","service":"pay"},{"prefix":"/","service":"browse"}]})";
 
-TEST(Layout, bad_revisions_are_refused_with_the_pointer_and_good_ones_are_not) {
+TEST(Layout, invalid_layouts_are_refused_with_the_json_pointer_and_valid_ones_are_read) {
   EXPECT_TRUE(Layout::read(sample_layout));
   struct Bad {
     std::string text, step, pointer;
@@ -32,7 +32,7 @@
   EXPECT_EQ(l.services[l.service_of_path("/payment")].name, "browse");
 }
 
-TEST(Catalogue, overlapping_slices_and_unknown_names_are_refused_and_calls_are_placed) {
+TEST(Catalogue, overlapping_slices_and_unknown_names_are_refused_and_zones_are_chosen) {
   Layout const l = *Layout::read(sample_layout);
   for (std::string const bad :
        {R"({"cells":{"c":{}}})", R"({"cells":{"a":{"nope":{}}}})",
@@ -53,7 +53,7 @@
                   .refusal.size());
 }
 
-TEST(Catalogue, what_a_newer_routing_revision_dropped_is_passed_over_and_the_rest_holds) {
+TEST(Catalogue, names_removed_by_a_newer_layout_are_ignored_and_the_rest_applies) {
   Layout const l = *Layout::read(sample_layout);
   std::string const old =
       R"({"cells":{"a":{"pay":{"slices":[[0,3]]},"gone":{}},"b":{"pay":{"slices":[[4,20]]}},"lost":{"pay":{"slices":[[0,0]]},"browse":{}}},"closed":["gone"]})";
@@ -66,8 +66,8 @@
   EXPECT_EQ(choose_zones(l, c, "a", browse, 0, nowhere).refusal, "no cell has the service");
 }
 
-// Any bytes are refused with a step, or read into something whole.
-TEST(Layout, spoilt_revisions_are_refused_with_a_step_or_read_into_something_whole) {
+// Random changes of valid documents are refused with a step, or read into consistent objects.
+TEST(Layout, corrupt_documents_are_refused_with_a_step_or_read_into_consistent_objects) {
   std::string const catalogue =
       R"({"cells":{"a":{"pay":{"slices":[[0,3]]}},"b":{"pay":{"slices":[[4,7]]},"browse":{}}},"closed":[]})";
   std::vector<std::string> const pieces{"{",  "}",    "[",   "]",  ",",    ":",      "\"",    "null",
@@ -104,9 +104,9 @@
       }
       for (Index v = 0; v < whole.services.size(); ++v)
         for (std::uint32_t slice = 0; slice < whole.services[v].slices; ++slice) {
-          int cells = 0;
-          for (Catalogue::Entry const& e : c->entries[v]) cells += e.serves(slice);
-          ASSERT_LE(cells, 1) << s;
+          int zones = 0;
+          for (Catalogue::Entry const& e : c->entries[v]) zones += e.serves(slice);
+          ASSERT_LE(zones, 1) << s;
         }
     }
   }
@@ -114,7 +114,7 @@
   EXPECT_GT(taken, 100u);
 }
 
-TEST(Catalogue, a_slice_it_is_silent_on_has_one_home_that_all_agree_on) {
+TEST(Catalogue, a_slice_it_does_not_mention_has_one_home_that_all_zones_agree_on) {
   Layout const l = *Layout::read(sample_layout);
   Index const pay = l.service_names.find("pay");
   std::set<std::string> const both{"a", "b"};
--- a/tests/state/pick_test.cpp
+++ b/tests/state/pick_test.cpp
@@ -1,4 +1,4 @@
-// The choice among candidates, and the marks of those that fail.
+// The choice among candidates, and the ejection of targets that fail.
 #include "state/pick.hpp"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace banktide {
 namespace {
 
-TEST(Pick, draws_as_often_as_the_slow_model_says) {
+TEST(Pick, draws_as_often_as_an_exhaustive_model_predicts) {
   std::vector<Candidate> const n{{5, 1}, {1, 1}, {3, 0.25}, {1, 0.5}};
   double total = 0;
   for (Candidate const& c : n) total += c.slow_start_share;
@@ -21,7 +21,7 @@
   for (std::size_t i = 0; i < n.size(); ++i) EXPECT_NEAR(seen[i], model[i], 0.01) << i;
 }
 
-TEST(TargetHistories, three_mishaps_in_a_row_eject_and_the_way_back_is_gradual) {
+TEST(TargetHistories, three_consecutive_failures_eject_and_the_return_is_gradual) {
   TargetHistories m;
   Instant t{std::chrono::seconds(100)};
   m.record_failure("x", t, false);
--- a/tests/state/placement_test.cpp
+++ b/tests/state/placement_test.cpp
@@ -1,4 +1,4 @@
-// Placements against every placement there is, and files that are refused.
+// Compares placements with an exhaustive search, and checks that invalid files are refused.
 #include "state/placement.hpp"
 
 #include <gtest/gtest.h>
@@ -7,12 +7,12 @@
 namespace banktide {
 namespace {
 
-// Every way to split a keyed service's slices and to place one without keys.
+// Tries every split of a keyed service's slices and every placement of a service without keys.
 inline std::optional<std::uint64_t> fewest_moves(Json const& want, std::vector<int> const& had) {
   std::optional<std::uint64_t> best;
-  std::vector<std::string> const cells{"a", "b", "c"};
+  std::vector<std::string> const zones{"a", "b", "c"};
   auto const cap = [&](int const i) {
-    return want["cells"][cells[static_cast<std::size_t>(i)]]["capacity"].get<int>();
+    return want["cells"][zones[static_cast<std::size_t>(i)]]["capacity"].get<int>();
   };
   int const pay = want["services"]["pay"]["burden"], browse = want["services"]["browse"]["burden"];
   for (int x = 0; x <= 8; ++x)
@@ -36,7 +36,7 @@
   return best;
 }
 
-TEST(Placement, moves_as_little_as_the_best_of_all_placements_or_names_what_cannot_be_met) {
+TEST(Placement, needs_the_fewest_moves_possible_or_names_constraints_that_cannot_be_met) {
   Layout const l = *Layout::read(
       R"({"cells":["a","b","c"],"services":{"pay":{"key":{"header":"x-key","slices":8}},"browse":{}},"ways":[]})");
   std::string const now = R"({"cells":{"a":{"pay":{"slices":[[0,4]]}},"b":{"pay":{"slices":[[5,7]]}}},"closed":[]})";
@@ -62,9 +62,9 @@
     ASSERT_TRUE(Catalogue::read(*got, l)) << *got;
     Json const j = Json::parse(*got);
     std::uint64_t moves = 0, slices = 0, k = 0;
-    for (std::string const cell : {"a", "b", "c"}) {
+    for (std::string const zone : {"a", "b", "c"}) {
       std::uint64_t n = 0;
-      Json const here = j["cells"].value(cell, Json::object());
+      Json const here = j["cells"].value(zone, Json::object());
       for (Json const& range : here.value("pay", Json::object()).value("slices", Json::array()))
         n += range[1].get<std::uint64_t>() - range[0].get<std::uint64_t>() + 1;
       std::uint64_t const had = k == 0 ? 5 : k == 1 ? 3 : 0;
@@ -79,7 +79,7 @@
   EXPECT_GT(unmet, 5);
 }
 
-TEST(Placement, a_bad_file_is_refused_with_its_pointer) {
+TEST(Placement, an_invalid_file_is_refused_with_its_json_pointer) {
   Layout const l = *Layout::read(R"({"cells":["a"],"services":{"browse":{}},"ways":[]})");
   struct Bad {
     std::string text, step, pointer;
--- a/tests/state/slice_moves_test.cpp
+++ b/tests/state/slice_moves_test.cpp
@@ -1,4 +1,4 @@
-// The state of slices on their way from one cell to another.
+// The reported state of slices that move from one zone to another.
 #include "state/slice_moves.hpp"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace banktide {
 namespace {
 
-TEST(SliceMoves, a_move_shows_what_is_held_what_empties_and_what_waits) {
+TEST(SliceMoves, a_move_shows_slices_held_emptying_and_waiting) {
   Layout const l =
       *Layout::read(R"({"cells":["a","b"],"services":{"pay":{"key":{"header":"x-key","slices":4}}},"ways":[]})");
   Catalogue const c =
