--- a/tests/programs/access_revocation_test.cpp
+++ b/tests/programs/access_revocation_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Duration revocation_limit = 5s;
-constexpr Duration between_requests = 100ms;
+constexpr Duration request_interval = 100ms;
 
 /// Version 1 has two keys; later versions have only the second.
 ServiceConfiguration one_key_fewer(std::uint64_t const version) {
@@ -37,7 +37,7 @@
 }
 
 /// A request that a client sent, and the status it got.
-struct Asked {
+struct SentRequest {
   std::string machine;
   std::string key;
   Instant sent{};
@@ -49,9 +49,9 @@
  public:
   explicit RevocationTrial(std::uint64_t const seed) : mesh(seed, {"a", "b", "c"}, with_revocation()) {}
 
-  void start_asking() {
+  void start_clients() {
     for (auto& [name, machine] : mesh.machines)
-      for (std::string const key : {"dropped", "kept"}) spawn(*machine.process, keep_asking(name, key));
+      for (std::string const key : {"dropped", "kept"}) spawn(*machine.process, client_loop(name, key));
   }
 
   void cut_off(std::string const& machine) {
@@ -63,40 +63,41 @@
 
   /// Sends version 2 until it is acknowledged; returns the time of the acknowledgement.
   Instant revoke() {
-    bool const taken =
-        mesh.run_until([&] { return mesh.operate("b", "PUT", "/configuration", "2").status == 200; }, 20s);
+    bool const taken = mesh.run_until(
+        [&] { return mesh.call_operator_interface("b", "PUT", "/configuration", "2").status == 200; }, 20s);
     EXPECT_TRUE(taken);
     return mesh.sim.now;
   }
 
   std::size_t count(std::string const& machine, std::string const& key, std::uint16_t const status, Instant const from,
                     Instant const to) const {
-    return static_cast<std::size_t>(std::count_if(asked.begin(), asked.end(), [&](std::shared_ptr<Asked> const& a) {
-      return (machine.empty() || a->machine == machine) && a->key == key && a->status == status && a->sent >= from &&
-             a->sent < to;
-    }));
+    return static_cast<std::size_t>(
+        std::count_if(sent_requests.begin(), sent_requests.end(), [&](std::shared_ptr<SentRequest> const& a) {
+          return (machine.empty() || a->machine == machine) && a->key == key && a->status == status &&
+                 a->sent >= from && a->sent < to;
+        }));
   }
 
   MeshTrial mesh;
-  std::vector<std::shared_ptr<Asked>> asked;
+  std::vector<std::shared_ptr<SentRequest>> sent_requests;
 
  private:
-  Task<void> keep_asking(std::string const name, std::string const key) {
+  Task<void> client_loop(std::string const name, std::string const key) {
     MeshTrial::Machine const& machine = mesh.machines.at(name);
     std::shared_ptr<SimProcess> const process = machine.process;
     std::shared_ptr<MeshNode<SimProcess>> const node = machine.node;
     while (true) {
-      co_await sleep_for(*process, between_requests);
-      std::shared_ptr<Asked> const record = std::make_shared<Asked>();
+      co_await sleep_for(*process, request_interval);
+      std::shared_ptr<SentRequest> const record = std::make_shared<SentRequest>();
       record->machine = name;
       record->key = key;
       record->sent = process->now();
-      asked.push_back(record);
+      sent_requests.push_back(record);
       HttpRequest request;
       request.method = "GET";
       request.target = "/thing";
       request.headers = {{"Host", "browse.test"},
-                         {"attempt", name + key + std::to_string(asked.size())},
+                         {"attempt", name + key + std::to_string(sent_requests.size())},
                          {"Authorization", "Bearer " + key}};
       HttpReply const reply = co_await node->request(std::move(request), std::make_shared<HttpExchange>());
       record->status = reply.status;
@@ -114,7 +115,7 @@
   RevocationTrial trial(GetParam());
   ASSERT_TRUE(trial.mesh.form());
   Instant const begun = trial.mesh.sim.now;
-  trial.start_asking();
+  trial.start_clients();
   trial.mesh.run_for(3s);
   trial.cut_off(cut_machine);
   Instant const cut = trial.mesh.sim.now;
@@ -140,7 +141,7 @@
   RevocationTrial trial(GetParam());
   ASSERT_TRUE(trial.mesh.form());
   Instant const begun = trial.mesh.sim.now;
-  trial.start_asking();
+  trial.start_clients();
   trial.mesh.run_for(10s);
   Instant const revoked = trial.revoke();
   trial.mesh.run_for(10s);
@@ -155,7 +156,7 @@
 TEST_P(AccessRevocation, nobody_is_let_in_for_longer_than_the_bound_without_the_control_plane) {
   RevocationTrial trial(GetParam());
   ASSERT_TRUE(trial.mesh.form());
-  trial.start_asking();
+  trial.start_clients();
   trial.mesh.run_for(3s);
   trial.mesh.kill_registries();
   Instant const gone = trial.mesh.sim.now;
--- a/tests/programs/configuration_reading_test.cpp
+++ b/tests/programs/configuration_reading_test.cpp
@@ -29,7 +29,7 @@
   // Frozen machines receive all versions at once when they are thawed.
   for (auto const& [name, machine] : mesh.machines) machine.process->freeze();
   for (std::string const version : {"2", "3", "4", "5"})
-    ASSERT_EQ(mesh.operate("a", "PUT", "/configuration", version).status, 200u);
+    ASSERT_EQ(mesh.call_operator_interface("a", "PUT", "/configuration", version).status, 200u);
   read.clear();
   for (auto const& [name, machine] : mesh.machines) machine.process->thaw();
   mesh.run_for(2s);
--- a/tests/programs/control_trial.hpp
+++ b/tests/programs/control_trial.hpp
@@ -13,7 +13,7 @@
 namespace banktide {
 
 /// A configuration change by an operator.
-struct Order {
+struct ConfigurationChange {
   Revision version = 0;
   std::string content;
 };
@@ -21,21 +21,21 @@
 /// The answers that operators got, and the contradictions between them.
 class OperatorLedger {
  public:
-  void acknowledged(Order const& order) {
-    note_content(order.version, order.content);
+  void acknowledged(ConfigurationChange const& order) {
+    record_content(order.version, order.content);
     newest_ = std::max(newest_, order.version);
     ++acknowledgements;
   }
-  void refused(Order const& order) {
+  void refused(ConfigurationChange const& order) {
     auto const known = contents_.find(order.version);
     bool const was_confirmed = known != contents_.end() && known->second == order.content;
-    if (was_confirmed) contradict(order.version, "was confirmed and is refused");
+    if (was_confirmed) report_contradiction(order.version, "was confirmed and is refused");
     ++refusals;
   }
   /// `floor`: the newest version that was acknowledged when the read was sent.
-  void read(Order const& seen, Revision const floor) {
-    if (seen.version < floor) contradict(seen.version, "is shown after a newer one was confirmed");
-    note_content(seen.version, seen.content);
+  void read(ConfigurationChange const& seen, Revision const floor) {
+    if (seen.version < floor) report_contradiction(seen.version, "is shown after a newer one was confirmed");
+    record_content(seen.version, seen.content);
     ++readings;
   }
   Revision newest() const { return newest_; }
@@ -44,11 +44,11 @@
   std::vector<std::string> contradictions;
 
  private:
-  void note_content(Revision const version, std::string const& content) {
+  void record_content(Revision const version, std::string const& content) {
     auto const [known, added] = contents_.emplace(version, content);
-    if (known->second != content) contradict(version, "was confirmed or shown with two contents");
+    if (known->second != content) report_contradiction(version, "was confirmed or shown with two contents");
   }
-  void contradict(Revision const version, std::string const& what) {
+  void report_contradiction(Revision const version, std::string const& what) {
     contradictions.push_back("version " + std::to_string(version) + " " + what);
   }
 
@@ -64,7 +64,7 @@
     for (std::size_t i = 0; i < cores; ++i) start(i, true);
   }
   ~ControlTrial() {
-    over = true;
+    stopped = true;
     stores.sim.run_ready_handlers();
     for (Core const& core : all_) core.process->kill();
   }
@@ -79,7 +79,8 @@
   void start_registry(std::size_t const i) {
     kill_registry(i);
     Core core;
-    core.process = std::make_shared<SimProcess>(stores.sim, stores.net, machine(i), registry_address(i), ++runs_);
+    core.process =
+        std::make_shared<SimProcess>(stores.sim, stores.net, machine(i), registry_address(i), ++incarnations_);
     stores.net.at[core.process->address] = core.process;
     stores.net.machine_of[core.process->address] = machine(i);
     RegistrySettings settings;
@@ -119,7 +120,7 @@
   static std::string machine(std::size_t const i) { return "core-" + std::to_string(i); }
 
   /// One request to one registry; status 0 if there is no answer within the operator's timeout.
-  Task<HttpReply> send(std::size_t const registry, Order const order) {
+  Task<HttpReply> send(std::size_t const registry, ConfigurationChange const order) {
     auto const write = [order](Core const& core) {
       return core.interface->write(WriteConfigurationOperation{order.version, order.content});
     };
@@ -142,8 +143,8 @@
   }
 
   /// Sends a change to random registries until it is accepted or refused; answers may get lost.
-  Task<void> place(Order const order, bool const answers_get_lost) {
-    for (int attempt = 0; attempt < 40 && !over; ++attempt) {
+  Task<void> submit(ConfigurationChange const order, bool const answers_get_lost) {
+    for (int attempt = 0; attempt < 40 && !stopped; ++attempt) {
       HttpReply const reply = co_await send(any_registry(), order);
       bool const lost = answers_get_lost && stores.sim.chance() % 3 == 0;
       if (reply.status == 200 && !lost) {
@@ -157,12 +158,12 @@
       co_await sleep_for(client(), std::chrono::milliseconds(20 + stores.sim.chance() % 200));
     }
   }
-  Task<void> look(std::size_t const registry) {
+  Task<void> check_read(std::size_t const registry) {
     Revision const floor = ledger.newest();
     HttpReply const reply = co_await read(registry);
     if (reply.status != 200) co_return;
     std::size_t const colon = reply.body.find(':');
-    ledger.read(Order{std::stoull(reply.body.substr(0, colon)), reply.body}, floor);
+    ledger.read(ConfigurationChange{std::stoull(reply.body.substr(0, colon)), reply.body}, floor);
   }
 
   SimProcess& client() { return *stores.clients[0]; }
@@ -175,7 +176,7 @@
 
   StoreTrial stores;
   OperatorLedger ledger;
-  bool over = false;
+  bool stopped = false;
   Duration longest_answer{};
 
  private:
@@ -186,7 +187,7 @@
     std::shared_ptr<ControlStatus<SimProcess>> status;
     std::shared_ptr<Dispatcher> dispatcher;
   };
-  static constexpr Duration patience = 1s;
+  static constexpr Duration operator_timeout = 1s;
 
   static Address registry_address(std::size_t const i) { return "store-" + std::to_string(i) + ":9"; }
 
@@ -198,7 +199,7 @@
     Instant const asked = client().now();
     if (core.process && core.process->alive && !core.process->frozen)
       spawn(*core.process, answer_one<F>(core, operation, answer));
-    std::optional<HttpReply> const reply = co_await answer->wait(asked + patience);
+    std::optional<HttpReply> const reply = co_await answer->wait(asked + operator_timeout);
     if (reply) longest_answer = std::max<Duration>(longest_answer, client().now() - asked);
     HttpReply none;
     none.status = 0;
@@ -221,7 +222,7 @@
   InterfaceAdapter adapter_;
   std::vector<Core> registries_;
   std::vector<Core> all_;
-  std::uint64_t runs_ = 1000;
+  std::uint64_t incarnations_ = 1000;
 };
 
 }  // namespace banktide
--- a/tests/programs/control_trial_test.cpp
+++ b/tests/programs/control_trial_test.cpp
@@ -9,8 +9,8 @@
 constexpr std::size_t cores = 4;
 constexpr std::uint32_t losses = 1;
 
-Order order(Revision const version, std::string const& text = "") {
-  return Order{version, std::to_string(version) + ":" + text};
+ConfigurationChange order(Revision const version, std::string const& text = "") {
+  return ConfigurationChange{version, std::to_string(version) + ":" + text};
 }
 
 bool formed(ControlTrial& t) {
@@ -33,14 +33,15 @@
 
 bool decided(std::uint16_t const status) { return status != 0 && status != 503; }
 
-Task<void> send_until_decided(ControlTrial& t, Order const change, std::size_t const registry, std::uint16_t& status) {
+Task<void> send_until_decided(ControlTrial& t, ConfigurationChange const change, std::size_t const registry,
+                              std::uint16_t& status) {
   while (!decided(status)) {
     HttpReply const reply = co_await t.send(registry, change);
     status = reply.status;
   }
 }
 
-std::uint16_t sent(ControlTrial& t, std::size_t const registry, Order const& change) {
+std::uint16_t sent(ControlTrial& t, std::size_t const registry, ConfigurationChange const& change) {
   return finished(t, t.send(registry, change)).status;
 }
 
@@ -60,7 +61,7 @@
     for (Revision version = 5; version < 15; ++version) {
       std::array<std::uint16_t, 2> statuses{};
       for (std::size_t operator_ = 0; operator_ < 2; ++operator_) {
-        Order const change = order(version, operator_ == 0 ? "one" : "other");
+        ConfigurationChange const change = order(version, operator_ == 0 ? "one" : "other");
         spawn(t.client(), send_until_decided(t, change, operator_ + 1, statuses[operator_]));
       }
       ASSERT_TRUE(t.stores.run_until([&] { return decided(statuses[0]) && decided(statuses[1]); }, 10s));
@@ -162,20 +163,20 @@
 
 // Two operators write and three clients read all the time, at any registry, while
 // faults are injected into the core: the answers must never contradict each other.
-class WorstDay {
+class FaultTrial {
  public:
-  explicit WorstDay(std::uint64_t const seed) : t(seed, cores, losses, spares), next_spare_(cores) {
+  explicit FaultTrial(std::uint64_t const seed) : t(seed, cores, losses, spares), next_spare_(cores) {
     for (std::size_t i = 0; i < cores; ++i) members_.push_back(i);
   }
 
   void run() {
-    for (int operator_ = 0; operator_ < 2; ++operator_) spawn(t.client(), keep_ordering());
-    for (int reader = 0; reader < 3; ++reader) spawn(t.client(), keep_reading());
-    t.stores.sim.after(300ms, [this] { strike(); });
+    for (int operator_ = 0; operator_ < 2; ++operator_) spawn(t.client(), write_loop());
+    for (int reader = 0; reader < 3; ++reader) spawn(t.client(), read_loop());
+    t.stores.sim.after(300ms, [this] { inject_random_fault(); });
     t.stores.run_for(40s);
-    over_ = true;
+    stopped_ = true;
     t.stores.sim.heal();
-    for (std::size_t const i : members_) mend(i);
+    for (std::size_t const i : members_) recover(i);
   }
 
   /// All members vote again, and each registry returns the newest confirmed version.
@@ -194,63 +195,64 @@
  private:
   static constexpr std::size_t spares = 3;
 
-  Task<void> keep_ordering() {
-    while (!over_) {
+  Task<void> write_loop() {
+    while (!stopped_) {
       Revision const version = ++version_ / 2 + 1;  // each version twice
-      Order const mine = order(version, std::to_string(t.stores.sim.chance() % 1000));
-      co_await t.place(mine, true);
-      placed_.push_back(mine);
+      ConfigurationChange const mine = order(version, std::to_string(t.stores.sim.chance() % 1000));
+      co_await t.submit(mine, true);
+      submitted_.push_back(mine);
       if (t.stores.sim.chance() % 4 == 0) {
-        Order const again = placed_[t.stores.sim.chance() % placed_.size()];
-        co_await t.place(again, true);
+        ConfigurationChange const again = submitted_[t.stores.sim.chance() % submitted_.size()];
+        co_await t.submit(again, true);
       }
     }
   }
-  Task<void> keep_reading() {
-    while (!over_) {
+  Task<void> read_loop() {
+    while (!stopped_) {
       std::size_t const at = t.any_registry();
-      co_await t.look(at);
+      co_await t.check_read(at);
       co_await sleep_for(t.client(), std::chrono::milliseconds(10 + t.stores.sim.chance() % 100));
     }
   }
 
-  void strike() {
-    if (over_) return;
+  void inject_random_fault() {
+    if (stopped_) return;
     std::size_t const i = members_[t.stores.sim.chance() % members_.size()];
-    Duration const a_while = std::chrono::milliseconds(100 + t.stores.sim.chance() % 3000);
-    strike_one(i, a_while);
-    t.stores.sim.after(std::chrono::milliseconds(500 + t.stores.sim.chance() % 2500), [this] { strike(); });
+    Duration const duration = std::chrono::milliseconds(100 + t.stores.sim.chance() % 3000);
+    inject_fault(i, duration);
+    t.stores.sim.after(std::chrono::milliseconds(500 + t.stores.sim.chance() % 2500),
+                       [this] { inject_random_fault(); });
   }
 
-  void strike_one(std::size_t const i, Duration const a_while) {
+  void inject_fault(std::size_t const i, Duration const duration) {
     switch (t.stores.sim.chance() % 9) {
       case 0:
-        return lose_power({i}, a_while);
+        return lose_power({i}, duration);
       case 1:
-        return lose_disk(i, a_while);
+        return lose_disk(i, duration);
       case 2:
         cut(i, true, true);
-        return heal_after(a_while);
+        return heal_after(duration);
       case 3: {
         bool const inwards = t.stores.sim.chance() % 2 == 0;
         cut(i, inwards, !inwards);
-        return heal_after(a_while);
+        return heal_after(duration);
       }
       case 4:
         for (std::size_t const m : members_)
           if (t.stores.sim.chance() % 2 == 0) cut(m, true, true);
-        return heal_after(a_while);
+        return heal_after(duration);
       case 5:
         if (!t.up(i) || t.frozen(i)) return;
         t.freeze(i);
-        return t.stores.sim.after(a_while, [this, i] {
+        return t.stores.sim.after(duration, [this, i] {
           if (t.frozen(i)) t.thaw(i);
         });
       case 6:
-        t.stores.disks[i].stalled_until = t.stores.sim.now + a_while;
+        t.stores.disks[i].stalled_until = t.stores.sim.now + duration;
         return;
       case 7:
-        return lose_power(members_, a_while / 4);
+        return lose_power(members_, duration / 4);
       default:
         return replace(i);
     }
@@ -270,7 +272,7 @@
     for (std::size_t const i : these) t.power_off(i);
     t.stores.sim.after(for_how_long, [this, these] {
       for (std::size_t const i : these)
-        if (std::find(members_.begin(), members_.end(), i) != members_.end()) mend(i);
+        if (std::find(members_.begin(), members_.end(), i) != members_.end()) recover(i);
     });
   }
   // A second disk is lost only after the first loss was repaired.
@@ -279,7 +281,7 @@
     disk_lost_ = true;
     t.power_off(i);
     t.stores.wipe(i);
-    t.stores.sim.after(for_how_long, [this, i] { mend(i); });
+    t.stores.sim.after(for_how_long, [this, i] { recover(i); });
     await_repair();
   }
   void replace(std::size_t const i) {
@@ -290,7 +292,7 @@
     t.stores.sim.after(1s, [this] {
       t.stores.seeds = listed_members();
       members_.push_back(next_spare_);
-      mend(next_spare_++);
+      recover(next_spare_++);
       await_repair();
     });
   }
@@ -309,7 +311,7 @@
         await_repair();
     });
   }
-  void mend(std::size_t const i) {
+  void recover(std::size_t const i) {
     if (!t.up(i)) t.start(i, false);
     if (t.frozen(i)) t.thaw(i);
   }
@@ -322,24 +324,24 @@
 
   std::vector<std::size_t> members_;
   std::size_t next_spare_;
-  std::vector<Order> placed_;
+  std::vector<ConfigurationChange> submitted_;
   Revision version_ = 0;
-  bool disk_lost_ = false, over_ = false;
+  bool disk_lost_ = false, stopped_ = false;
 };
 
-class WorstDays : public testing::TestWithParam<std::uint64_t> {};
-
-TEST_P(WorstDays, operators_are_told_one_story) {
-  WorstDay day(GetParam());
-  ASSERT_TRUE(formed(day.t));
-  day.run();
-  day.expect_recovery(GetParam());
-  EXPECT_EQ(day.t.ledger.contradictions, std::vector<std::string>{});
-  EXPECT_GT(day.t.ledger.acknowledgements, 10u);
-  EXPECT_GT(day.t.ledger.readings, 50u);
-  EXPECT_LE(day.t.longest_answer, 1s);
+class CombinedFaults : public testing::TestWithParam<std::uint64_t> {};
+
+TEST_P(CombinedFaults, operators_are_told_one_story) {
+  FaultTrial trial(GetParam());
+  ASSERT_TRUE(formed(trial.t));
+  trial.run();
+  trial.expect_recovery(GetParam());
+  EXPECT_EQ(trial.t.ledger.contradictions, std::vector<std::string>{});
+  EXPECT_GT(trial.t.ledger.acknowledgements, 10u);
+  EXPECT_GT(trial.t.ledger.readings, 50u);
+  EXPECT_LE(trial.t.longest_answer, 1s);
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, WorstDays, testing::Range<std::uint64_t>(1, 41));
+INSTANTIATE_TEST_SUITE_P(Seeds, CombinedFaults, testing::Range<std::uint64_t>(1, 41));
 
 // The ledger detects faults that are built in on purpose.
 class BrokenControl : public testing::TestWithParam<char const*> {};
@@ -347,12 +349,12 @@
 TEST_P(BrokenControl, is_found_out) {
   std::size_t contradictions = 0;
   for (std::uint64_t seed = 1; seed <= 20 && contradictions == 0; ++seed) {
-    WorstDay day(seed);
-    ASSERT_TRUE(formed(day.t));
+    FaultTrial trial(seed);
+    ASSERT_TRUE(formed(trial.t));
     mutant_name = GetParam();
-    day.run();
+    trial.run();
     mutant_name.clear();
-    contradictions += day.t.ledger.contradictions.size();
+    contradictions += trial.t.ledger.contradictions.size();
   }
   EXPECT_GT(contradictions, 0u);
 }
--- a/tests/programs/maintenance_window_run_test.cpp
+++ b/tests/programs/maintenance_window_run_test.cpp
@@ -26,7 +26,7 @@
   std::size_t keys_in_window = 0;  // the most that the zone held
   std::size_t fewest_keys_held = 65536;
   std::size_t fewest_keys_in_window = 65536;
-  std::size_t outside_its_keys = 0;
+  std::size_t requests_outside_its_keys = 0;
   std::string phase;
   bool was_clear = false;
   std::size_t runs_after = 0;
@@ -60,8 +60,8 @@
     pass(m, 10s);
     std::string const body = R"({"opens_in_s":40,"lasts_s":60,"lead_s":25})";
     if (marked) {
-      EXPECT_EQ(mesh.operate("b", "PUT", "/maintenance/a", body).status, 200);
-      EXPECT_EQ(mesh.operate("c", "PUT", "/maintenance/a", body).status, 200);  // marked twice
+      EXPECT_EQ(mesh.call_operator_interface("b", "PUT", "/maintenance/a", body).status, 200);
+      EXPECT_EQ(mesh.call_operator_interface("c", "PUT", "/maintenance/a", body).status, 200);  // marked twice
     }
     Instant const marked_at = mesh.sim.now;
     pass(m, opens_in - lead + settle);
@@ -85,8 +85,8 @@
       mesh.power_on("a");
     }
     pass(m, 45s);
-    m.runs_in_window = mesh.runs_in("a", drained_at, closes_at - 200ms);
-    m.runs_after = mesh.runs_in("a", mesh.sim.now - 8s, mesh.sim.now);
+    m.runs_in_window = mesh.executions_in("a", drained_at, closes_at - 200ms);
+    m.runs_after = mesh.executions_in("a", mesh.sim.now - 8s, mesh.sim.now);
     if (marked) m.phase = status(0).value("phase", "");
     mesh.serving = false;
     mesh.run_for(5s);
@@ -95,7 +95,7 @@
   }
 
   Json status(std::size_t const window) {
-    HttpReply const reply = mesh.operate("c", "GET", "/maintenance");
+    HttpReply const reply = mesh.call_operator_interface("c", "GET", "/maintenance");
     EXPECT_EQ(reply.status, 200);
     Json const j = Json::parse(reply.body, nullptr, false);
     if (!j.is_object() || j["windows"].size() <= window) return Json::object();
@@ -128,7 +128,8 @@
       Duration& longest = r->service == "accounts" ? m.longest_keyed : m.longest_payment;
       longest = std::max(longest, r->took);
     }
-    for (std::shared_ptr<StandInBackend> const& b : mesh.all_backends) m.outside_its_keys += b->outside_its_keys;
+    for (std::shared_ptr<FakeBackend> const& b : mesh.all_backends)
+      m.requests_outside_its_keys += b->requests_outside_its_keys;
   }
 
   MeshTrial mesh;
@@ -147,7 +148,7 @@
   EXPECT_EQ(m.ran_though_refused, 0u);
   EXPECT_EQ(m.unknown, 0u);
   EXPECT_EQ(m.repeatable_harmed, 0u);
-  EXPECT_EQ(m.outside_its_keys, 0u);
+  EXPECT_EQ(m.requests_outside_its_keys, 0u);
   EXPECT_LE(as_ms(m.longest_payment), 1000);
   EXPECT_LE(as_ms(m.longest_keyed), 3000);
   EXPECT_TRUE(m.was_clear);
@@ -179,32 +180,36 @@
   ASSERT_TRUE(mesh.form());
   mesh.serving = true;
   mesh.run_for(5s);
-  ASSERT_EQ(mesh.operate("b", "PUT", "/maintenance/a", R"({"opens_in_s":30,"lasts_s":600,"lead_s":20})").status, 200);
+  ASSERT_EQ(mesh.call_operator_interface("b", "PUT", "/maintenance/a", R"({"opens_in_s":30,"lasts_s":600,"lead_s":20})")
+                .status,
+            200);
   mesh.run_for(40s);
   mesh.power_off("b");
   mesh.run_for(10s);
   Instant const one_left = mesh.sim.now;
   mesh.run_for(10s);
-  EXPECT_EQ(mesh.runs_in("a", one_left - 10s, mesh.sim.now), 0u);
-  EXPECT_GT(mesh.runs_in("c", one_left, mesh.sim.now), 100u);
+  EXPECT_EQ(mesh.executions_in("a", one_left - 10s, mesh.sim.now), 0u);
+  EXPECT_GT(mesh.executions_in("c", one_left, mesh.sim.now), 100u);
   mesh.power_off("c");
   mesh.run_for(10s);
   Instant const none_left = mesh.sim.now;
   mesh.run_for(10s);
-  EXPECT_GT(mesh.runs_in("a", none_left, mesh.sim.now), 100u);
+  EXPECT_GT(mesh.executions_in("a", none_left, mesh.sim.now), 100u);
 }
 
 TEST(MaintenanceFaults, after_an_early_end_traffic_returns_gradually) {
   MeshTrial mesh(6, {"a", "b", "c"});
   ASSERT_TRUE(mesh.form());
   mesh.serving = true;
-  ASSERT_EQ(mesh.operate("b", "PUT", "/maintenance/a", R"({"opens_in_s":30,"lasts_s":600,"lead_s":20})").status, 200);
+  ASSERT_EQ(mesh.call_operator_interface("b", "PUT", "/maintenance/a", R"({"opens_in_s":30,"lasts_s":600,"lead_s":20})")
+                .status,
+            200);
   mesh.run_for(40s);
-  ASSERT_EQ(mesh.operate("c", "DELETE", "/maintenance/a").status, 200);
+  ASSERT_EQ(mesh.call_operator_interface("c", "DELETE", "/maintenance/a").status, 200);
   Instant const ended = mesh.sim.now;
   mesh.run_for(25s);
-  std::size_t const first = mesh.runs_in("a", ended, ended + 3s);
-  std::size_t const last = mesh.runs_in("a", ended + 22s, ended + 25s);
+  std::size_t const first = mesh.executions_in("a", ended, ended + 3s);
+  std::size_t const last = mesh.executions_in("a", ended + 22s, ended + 25s);
   EXPECT_GT(first, 0u);
   EXPECT_GT(last, 2 * first);
   EXPECT_GT(mesh.keys_held("a"), 0u);
--- a/tests/programs/mesh_trial.hpp
+++ b/tests/programs/mesh_trial.hpp
@@ -37,7 +37,7 @@
   Duration took{};
 };
 
-struct StandInBackend {
+struct FakeBackend {
   struct Row {
     std::uint32_t from = 0;
     std::uint32_t to = 0;
@@ -47,9 +47,9 @@
   std::string id, service, zone;
   std::vector<Row> rows;
   std::vector<HeartbeatReleasedRow> released;
-  std::uint64_t beats = 0;
+  std::uint64_t heartbeats = 0;
   std::uint32_t running = 0;
-  std::size_t outside_its_keys = 0;
+  std::size_t requests_outside_its_keys = 0;
 };
 
 /** Options of a trial. */
@@ -77,7 +77,7 @@
     std::string name, zone, service;
     std::shared_ptr<SimProcess> process;
     std::shared_ptr<MeshNode<SimProcess>> node;
-    std::shared_ptr<StandInBackend> backend;
+    std::shared_ptr<FakeBackend> backend;
   };
 
   MeshTrial(std::uint64_t const seed, std::vector<std::string> zone_names, MeshTrialOptions trial_options = {})
@@ -126,8 +126,8 @@
     voter->attach(d);
     membership->attach(d);
     spawn(*core.store_process, membership->run());
-    kept.push_back(voter);
-    kept.push_back(membership);
+    keep_alive.push_back(voter);
+    keep_alive.push_back(membership);
   }
 
   void start_registry(Core& core) {
@@ -143,8 +143,8 @@
     maintenance.return_time = 10s;
     core.mesh = std::make_shared<MeshRegistry<SimProcess>>(*core.registry_process, *core.registry, adapter,
                                                            KeySettings{}, maintenance);
-    kept.push_back(core.registry);
-    kept.push_back(core.mesh);
+    keep_alive.push_back(core.registry);
+    keep_alive.push_back(core.mesh);
     Dispatcher& d = dispatcher(*core.registry_process);
     core.registry->start(d);
     core.mesh->start(d);
@@ -161,8 +161,8 @@
     settings.service = machine.service;
     settings.store_port = store_port;
     settings.bounds = options.bounds;
-    machine.backend = std::make_shared<StandInBackend>();
-    machine.backend->id = machine.name + "-life-" + std::to_string(runs);
+    machine.backend = std::make_shared<FakeBackend>();
+    machine.backend->id = machine.name + "-life-" + std::to_string(incarnations);
     machine.backend->service = machine.service;
     machine.backend->zone = machine.zone;
     all_backends.push_back(machine.backend);
@@ -170,11 +170,11 @@
       return std::make_unique<Caller>(*this, *machine.process, machine.backend);
     };
     machine.node = std::make_shared<MeshNode<SimProcess>>(*machine.process, settings, adapter, factory);
-    kept.push_back(machine.node);
+    keep_alive.push_back(machine.node);
     machine.node->start(dispatcher(*machine.process));
-    spawn(*machine.process, keep_beating(machine.process, machine.node, machine.backend));
+    spawn(*machine.process, heartbeat_loop(machine.process, machine.node, machine.backend));
     for (std::string_view const service : trial_services)
-      spawn(*machine.process, keep_asking(machine.process, machine.node, machine, std::string(service)));
+      spawn(*machine.process, client_loop(machine.process, machine.node, machine, std::string(service)));
   }
 
   void power_off(std::string const& zone) {
@@ -221,8 +221,8 @@
   }
 
   /** Sends an operator's request to the registry of a zone; status 0 if it doesn't answer. */
-  HttpReply operate(std::string const& zone, std::string const& method, std::string const& target,
-                    std::string const& body = "") {
+  HttpReply call_operator_interface(std::string const& zone, std::string const& method, std::string const& target,
+                                    std::string const& body = "") {
     Core const& core = cores.at("core-" + zone);
     std::shared_ptr<HttpReply> const reply = std::make_shared<HttpReply>();
     HttpRequest const request{method, target, {}, body};
@@ -237,7 +237,8 @@
 
   /** Brings everything up: waits until a configuration is active, all nodes are ready and all keys are held. */
   bool form() {
-    bool const written = run_until([&] { return operate(zones[0], "PUT", "/configuration", "1").status == 200; }, 20s);
+    bool const written =
+        run_until([&] { return call_operator_interface(zones[0], "PUT", "/configuration", "1").status == 200; }, 20s);
     return written && run_until(
                           [&] {
                             for (auto const& [name, machine] : machines)
@@ -252,12 +253,12 @@
     std::size_t keys = 0;
     for (auto const& [name, machine] : machines) {
       if (!machine.process->alive || (!zone.empty() && machine.zone != zone)) continue;
-      for (StandInBackend::Row const& row : machine.backend->rows)
+      for (FakeBackend::Row const& row : machine.backend->rows)
         if (row.end > machine.process->now()) keys += row.to - row.from + 1;
     }
     return keys;
   }
-  std::size_t runs_in(std::string const& zone, Instant const from, Instant const to) const {
+  std::size_t executions_in(std::string const& zone, Instant const from, Instant const to) const {
     return static_cast<std::size_t>(std::count_if(ledger.begin(), ledger.end(), [&](LedgerEntry const& e) {
       return e.zone == zone && e.at >= from && e.at < to;
     }));
@@ -272,27 +273,27 @@
   std::map<std::string, Machine> machines;
   std::vector<LedgerEntry> ledger;
   std::vector<std::shared_ptr<ClientRecord>> records;
-  std::vector<std::shared_ptr<StandInBackend>> all_backends;
+  std::vector<std::shared_ptr<FakeBackend>> all_backends;
   bool serving = false;  // clients send requests
 
  private:
   static constexpr DataPathHeaders header_names{"attempt", "remaining", "target",     "answering", "key",
                                                 "caller",  "not-run",   "load-level", "seal",      "tenant"};
-  static constexpr Duration beat_every = 1500ms;
-  static constexpr Duration release_takes = 40ms;
+  static constexpr Duration heartbeat_period = 1500ms;
+  static constexpr Duration release_duration = 40ms;
 
   /** The node's connections to its fake backend. */
   class Caller : public BackendCaller {
    public:
-    Caller(MeshTrial& trial, SimProcess& process, std::shared_ptr<StandInBackend> backend)
+    Caller(MeshTrial& trial, SimProcess& process, std::shared_ptr<FakeBackend> backend)
         : trial_(trial), process_(process), backend_(std::move(backend)) {}
     Task<Result<HttpReply>> call(BackendCall call) override {
-      std::shared_ptr<StandInBackend> const backend = backend_;
+      std::shared_ptr<FakeBackend> const backend = backend_;
       HttpReply reply;
       reply.headers.push_back({call.attempt_header, call.attempt_id});
       std::string const key = header_of(call.request, "key");
       if (!key.empty() && !holds(*backend, static_cast<std::uint32_t>(std::stoul(key)))) {
-        ++backend->outside_its_keys;
+        ++backend->requests_outside_its_keys;
         reply.status = 421;
         co_return reply;
       }
@@ -306,14 +307,14 @@
     void close() override {}
 
    private:
-    bool holds(StandInBackend const& backend, std::uint32_t const key) const {
-      return std::any_of(backend.rows.begin(), backend.rows.end(), [&](StandInBackend::Row const& r) {
+    bool holds(FakeBackend const& backend, std::uint32_t const key) const {
+      return std::any_of(backend.rows.begin(), backend.rows.end(), [&](FakeBackend::Row const& r) {
         return r.from <= key && key <= r.to && r.end > process_.now();
       });
     }
     MeshTrial& trial_;
     SimProcess& process_;
-    std::shared_ptr<StandInBackend> const backend_;
+    std::shared_ptr<FakeBackend> const backend_;
   };
 
   static Address address_of(std::string const& machine, std::uint16_t const port) {
@@ -325,7 +326,7 @@
     return all;
   }
   std::shared_ptr<SimProcess> process(std::string const& machine, Address const& address) {
-    std::shared_ptr<SimProcess> const p = std::make_shared<SimProcess>(sim, net, machine, address, ++runs);
+    std::shared_ptr<SimProcess> const p = std::make_shared<SimProcess>(sim, net, machine, address, ++incarnations);
     processes.push_back(p);
     net.at[address] = p;
     net.machine_of[address] = machine;
@@ -344,7 +345,7 @@
       return options.configuration ? options.configuration(std::stoull(std::string(version))) : configuration();
     };
     adapter.interpret = [this](HttpRequest const& q) -> tl::expected<InterfaceOperation, InterfaceReply> {
-      if (q.target == "/beat") return InterfaceOperation(HeartbeatOperation{beats.at(std::stoul(q.body))});
+      if (q.target == "/beat") return InterfaceOperation(HeartbeatOperation{heartbeats.at(std::stoul(q.body))});
       if (q.method == "PUT") return InterfaceOperation(WriteConfigurationOperation{std::stoul(q.body), q.body});
       return InterfaceOperation(ReadinessOperation{});
     };
@@ -381,50 +382,51 @@
     return all;
   }
 
-  Task<void> keep_beating(std::shared_ptr<SimProcess> const p, std::shared_ptr<MeshNode<SimProcess>> const node,
-                          std::shared_ptr<StandInBackend> const backend) {
+  Task<void> heartbeat_loop(std::shared_ptr<SimProcess> const p, std::shared_ptr<MeshNode<SimProcess>> const node,
+                            std::shared_ptr<FakeBackend> const backend) {
     while (true) {
-      BackendHeartbeat beat;
-      beat.id = backend->id;
-      beat.service = backend->service;
-      beat.address = p->machine + ":9";
-      beat.zone = backend->zone;
-      beat.slots = slots;
-      beat.sequence = ++backend->beats;
-      std::erase_if(backend->rows, [&](StandInBackend::Row const& r) { return r.end <= p->now(); });
-      for (StandInBackend::Row const& r : backend->rows) beat.held.push_back(HeartbeatHeldRow{r.from, r.to, r.fence});
-      beat.released = backend->released;
-      beats.push_back(beat);
-      HttpRequest const request{"POST", "/beat", {}, std::to_string(beats.size() - 1)};
+      BackendHeartbeat heartbeat;
+      heartbeat.id = backend->id;
+      heartbeat.service = backend->service;
+      heartbeat.address = p->machine + ":9";
+      heartbeat.zone = backend->zone;
+      heartbeat.slots = slots;
+      heartbeat.sequence = ++backend->heartbeats;
+      std::erase_if(backend->rows, [&](FakeBackend::Row const& r) { return r.end <= p->now(); });
+      for (FakeBackend::Row const& r : backend->rows) heartbeat.held.push_back(HeartbeatHeldRow{r.from, r.to, r.fence});
+      heartbeat.released = backend->released;
+      heartbeats.push_back(heartbeat);
+      HttpRequest const request{"POST", "/beat", {}, std::to_string(heartbeats.size() - 1)};
       Instant const sent = p->now();
       HttpReply const reply = co_await node->handle_interface_request(request);
       HeartbeatAnswer const answer = reply.body.empty() ? HeartbeatAnswer{} : answers.at(std::stoul(reply.body));
       backend->released.clear();
-      bool const lets_go = answer.grant && take_rows(*backend, sent, *answer.grant);
-      co_await sleep_for(*p, lets_go ? release_takes : std::max<Duration>(sent + beat_every - p->now(), 1ms));
+      bool const releases_rows = answer.grant && apply_grant(*backend, sent, *answer.grant);
+      co_await sleep_for(
+          *p, releases_rows ? release_duration : std::max<Duration>(sent + heartbeat_period - p->now(), 1ms));
     }
   }
 
   // Rows are granted and released whole: a row that is no longer granted is released with a token.
-  static bool take_rows(StandInBackend& backend, Instant const sent, HeartbeatGrant const& grant) {
-    std::vector<StandInBackend::Row> rows;
+  static bool apply_grant(FakeBackend& backend, Instant const sent, HeartbeatGrant const& grant) {
+    std::vector<FakeBackend::Row> rows;
     for (HeartbeatGrantedRow const& g : grant.rows)
-      rows.push_back(StandInBackend::Row{g.from, g.to, g.fence, sent + grant.hold});
-    bool lets_go = false;
-    for (StandInBackend::Row const& old : backend.rows) {
+      rows.push_back(FakeBackend::Row{g.from, g.to, g.fence, sent + grant.hold});
+    bool releases_rows = false;
+    for (FakeBackend::Row const& old : backend.rows) {
       bool const kept_one = std::any_of(
-          rows.begin(), rows.end(), [&](StandInBackend::Row const& r) { return r.from <= old.from && old.to <= r.to; });
+          rows.begin(), rows.end(), [&](FakeBackend::Row const& r) { return r.from <= old.from && old.to <= r.to; });
       if (kept_one) continue;
       backend.released.push_back(HeartbeatReleasedRow{old.from, old.to, "token-of-" + backend.id});
-      lets_go = true;
+      releases_rows = true;
     }
     backend.rows = std::move(rows);
-    return lets_go;
+    return releases_rows;
   }
 
   // One client per machine and service, with one request at a time. It retries, with a new attempt id, only
   // requests that were refused as not executed.
-  Task<void> keep_asking(std::shared_ptr<SimProcess> const p, std::shared_ptr<MeshNode<SimProcess>> const node,
+  Task<void> client_loop(std::shared_ptr<SimProcess> const p, std::shared_ptr<MeshNode<SimProcess>> const node,
                          Machine const& machine, std::string const service) {
     while (true) {
       co_await sleep_for(*p, std::chrono::milliseconds(100 + p->chance()() % 200));
@@ -438,13 +440,13 @@
       std::string const key = std::to_string(p->chance()() % 65536);
       do {
         if (record->outcome == ClientOutcome::refused) co_await sleep_for(*p, 100ms);
-        co_await ask_once(*node, *record, key);
+        co_await send_once(*node, *record, key);
       } while (record->outcome == ClientOutcome::refused);
       record->took = sim.now - record->begun;
     }
   }
 
-  static Task<void> ask_once(MeshNode<SimProcess>& node, ClientRecord& record, std::string const& key) {
+  static Task<void> send_once(MeshNode<SimProcess>& node, ClientRecord& record, std::string const& key) {
     HttpRequest q;
     q.method = "POST";
     q.target = "/thing";
@@ -461,11 +463,11 @@
 
   std::vector<std::shared_ptr<SimProcess>> processes;
   std::vector<std::unique_ptr<Dispatcher>> dispatchers;
-  std::vector<BackendHeartbeat> beats;
+  std::vector<BackendHeartbeat> heartbeats;
   std::vector<HeartbeatAnswer> answers;
-  std::uint64_t runs = 0;
+  std::uint64_t incarnations = 0;
   // Objects that run on processes: destroyed before the processes, to which their alarms belong.
-  std::vector<std::shared_ptr<void>> kept;
+  std::vector<std::shared_ptr<void>> keep_alive;
 };
 
 }  // namespace banktide
