--- a/tests/platform/configuration_reader_test.cpp
+++ b/tests/platform/configuration_reader_test.cpp
@@ -1,4 +1,4 @@
-// Operators' configurations: every fault is refused, everything else is taken.
+// Reading of configurations: every invalid one is refused, every valid one accepted.
 #include "platform/configuration_reader.hpp"
 
 #include <gtest/gtest.h>
@@ -65,12 +65,12 @@
   EXPECT_EQ(read->limits.idle_timeout, 20s);
 }
 
-TEST(ConfigurationReader, RefusesABodyCutAnywhere) {
+TEST(ConfigurationReader, RefusesTruncatedBodies) {
   for (std::size_t length = 0; length < sample.size(); ++length)
     EXPECT_FALSE(read_configuration(std::string_view(sample).substr(0, length))) << "cut after " << length;
 }
 
-TEST(ConfigurationReader, RefusesWhatIsNoConfiguration) {
+TEST(ConfigurationReader, RefusesOtherDocuments) {
   for (std::string const body : {"", "null", "7", "[]", "{}", "\"x\"", "[{}]", "{\"revision\":\"00000001\"}"})
     EXPECT_FALSE(read_configuration(body)) << body;
   EXPECT_FALSE(read_configuration(sample + "}"));
@@ -119,7 +119,7 @@
   EXPECT_FALSE(accepted(none));
 }
 
-TEST(ConfigurationReader, RefusesTwoRoutesOnOnePlace) {
+TEST(ConfigurationReader, RefusesDuplicateRoutes) {
   Json changed = document();
   route(changed, 1)["pathPrefix"] = "/items/";
   EXPECT_FALSE(accepted(changed));
@@ -176,12 +176,12 @@
   EXPECT_EQ(refused, 40u);
 }
 
-TEST(ConfigurationReader, RefusesASectionThatStandsTwice) {
+TEST(ConfigurationReader, RefusesDuplicateSections) {
   std::string const twice = sample.substr(0, sample.size() - 1) + ",\"revision\":\"00000009\"}";
   EXPECT_FALSE(read_configuration(twice));
 }
 
-TEST(ConfigurationReader, PassesOverUnknownFieldsEverywhere) {
+TEST(ConfigurationReader, IgnoresUnknownFieldsEverywhere) {
   Json const extra = Json::parse(R"({"destination":[{"share":-1}],"domain":"","more":[[{"revision":null}],{}]})");
   Json changed = document();
   changed["future"] = extra;
@@ -195,8 +195,8 @@
   EXPECT_EQ(read->services.size(), 2u);
 }
 
-// Guards against UNASKED: a part of the configuration that was never built went unnoticed.
-TEST(ConfigurationReader, TellsWhichSectionsItPassedOver) {
+// Guards against ignoring a section of the configuration that isn't implemented without reporting it.
+TEST(ConfigurationReader, ReportsIgnoredSections) {
   EXPECT_TRUE(read_configuration(sample)->ignored_sections.empty());
   Json changed = document();
   changed["future"] = {{"routingEntries", 1}};
@@ -224,7 +224,7 @@
   EXPECT_TRUE((*read->tenants)[2].access_keys.empty());
 }
 
-TEST(ConfigurationReader, TellsNoTenantsFromAnEmptyList) {
+TEST(ConfigurationReader, DistinguishesNoTenantsFromAnEmptyList) {
   EXPECT_FALSE(read_configuration(sample)->tenants);
   Json changed = document();
   changed["subscribers"] = nullptr;
@@ -233,7 +233,7 @@
   EXPECT_TRUE(read_configuration(changed.dump())->tenants);
 }
 
-TEST(ConfigurationReader, RefusesTenantsThatCannotBeToldApartOrNamed) {
+TEST(ConfigurationReader, RefusesUnnamedTenantsAndSharedKeys) {
   for (std::string const tenants :
        {R"([{"name":"a","accessKeys":["k"]},{"name":"b","accessKeys":["l","k"]}])", R"([{"accessKeys":["k"]}])",
         R"([{"name":"","accessKeys":["k"]}])", R"([{"name":"a\r\nx","accessKeys":["k"]}])", R"([{"name":7}])",
@@ -249,7 +249,7 @@
   EXPECT_TRUE(accepted(same)) << "a tenant may name its own key twice";
 }
 
-TEST(ConfigurationReader, TakesEmptyListsAnyOrderAndWhatIsNotStated) {
+TEST(ConfigurationReader, AcceptsEmptyListsAnyOrderAndAbsentFields) {
   EXPECT_TRUE(read_valid_configuration(R"({"destinations":[],"routingEntries":[],"revision":"00000001"})"));
   Result<ServiceConfiguration> const read = read_valid_configuration(
       R"( {"revision":"00000001","destinations":[{"name":"a"}],
@@ -259,7 +259,7 @@
   EXPECT_EQ(read->routes[0].target_latency, read->routes[0].timeout);
 }
 
-TEST(ConfigurationReader, TakesThousandsOfRoutes) {
+TEST(ConfigurationReader, AcceptsThousandsOfRoutes) {
   constexpr std::size_t count = 5000;
   Json many = document();
   for (std::size_t i = 0; i < count; ++i) {
@@ -273,7 +273,7 @@
   EXPECT_EQ(read->routes.size(), count + 2);
 }
 
-TEST(ConfigurationReader, NeverFailsOtherwiseOnSpoiltBytes) {
+TEST(ConfigurationReader, DoesNotCrashOnCorruptedBytes) {
   std::mt19937 random(11);
   std::size_t refused = 0;
   for (int round = 0; round < 5000; ++round) {
--- a/tests/platform/heartbeat_translator_test.cpp
+++ b/tests/platform/heartbeat_translator_test.cpp
@@ -1,4 +1,4 @@
-// Heartbeats from the platform's bytes and answers back.
+// Conversion of heartbeats and their answers.
 #include "platform/heartbeat_translator.hpp"
 
 #include <gtest/gtest.h>
@@ -34,13 +34,13 @@
   EXPECT_EQ(read->released, (std::vector<HeartbeatReleasedRow>{{100, 199, "feed"}}));
 }
 
-TEST(HeartbeatTranslator, KnowsThatABackendLeaves) {
+TEST(HeartbeatTranslator, ReadsTheLeavingState) {
   Json changed = document();
   changed["state"] = "quiescing";
   EXPECT_TRUE(read_heartbeat("i-1", changed.dump())->leaving);
 }
 
-TEST(HeartbeatTranslator, NeedsOnlyServiceAndAddress) {
+TEST(HeartbeatTranslator, RequiresOnlyServiceAndAddress) {
   Result<BackendHeartbeat> const read = read_heartbeat("i-1", R"({"destination":"a","address":"b:1","later":{}})");
   ASSERT_TRUE(read);
   EXPECT_TRUE(read->held.empty());
@@ -48,12 +48,12 @@
   EXPECT_FALSE(read_heartbeat("i-1", R"({"address":"b:1"})"));
 }
 
-TEST(HeartbeatTranslator, RefusesBodiesCutAnywhere) {
+TEST(HeartbeatTranslator, RefusesTruncatedBodies) {
   for (std::size_t length = 0; length < golden.size(); ++length)
     EXPECT_FALSE(read_heartbeat("i-1", std::string_view(golden).substr(0, length))) << "cut after " << length;
 }
 
-TEST(HeartbeatTranslator, RefusesRowsThatAreNone) {
+TEST(HeartbeatTranslator, RefusesInvalidRows) {
   for (std::string const rows : {"7", "[7]", "[[1,2]]", "[[1,2,3,4]]", "[[2,1,3]]", "[[-1,2,3]]", "[[0,65536,3]]",
                                  "[[0,1,-3]]", "[[0,1,\"x\"]]", "[[0.5,1,3]]"}) {
     Json changed = document();
@@ -78,14 +78,14 @@
   EXPECT_EQ(Json::parse(*write_heartbeat_answer(answer))["holdings"], Json::parse(R"([[0,9,4,""],[10,19,5,"feed"]])"));
 }
 
-TEST(HeartbeatTranslator, NeverTellsAHoldLongerThanItIs) {
+TEST(HeartbeatTranslator, RoundsHoldsDown) {
   HeartbeatAnswer answer;
   answer.grant = HeartbeatGrant{};
   answer.grant->hold = 3s - 1ns;
   EXPECT_EQ(Json::parse(*write_heartbeat_answer(answer))["holdS"].get<double>(), 2.999);
 }
 
-TEST(HeartbeatTranslator, RefusesAnswersThatWouldNotCount) {
+TEST(HeartbeatTranslator, RefusesAnswersAboveTheLimit) {
   HeartbeatAnswer answer;
   answer.grant = HeartbeatGrant{};
   for (std::uint32_t i = 0; i < 500; ++i) answer.grant->rows.push_back({i, i, 1, ""});
--- a/tests/platform/platform_interface_test.cpp
+++ b/tests/platform/platform_interface_test.cpp
@@ -1,4 +1,4 @@
-// Requests of the interface, the operations they ask for, and replies.
+// Mapping of requests to operations, and the replies.
 #include "platform/platform_interface.hpp"
 
 #include <gtest/gtest.h>
@@ -35,7 +35,7 @@
   EXPECT_TRUE(asks_for<WriteConfigurationOperation>("PUT", "/api/configuration", configuration));
 }
 
-TEST(PlatformInterface, TakesTheIdFromThePath) {
+TEST(PlatformInterface, ReadsTheIdFromThePath) {
   tl::expected<InterfaceOperation, InterfaceReply> const leave =
       interpret({"DELETE", "/api/instances/i-7?why=end", ""});
   EXPECT_EQ(std::get<LeaveOperation>(*leave).id, "i-7");
@@ -62,7 +62,7 @@
   EXPECT_EQ(interpret({"POST", "/api/configuration", ""}).error().allow, "GET, PUT");
 }
 
-TEST(PlatformInterface, RefusesWhatCannotBeReadOrIsInvalid) {
+TEST(PlatformInterface, RefusesMalformedAndInvalidBodies) {
   EXPECT_EQ(refused("PUT", "/api/instances/i-1", "{"), 400u);
   EXPECT_EQ(refused("PUT", "/api/configuration", ""), 400u);
   EXPECT_EQ(refused("PUT", "/api/configuration", configuration.substr(0, 40)), 400u);
@@ -71,8 +71,8 @@
   EXPECT_EQ(refused("PUT", "/api/configuration", unknown), 400u);
 }
 
-// Guards against CONFIG: an acknowledgement of a configuration in which two tenants share a key.
-TEST(PlatformInterface, RefusesAnAccessKeyOfTwoTenants) {
+// Guards against acknowledging a configuration in which two tenants share a key.
+TEST(PlatformInterface, RefusesAnAccessKeySharedByTenants) {
   std::string const two = R"("subscribers":[{"name":"a","accessKeys":["k","l"]},{"name":"b","accessKeys":["m","k"]}])";
   std::string const one = R"("subscribers":[{"name":"a","accessKeys":["k","l"]},{"name":"b","accessKeys":["m","n"]}])";
   std::string const front = configuration.substr(0, configuration.rfind('}')) + ",";
@@ -80,7 +80,7 @@
   EXPECT_TRUE(interpret({"PUT", "/api/configuration", front + one + "}"}).has_value());
 }
 
-TEST(PlatformInterface, RepliesTellOutcomes) {
+TEST(PlatformInterface, MapsOutcomesToReplies) {
   EXPECT_EQ(readiness_reply(true).status, 200u);
   EXPECT_EQ(readiness_reply(false).status, 503u);
   EXPECT_EQ(acknowledgement_reply().status, 200u);
@@ -92,7 +92,7 @@
   EXPECT_EQ(redirect.location, "http://10.9.0.1:81/api/configuration");
 }
 
-TEST(PlatformInterface, AcknowledgesWithoutAGrantThatWouldBeTooLong) {
+TEST(PlatformInterface, OmitsAGrantAboveTheLimit) {
   HeartbeatAnswer answer;
   answer.grant = HeartbeatGrant{};
   for (std::uint32_t i = 0; i < 500; ++i) answer.grant->rows.push_back({i, i, 1, ""});
--- a/tests/platform/settings_templates_test.cpp
+++ b/tests/platform/settings_templates_test.cpp
@@ -1,5 +1,4 @@
-// The settings templates give JSON that the programs' settings can read, whatever
-// fields are absent.
+// The settings templates produce JSON that the programs can read, whichever fields are absent.
 #include "platform/timing_bounds_reader.hpp"
 
 #include <filesystem>
@@ -17,7 +16,7 @@
 
 using Json = nlohmann::ordered_json;
 
-/// What `{{.}}`, `{{@}}` and `{{,}}` stand for inside a section.
+/// The values of `{{.}}`, `{{@}}` and `{{,}}` inside a section.
 struct Entry {
   Json const* value = nullptr;
   std::string key;
@@ -47,7 +46,7 @@
  public:
   TemplateExpander(std::string const& text, Json const& fields) : text_(text), fields_(fields) {}
 
-  /// Fills from `position` to the end tag of the section, or to the end of the text; tells where it stopped.
+  /// Fills from `position` to the end tag of the section, or to the end of the text; advances `position` to there.
   std::string fill(std::size_t& position, std::string const& section, bool const visible) {
     std::string out;
     while (true) {
@@ -123,7 +122,7 @@
   std::vector<Entry> entries_;
 };
 
-/// The template with all its gaps and sections filled from the fields, as the platform says that it does.
+/// Expands the template's placeholders and sections from the fields, as the platform documents it.
 std::string fill_template(std::string const& text, Json const& fields) {
   std::size_t position = 0;
   return TemplateExpander(text, fields).fill(position, "", true);
@@ -175,7 +174,7 @@
   EXPECT_EQ(filled("proxy-settings.json", fields_of_a_proxy()), expected);
 }
 
-// Guards against CONFIG: every bound of a deployment was passed over, as the template gave values without names.
+// Guards against losing a deployment's bounds: the template once produced values without names, and all were ignored.
 TEST(SettingsTemplates, BoundsReachTheProcessUnderTheirNames) {
   Json fields = fields_of_a_proxy();
   fields["timingBounds"] = {{"drainS", 7.5}, {"graceS", 12}, {"revocationGlobal", true}, {"revokeS", 4}};
@@ -208,7 +207,7 @@
   EXPECT_EQ(filled("store-settings.json", fields), expected);
 }
 
-TEST(SettingsTemplates, AnyAbsentFieldLeavesAnObjectThatSettingsCanRead) {
+TEST(SettingsTemplates, AbsentFieldsStillGiveReadableSettings) {
   for (std::string const name : {"proxy-settings.json", "registry-settings.json", "store-settings.json"}) {
     Json const all = fields_of_a_core_machine();
     std::size_t const keys = filled(name, all).size();
--- a/tests/platform/timing_bounds_reader_test.cpp
+++ b/tests/platform/timing_bounds_reader_test.cpp
@@ -1,11 +1,11 @@
-// Bounds from `name=value` texts.
+// Reading of bounds from `name=value` texts.
 #include "platform/timing_bounds_reader.hpp"
 
 #include <gtest/gtest.h>
 
 namespace banktide::platform {
 
-TEST(TimingBoundsReader, ReadsBoundsAndKeepsTheOthersAsTheyAre) {
+TEST(TimingBoundsReader, ReadsBoundsAndKeepsOtherDefaults) {
   Result<TimingBounds> const read =
       read_timing_bounds({"drainS=3", "lossSlackS=0.45", "retryRatio=0.3", "retrySlack=224", "someday=true"});
   ASSERT_TRUE(read);
@@ -16,7 +16,7 @@
   EXPECT_EQ(read->hold_limit, TimingBounds{}.hold_limit);
 }
 
-TEST(TimingBoundsReader, ReadsEveryBoundIntoAFieldOfItsOwn) {
+TEST(TimingBoundsReader, ReadsEachBoundIntoItsOwnField) {
   std::vector<std::string> const names = {
       "seedLagS",  "addressQuarantineS", "contactS",      "ackS",         "syncS",        "drainS",
       "graceS",    "lossSlackS",         "configEffectS", "revertSlackS", "coreStretchS", "retryWindowS",
@@ -33,18 +33,18 @@
   for (std::size_t i = 0; i < fields.size(); ++i) EXPECT_EQ(fields[i], std::chrono::seconds(100 + i)) << names[i];
 }
 
-TEST(TimingBoundsReader, RefusesKnownBoundsThatHoldNoNumber) {
+TEST(TimingBoundsReader, RefusesKnownBoundsWithoutANumber) {
   for (std::string const text : {"drainS", "drainS=", "revocationGlobal=1", "revokeS=soon", "drainS=two", "drainS=2x",
                                  "drainS=-1", "retryRatio=nan"})
     EXPECT_FALSE(read_timing_bounds({text})) << text;
 }
 
-// Guards against CONFIG: values without names were passed over as bounds of the future.
+// Guards against losing bounds: values without names were once ignored as unknown bounds.
 TEST(TimingBoundsReader, RefusesTextsWithoutAName) {
   for (std::string const text : {"3", "0.25", "true", "=3", ""}) EXPECT_FALSE(read_timing_bounds({text})) << text;
 }
 
-TEST(TimingBoundsReader, RevocationIsBoundedOnlyWhereItIsSaidToBe) {
+TEST(TimingBoundsReader, RevocationIsBoundedOnlyIfStated) {
   EXPECT_EQ(read_timing_bounds({"revocationGlobal=true", "revokeS=5"})->revocation_limit, 5s);
   EXPECT_EQ(read_timing_bounds({"revokeS=5", "revocationGlobal=true"})->revocation_limit, 5s);
   EXPECT_EQ(read_timing_bounds({"revokeS=5", "revocationGlobal=false"})->revocation_limit, std::nullopt);
