--- a/tests/programs/control_trial.hpp
+++ b/tests/programs/control_trial.hpp
@@ -21,15 +21,15 @@
 /// The answers that operators got, and the contradictions between them.
 class OperatorLedger {
  public:
-  void acknowledged(ConfigurationChange const& order) {
-    record_content(order.version, order.content);
-    newest_ = std::max(newest_, order.version);
+  void acknowledged(ConfigurationChange const& change) {
+    record_content(change.version, change.content);
+    newest_ = std::max(newest_, change.version);
     ++acknowledgements;
   }
-  void refused(ConfigurationChange const& order) {
-    auto const known = contents_.find(order.version);
-    bool const was_confirmed = known != contents_.end() && known->second == order.content;
-    if (was_confirmed) report_contradiction(order.version, "was confirmed and is refused");
+  void refused(ConfigurationChange const& change) {
+    auto const known = contents_.find(change.version);
+    bool const was_confirmed = known != contents_.end() && known->second == change.content;
+    if (was_confirmed) report_contradiction(change.version, "was confirmed and is refused");
     ++refusals;
   }
   /// `floor`: the newest version that was acknowledged when the read was sent.
@@ -120,9 +120,9 @@
   static std::string machine(std::size_t const i) { return "core-" + std::to_string(i); }
 
   /// One request to one registry; status 0 if there is no answer within the operator's timeout.
-  Task<HttpReply> send(std::size_t const registry, ConfigurationChange const order) {
-    auto const write = [order](Core const& core) {
-      return core.interface->write(WriteConfigurationOperation{order.version, order.content});
+  Task<HttpReply> send(std::size_t const registry, ConfigurationChange const change) {
+    auto const write = [change](Core const& core) {
+      return core.interface->write(WriteConfigurationOperation{change.version, change.content});
     };
     co_return co_await call(registry, write);
   }
@@ -143,16 +143,16 @@
   }
 
   /// Sends a change to random registries until it is accepted or refused; answers may get lost.
-  Task<void> submit(ConfigurationChange const order, bool const answers_get_lost) {
+  Task<void> submit(ConfigurationChange const change, bool const answers_get_lost) {
     for (int attempt = 0; attempt < 40 && !stopped; ++attempt) {
-      HttpReply const reply = co_await send(any_registry(), order);
+      HttpReply const reply = co_await send(any_registry(), change);
       bool const lost = answers_get_lost && stores.sim.chance() % 3 == 0;
       if (reply.status == 200 && !lost) {
-        ledger.acknowledged(order);
+        ledger.acknowledged(change);
         co_return;
       }
       if (reply.status == 409 && !lost) {
-        ledger.refused(order);
+        ledger.refused(change);
         co_return;
       }
       co_await sleep_for(client(), std::chrono::milliseconds(20 + stores.sim.chance() % 200));
