--- a/tests/programs/control_trial_test.cpp
+++ b/tests/programs/control_trial_test.cpp
@@ -54,7 +54,7 @@
     }
 }
 
-TEST(ControlTrial, of_two_operators_with_one_number_exactly_one_is_confirmed) {
+TEST(ControlTrial, of_two_operators_with_one_version_exactly_one_is_confirmed) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     ControlTrial t(seed, cores, losses, 0);
     ASSERT_TRUE(formed(t));
@@ -99,7 +99,7 @@
   EXPECT_EQ(finished(t, t.read(1)).body, "4:four");
 }
 
-TEST(ControlTrial, who_is_cut_off_shows_and_confirms_nothing_and_says_so_in_time) {
+TEST(ControlTrial, an_isolated_registry_returns_and_confirms_nothing_and_says_so_in_time) {
   for (std::size_t const alone : {0u, 3u}) {
     ControlTrial t(3 + alone, cores, losses, 0);
     ASSERT_TRUE(formed(t));
@@ -123,7 +123,7 @@
   }
 }
 
-TEST(ControlTrial, of_two_halves_neither_confirms_or_shows_anything_and_both_go_on_when_healed) {
+TEST(ControlTrial, neither_half_of_a_partition_confirms_or_returns_anything_and_both_recover) {
   ControlTrial t(9, cores, losses, 0);
   ASSERT_TRUE(formed(t));
   ASSERT_EQ(sent(t, 0, order(10)), 200u);
@@ -141,7 +141,7 @@
   }
 }
 
-TEST(ControlTrial, operators_are_told_who_votes_and_what_can_still_be_borne) {
+TEST(ControlTrial, the_status_reports_who_votes_and_how_many_losses_are_tolerated) {
   ControlTrial t(10, cores, losses, 0);
   ASSERT_TRUE(formed(t));
   ASSERT_EQ(sent(t, 0, order(10)), 200u);
@@ -331,7 +331,7 @@
 
 class CombinedFaults : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(CombinedFaults, operators_are_told_one_story) {
+TEST_P(CombinedFaults, answers_to_operators_never_contradict_each_other) {
   FaultTrial trial(GetParam());
   ASSERT_TRUE(formed(trial.t));
   trial.run();
@@ -346,7 +346,7 @@
 // The ledger detects faults that are built in on purpose.
 class BrokenControl : public testing::TestWithParam<char const*> {};
 
-TEST_P(BrokenControl, is_found_out) {
+TEST_P(BrokenControl, is_detected) {
   std::size_t contradictions = 0;
   for (std::uint64_t seed = 1; seed <= 20 && contradictions == 0; ++seed) {
     FaultTrial trial(seed);
--- a/tests/programs/maintenance_window_run_test.cpp
+++ b/tests/programs/maintenance_window_run_test.cpp
@@ -61,7 +61,7 @@
     std::string const body = R"({"opens_in_s":40,"lasts_s":60,"lead_s":25})";
     if (marked) {
       EXPECT_EQ(mesh.call_operator_interface("b", "PUT", "/maintenance/a", body).status, 200);
-      EXPECT_EQ(mesh.call_operator_interface("c", "PUT", "/maintenance/a", body).status, 200);  // marked twice
+      EXPECT_EQ(mesh.call_operator_interface("c", "PUT", "/maintenance/a", body).status, 200);  // scheduled twice
     }
     Instant const marked_at = mesh.sim.now;
     pass(m, opens_in - lead + settle);
