--- a/source/simulation/history.hpp
+++ b/source/simulation/history.hpp
@@ -25,10 +25,10 @@
   // hung-up: the caller went away.
   std::string outcome;
   bool correct = false, retry_after = false;
-  bool must_stay = false;   // an undisturbed_for backend of its own cell was known to serve it
-  bool must_serve = false;  // or one in a cell that could be reached
-  bool calm = false;        // 15 s after the last fault, with the next one far
-  std::string after_fault;  // the last kind of mishap, within 3 s
+  bool must_stay = false;        // an undisturbed_for backend of its own cell was known to serve it
+  bool must_serve = false;       // or one in a cell that could be reached
+  bool no_recent_fault = false;  // 15 s after the last fault, with the next one far
+  std::string after_fault;       // the last kind of mishap, within 3 s
   std::string reason;
 };
 
@@ -51,8 +51,8 @@
   std::string bytes;
   Instant sent{}, answered{};
   Revision revision = 0;  // 0: not acknowledged
-  bool maybe = false;
-  std::optional<Revision> matched;
+  bool may_be_applied = false;
+  std::optional<Revision> if_match;
 };
 
 struct InForceSample {
@@ -83,7 +83,7 @@
     check_revisions(out);
     check_drains(out);
     check_budget(out);
-    check_dropping(out);
+    check_dropped_calls(out);
     check_recovery(out);
     return out;
   }
@@ -125,7 +125,7 @@
   void check_runs(std::vector<std::string>& out) const {
     std::set<std::string> allowed;
     for (RevisionRecord const& r : revisions)
-      if (r.reg == Register::routing && (r.revision > 0 || r.maybe)) {
+      if (r.reg == Register::routing && (r.revision > 0 || r.may_be_applied)) {
         Json const j = Json::parse(r.bytes);
         for (auto const& [name, s] : j["services"].items()) allowed.insert(name);
       }
@@ -170,19 +170,19 @@
       std::stable_sort(all.begin(), all.end(),
                        [](RunRecord const* a, RunRecord const* b) { return a->begin < b->begin; });
       RunRecord const* last = nullptr;  // the one that ends last
-      std::uint64_t top = 0;
-      std::string top_instance;
+      std::uint64_t highest = 0;
+      std::string highest_instance;
       for (RunRecord const* const r : all) {
         if (last != nullptr && last->instance != r->instance && r->begin < last->end)
           out.push_back("two backends at once on " + key + ": " + last->instance + " and " + r->instance + " at " +
                         ms(r->begin));
         if (last == nullptr || r->end > last->end) last = r;
-        if (r->epoch < top || (r->epoch == top && top_instance != r->instance && top > 0))
+        if (r->epoch < highest || (r->epoch == highest && highest_instance != r->instance && highest > 0))
           out.push_back("the epoch of " + key + " did not rise: " + std::to_string(r->epoch) + " for " + r->instance +
-                        " after " + std::to_string(top) + " for " + top_instance);
-        if (r->epoch >= top) {
-          top = r->epoch;
-          top_instance = r->instance;
+                        " after " + std::to_string(highest) + " for " + highest_instance);
+        if (r->epoch >= highest) {
+          highest = r->epoch;
+          highest_instance = r->instance;
         }
       }
     }
@@ -222,7 +222,7 @@
         floor = std::max(floor, revisions[i].revision);
     for (std::size_t const i : it->second)
       if (revisions[i].sent <= ran &&
-          (revisions[i].revision >= floor || (revisions[i].revision == 0 && revisions[i].maybe)))
+          (revisions[i].revision >= floor || (revisions[i].revision == 0 && revisions[i].may_be_applied)))
         out.push_back(i);
     return out;
   }
@@ -231,7 +231,7 @@
     std::map<Register, std::vector<std::size_t>> revisions_by_register;
     std::vector<Json> parsed(revisions.size());
     for (std::size_t i = 0; i < revisions.size(); ++i) {
-      if (revisions[i].revision == 0 && !revisions[i].maybe) continue;
+      if (revisions[i].revision == 0 && !revisions[i].may_be_applied) continue;
       revisions_by_register[revisions[i].reg].push_back(i);
       parsed[i] = Json::parse(revisions[i].bytes);
     }
@@ -240,16 +240,16 @@
       if (c == calls.end() || excused(r.machine, c->second.sent - 2s, r.begin) ||
           excused(c->second.machine, c->second.sent - 2s, r.begin))
         continue;
-      bool good = false, any = false;
+      bool permitted = false, any = false;
       for (std::size_t const k :
            possible_revisions(Register::catalogue, c->second.sent, r.begin, revisions_by_register)) {
         any = true;
         for (std::size_t const l :
              possible_revisions(Register::routing, c->second.sent, r.begin, revisions_by_register))
-          if (!good && permits(parsed[k], parsed[l], c->second, r.zone)) good = true;
-        if (good) break;
+          if (!permitted && permits(parsed[k], parsed[l], c->second, r.zone)) permitted = true;
+        if (permitted) break;
       }
-      if (any && !good)
+      if (any && !permitted)
         out.push_back(r.id + " ran in " + r.zone + " at " + ms(r.begin) + ", where no catalogue of then lets it");
     }
   }
@@ -262,11 +262,11 @@
       if (r.revision == 0) continue;
       auto const [it, fresh] = bytes.emplace(std::pair(r.reg, r.revision), r.bytes);
       if (!fresh) out.push_back("two revisions with number " + std::to_string(r.revision));
-      if (r.matched && *r.matched + 1 != r.revision)
-        out.push_back("revision " + std::to_string(r.revision) + " was to follow " + std::to_string(*r.matched));
+      if (r.if_match && *r.if_match + 1 != r.revision)
+        out.push_back("revision " + std::to_string(r.revision) + " was to follow " + std::to_string(*r.if_match));
       acked[r.reg].push_back(&r);
-      RevisionRecord const*& top = newest[static_cast<std::size_t>(r.reg)];
-      if (top == nullptr || r.revision > top->revision) top = &r;
+      RevisionRecord const*& highest = newest[static_cast<std::size_t>(r.reg)];
+      if (highest == nullptr || r.revision > highest->revision) highest = &r;
     }
     for (auto& [reg, all] : acked) {
       std::sort(all.begin(), all.end(),
@@ -280,10 +280,10 @@
     }
     for (Register const reg : operator_registers) {
       std::size_t const i = static_cast<std::size_t>(reg);
-      bool const maybe = std::any_of(revisions.begin(), revisions.end(), [&](RevisionRecord const& r) {
-        return r.reg == reg && r.maybe && r.bytes == readback[i];
+      bool const may_be_applied = std::any_of(revisions.begin(), revisions.end(), [&](RevisionRecord const& r) {
+        return r.reg == reg && r.may_be_applied && r.bytes == readback[i];
       });
-      if (!readback_good[i] || (newest[i] != nullptr && readback[i] != newest[i]->bytes && !maybe))
+      if (!readback_good[i] || (newest[i] != nullptr && readback[i] != newest[i]->bytes && !may_be_applied))
         out.push_back("the " + register_name(reg) + " read back is not the newest acknowledged: " +
                       (readback_good[i] ? readback[i].substr(0, 60) : "no reading"));
     }
@@ -292,32 +292,33 @@
     for (auto const& [machine, seen] : in_force_samples)
       for (Register const reg : operator_registers) {
         std::size_t const i = static_cast<std::size_t>(reg);
-        Revision top = 0;
-        Instant back_since{}, excused_at{};
-        bool told_back = false, told_late = false;
+        Revision highest = 0;
+        Instant rolled_back_since{}, excused_at{};
+        bool reported_rollback = false, reported_late = false;
         for (InForceSample const& f : seen) {
           if (f.excused) excused_at = f.at;
-          Revision const mine = f.in_force[i];
-          if (mine < top) {
-            if (back_since == Instant{}) back_since = f.at;
-            if (f.at - back_since > 250ms && !told_back) {
-              out.push_back(machine + " slipped back from " + register_name(reg) + " " + std::to_string(top) + " to " +
-                            std::to_string(mine) + " at " + ms(f.at));
-              told_back = true;
+          Revision const in_force_revision = f.in_force[i];
+          if (in_force_revision < highest) {
+            if (rolled_back_since == Instant{}) rolled_back_since = f.at;
+            if (f.at - rolled_back_since > 250ms && !reported_rollback) {
+              out.push_back(machine + " slipped back from " + register_name(reg) + " " + std::to_string(highest) +
+                            " to " + std::to_string(in_force_revision) + " at " + ms(f.at));
+              reported_rollback = true;
             }
           } else {
-            back_since = {};
+            rolled_back_since = {};
           }
-          top = std::max(top, mine);
-          if (told_late || f.excused || f.at - excused_at <= 2s) continue;
+          highest = std::max(highest, in_force_revision);
+          if (reported_late || f.excused || f.at - excused_at <= 2s) continue;
           std::vector<RevisionRecord const*> const& all = acked[reg];
-          auto const from = std::upper_bound(all.begin(), all.end(), mine,
+          auto const from = std::upper_bound(all.begin(), all.end(), in_force_revision,
                                              [](Revision const m, RevisionRecord const* r) { return m < r->revision; });
-          for (auto r = from; r != all.end() && !told_late; ++r)
+          for (auto r = from; r != all.end() && !reported_late; ++r)
             if (f.at - (*r)->answered > 2s) {
-              out.push_back(machine + " has " + register_name(reg) + " " + std::to_string(mine) + " at " + ms(f.at) +
-                            ", " + std::to_string((*r)->revision) + " was acknowledged at " + ms((*r)->answered));
-              told_late = true;
+              out.push_back(machine + " has " + register_name(reg) + " " + std::to_string(in_force_revision) + " at " +
+                            ms(f.at) + ", " + std::to_string((*r)->revision) + " was acknowledged at " +
+                            ms((*r)->answered));
+              reported_late = true;
             }
         }
       }
@@ -357,7 +358,7 @@
     }
   }
 
-  void check_dropping(std::vector<std::string>& out) const {
+  void check_dropped_calls(std::vector<std::string>& out) const {
     std::map<std::string, std::set<std::string>> ran_in;
     for (RunRecord const& r : runs) ran_in[r.id].insert(r.zone);
     for (auto const& [id, c] : calls) {
@@ -377,7 +378,7 @@
     std::size_t bad = 0, all = 0;
     std::string one;
     for (auto const& [id, c] : calls) {
-      if (!c.calm) continue;
+      if (!c.no_recent_fault) continue;
       ++all;
       if (c.outcome == "answered" || c.outcome == "hung-up") continue;
       ++bad;
--- a/source/simulation/sim_faults.hpp
+++ b/source/simulation/sim_faults.hpp
@@ -70,7 +70,7 @@
       fault_kind_ = kind;
       fault_at_ = sim_.now;
       if (scenario_.verbose) log_info("sim_mishap", {{"kind", kind}, {"at_ms", at_ms()}});
-      fail(kind);
+      inject_fault(kind);
     }
     sim_.after(
         scenario_.fault_every / 2 + Duration(sim_.chance() % static_cast<std::uint64_t>(scenario_.fault_every.count())),
@@ -79,34 +79,34 @@
 
   void extend_faults(Duration const d) { faults_until_ = std::max(faults_until_, sim_.now + d); }
 
-  void fail(std::string const& kind) {
+  void inject_fault(std::string const& kind) {
     std::size_t const node = sim_.chance() % nodes_.size(), core = random_core(),
                       backend = sim_.chance() % backends_.size();
-    Duration const for_a_while = std::chrono::milliseconds(300 + sim_.chance() % 4000);
-    extend_faults(for_a_while + 100ms);
-    fail_machines(kind, node, core, for_a_while);
-    fail_core(kind, core, for_a_while);
-    fail_links(kind, core, for_a_while);
-    fail_backend(kind, backend, core, for_a_while);
-    fail_operators(kind, core);
+    Duration const duration = std::chrono::milliseconds(300 + sim_.chance() % 4000);
+    extend_faults(duration + 100ms);
+    inject_machine_fault(kind, node, core, duration);
+    inject_core_fault(kind, core, duration);
+    inject_link_fault(kind, core, duration);
+    inject_backend_fault(kind, backend, core, duration);
+    inject_operator_fault(kind, core);
     if (kind == "hot_key") {
-      hot_ = true;
-      sim_.after(for_a_while, [this] { hot_ = false; });
+      hot_key_active_ = true;
+      sim_.after(duration, [this] { hot_key_active_ = false; });
     }
   }
 
-  void fail_machines(std::string const& kind, std::size_t const node, std::size_t const core,
-                     Duration const for_a_while) {
-    if (kind == "kill_node") kill_node(node, for_a_while);
+  void inject_machine_fault(std::string const& kind, std::size_t const node, std::size_t const core,
+                            Duration const duration) {
+    if (kind == "kill_node") kill_node(node, duration);
     if (kind == "kill_herd") {
       for (std::size_t i = 0; i < nodes_.size(); ++i)
-        if (sim_.chance() % 3 == 0) kill_node(i, for_a_while);
+        if (sim_.chance() % 3 == 0) kill_node(i, duration);
       for (std::size_t k = 0; k < registry_hosts_.size(); ++k)
-        if (sim_.chance() % 3 == 0) kill_registry(k, for_a_while);
+        if (sim_.chance() % 3 == 0) kill_registry(k, duration);
     }
     if (kind == "kill_gateways")
       for (std::size_t i = 0; i < nodes_.size(); ++i)
-        if (nodes_[i].gateway && nodes_[i].zone == registry_hosts_[core].zone) kill_node(i, for_a_while);
+        if (nodes_[i].gateway && nodes_[i].zone == registry_hosts_[core].zone) kill_node(i, duration);
     if (kind == "roll_node") restart_node(node);
     if (kind == "roll_registry") restart_registry(core);
     if (kind == "roll_store") restart_store(core);
@@ -119,9 +119,9 @@
       }
       extend_faults(9s * at);
     }
-    if (kind == "freeze_node") freeze(nodes_[node].process, for_a_while);
-    if (kind == "kill_registry") kill_registry(core, for_a_while);
-    if (kind == "freeze_registry") freeze(registry_hosts_[core].process, for_a_while);
+    if (kind == "freeze_node") freeze(nodes_[node].process, duration);
+    if (kind == "kill_registry") kill_registry(core, duration);
+    if (kind == "freeze_registry") freeze(registry_hosts_[core].process, duration);
   }
 
   // ---- the core machines: voters, their disks and the registries beside them
@@ -132,7 +132,7 @@
     if (wipe) voters_[k].disk.durable = VoterRecord{};
     kill_registry(k, down);
     sim_.after(down, [this, k] {
-      if (!voters_[k].process->alive && !gone_.contains(voters_[k].machine)) start_voter(k);
+      if (!voters_[k].process->alive && !removed_machines_.contains(voters_[k].machine)) start_voter(k);
     });
   }
 
@@ -142,7 +142,7 @@
                        [](Voter const& v) { return v.process->alive && v.acceptor->phase() == Phase::voting; });
   }
 
-  struct Strike {
+  struct PendingPowerLoss {
     std::set<std::size_t> voters;
     std::uint8_t kind = 0;
     bool wipe = false;
@@ -150,13 +150,13 @@
   };
 
   bool strike_before_reply(SimProcess& p, std::uint8_t const kind) {
-    if (!strike_ || kind != strike_->kind) return false;
-    for (std::size_t const k : strike_->voters) {
+    if (!pending_power_loss_ || kind != pending_power_loss_->kind) return false;
+    for (std::size_t const k : pending_power_loss_->voters) {
       if (voters_[k].process.get() != &p) continue;
-      bool const wipe = strike_->wipe && disk_loss_allowed();
-      Duration const down = strike_->down;
+      bool const wipe = pending_power_loss_->wipe && disk_loss_allowed();
+      Duration const down = pending_power_loss_->down;
       bool const before = sim_.chance() % 2 == 0;
-      strike_->voters.erase(k);
+      pending_power_loss_->voters.erase(k);
       if (before)
         power_off(k, wipe, down);
       else
@@ -182,36 +182,37 @@
     sim_.after(0s, [this, at, wipe] { power_off(at, wipe, 2s); });
   }
 
-  void fail_core(std::string const& kind, std::size_t const core, Duration const for_a_while) {
-    if (kind == "power_core") power_off(core, false, for_a_while);
-    if (kind == "lose_disk" && disk_loss_allowed()) power_off(core, true, for_a_while);
+  void inject_core_fault(std::string const& kind, std::size_t const core, Duration const duration) {
+    if (kind == "power_core") power_off(core, false, duration);
+    if (kind == "lose_disk" && disk_loss_allowed()) power_off(core, true, duration);
     if (kind == "power_all") {
       for (std::size_t k = 0; k < voters_.size(); ++k)
-        power_off(k, false, for_a_while + std::chrono::milliseconds(sim_.chance() % 1000));
-      extend_faults(for_a_while + 1100ms);
+        power_off(k, false, duration + std::chrono::milliseconds(sim_.chance() % 1000));
+      extend_faults(duration + 1100ms);
     }
     if (kind == "power_after_vote" || kind == "power_two_after_vote" || kind == "lose_disk_after_vote") {
-      strike_ =
-          Strike{{core}, sim_.chance() % 2 ? Prepare::kind : Accept::kind, kind == "lose_disk_after_vote", for_a_while};
-      if (kind == "power_two_after_vote") strike_->voters.insert((core + 1 + sim_.chance() % 3) % voters_.size());
-      extend_faults(3s + for_a_while);
-      sim_.after(3s, [this] { strike_.reset(); });
+      pending_power_loss_ = PendingPowerLoss{
+          {core}, sim_.chance() % 2 ? Prepare::kind : Accept::kind, kind == "lose_disk_after_vote", duration};
+      if (kind == "power_two_after_vote")
+        pending_power_loss_->voters.insert((core + 1 + sim_.chance() % 3) % voters_.size());
+      extend_faults(3s + duration);
+      sim_.after(3s, [this] { pending_power_loss_.reset(); });
     }
     if (kind == "power_coordinator" || kind == "kill_between_rounds") {
       (kind == "power_coordinator" ? kill_after_acknowledgement_ : kill_between_rounds_) = true;
       extend_faults(4s);
       sim_.after(2s, [this] { kill_after_acknowledgement_ = kill_between_rounds_ = false; });
     }
-    if (kind == "stall_disk") voters_[core].disk.stalled_until = sim_.now + for_a_while;
+    if (kind == "stall_disk") voters_[core].disk.stalled_until = sim_.now + duration;
     if (kind == "stall_disks")
       for (Voter& v : voters_)
-        if (sim_.chance() % 4 != 0) v.disk.stalled_until = sim_.now + 2 * for_a_while;
-    if (kind == "stall_disks") extend_faults(2 * for_a_while + 100ms);
+        if (sim_.chance() % 4 != 0) v.disk.stalled_until = sim_.now + 2 * duration;
+    if (kind == "stall_disks") extend_faults(2 * duration + 100ms);
   }
 
   // ---- links
 
-  void fail_links(std::string const& kind, std::size_t const core, Duration const for_a_while) {
+  void inject_link_fault(std::string const& kind, std::size_t const core, Duration const duration) {
     std::vector<std::string> machines;
     for (Node const& n : nodes_) machines.push_back(n.machine);
     for (RegistryHost const& c : registry_hosts_) machines.push_back(c.machine);
@@ -242,10 +243,10 @@
     if (cuts)
       for (std::string const& m : machines)
         if (sim_.has_cut(m)) mark_disturbed(m);
-    if (cuts) sim_.after(for_a_while, [this] { sim_.heal(); });
+    if (cuts) sim_.after(duration, [this] { sim_.heal(); });
     if (kind == "weather") {
       sim_.unreliable_links = true;
-      sim_.after(for_a_while, [this] { sim_.unreliable_links = false; });
+      sim_.after(duration, [this] { sim_.unreliable_links = false; });
     }
   }
 
@@ -260,19 +261,19 @@
 
   // ---- backends
 
-  void fail_backend(std::string const& kind, std::size_t const backend, std::size_t const core,
-                    Duration const for_a_while) {
+  void inject_backend_fault(std::string const& kind, std::size_t const backend, std::size_t const core,
+                            Duration const duration) {
     Backend const b = backends_[backend];
     if (!b.alive || b.leaving) return;
     std::string const zone = nodes_[b.node].zone;
     if (kind == "kill_backend") {
       kill_backend(backend);
-      sim_.after(for_a_while, [this, b] { add_backend(b.service, b.node); });
+      sim_.after(duration, [this, b] { add_backend(b.service, b.node); });
     }
     if (kind == "empty_service") {
       for (std::size_t i = 0; i < backends_.size(); ++i)
         if (backends_[i].service == b.service && nodes_[backends_[i].node].zone == zone) kill_backend(i);
-      sim_.after(for_a_while, [this, b] { add_backend(b.service, b.node); });
+      sim_.after(duration, [this, b] { add_backend(b.service, b.node); });
     }
     if (kind.starts_with("drain_") || kind == "replace_backend") {
       add_backend(b.service, b.node);
@@ -283,20 +284,20 @@
           if (registry_hosts_[k].zone == zone) kill_registry(k, 5s);
       sim_.after(kind == "drain_registry_dead" ? 100ms : 0ms, [this, backend] { drain(backend); });
       Duration const soon = std::chrono::microseconds(sim_.chance() % 1500);
-      if (kind == "drain_then_kill") sim_.after(soon, [this, b, for_a_while] { kill_node(b.node, for_a_while); });
-      if (kind == "drain_then_freeze") sim_.after(soon, [this, p, for_a_while] { freeze(p, for_a_while); });
+      if (kind == "drain_then_kill") sim_.after(soon, [this, b, duration] { kill_node(b.node, duration); });
+      if (kind == "drain_then_freeze") sim_.after(soon, [this, p, duration] { freeze(p, duration); });
       if (kind == "drain_then_cut")
-        sim_.after(soon, [this, b, for_a_while] {
+        sim_.after(soon, [this, b, duration] {
           std::vector<std::string> machines;
           for (Node const& n : nodes_) machines.push_back(n.machine);
           for (RegistryHost const& c : registry_hosts_) machines.push_back(c.machine);
           isolate_machine(nodes_[b.node].machine, machines, true, true);
-          sim_.after(for_a_while, [this] { sim_.heal(); });
+          sim_.after(duration, [this] { sim_.heal(); });
         });
     }
     if (kind == "reuse_port") {
       kill_backend(backend);
-      std::string const other = b.port % 2 ? ways_.begin()->second : keyed_;
+      std::string const other = b.port % 2 ? path_routes_.begin()->second : keyed_service_;
       std::size_t const fresh = add_backend(other, b.node);
       backends_[fresh].port = b.port;
       add_backend(b.service, b.node);
@@ -306,7 +307,7 @@
       add_backend(b.service, b.node);
       extend_faults(1200ms);
       std::string other = "intruder";
-      for (auto const& [prefix, service] : ways_)
+      for (auto const& [prefix, service] : path_routes_)
         if (kind == "reuse_port_naive" && service != b.service) other = service;
       sim_.after(400ms, [this, b, other] {
         std::size_t const fresh = add_backend(other, b.node, 700ms);
@@ -317,7 +318,7 @@
     if (kind == "freeze_backend") {
       backends_[backend].frozen = true;
       mark_service_disturbed(b.service, zone);
-      sim_.after(for_a_while, [this, backend, b, zone] {
+      sim_.after(duration, [this, backend, b, zone] {
         backends_[backend].frozen = false;
         mark_service_disturbed(b.service, zone);
       });
@@ -327,17 +328,17 @@
 
   // ---- operators that err, race and storm
 
-  void fail_operators(std::string const& kind, std::size_t const core) {
+  void inject_operator_fault(std::string const& kind, std::size_t const core) {
     if (kind == "bad_revision")
-      for (auto const& [reg, body] : bad_revisions()) {
+      for (auto const& [reg, body] : invalid_revisions()) {
         std::shared_ptr<SimProcess> const p = registry_hosts_[core].process;
         HttpRequest const q{"PUT", "/" + register_name(reg), {}, body};
         if (p->alive && !p->frozen) spawn(*p, put_bad_revision(registry_hosts_[core].registry, q));
       }
     if (kind == "race") {
-      Revision const now = known_[0];
+      Revision const now = acknowledged_revisions_[0];
       for (int i = 0; i < 3; ++i) {
-        note();
+        change_note();
         put(random_core(), Register::routing, routing_.dump(), i < 2 ? std::optional<Revision>(now) : std::nullopt);
       }
       put_catalogue();
@@ -345,7 +346,7 @@
     if (kind == "storm")
       for (int i = 0; i < 120; ++i)
         sim_.after(std::chrono::milliseconds(sim_.chance() % 1500), [this, i] {
-          note();
+          change_note();
           if (i % 6 == 5)
             put_catalogue();
           else
@@ -353,16 +354,16 @@
         });
   }
 
-  std::vector<std::pair<Register, std::string>> bad_revisions() {
+  std::vector<std::pair<Register, std::string>> invalid_revisions() {
     Json unknown_service = catalogue_, unknown_zone = catalogue_, twice = catalogue_, outside = catalogue_,
          way = routing_, type = routing_, gone = routing_;
     unknown_service["cells"][deployment_.zones[0]]["nobody"] = Json::object();
     unknown_zone["cells"]["nowhere"] = Json::object();
-    twice["cells"][deployment_.zones[0]][keyed_]["slices"] = {{0, 5}};
-    twice["cells"][deployment_.zones[1]][keyed_]["slices"] = {{5, 9}};
-    outside["cells"][deployment_.zones[0]][keyed_]["slices"] = {{0, 1023}};
+    twice["cells"][deployment_.zones[0]][keyed_service_]["slices"] = {{0, 5}};
+    twice["cells"][deployment_.zones[1]][keyed_service_]["slices"] = {{5, 9}};
+    outside["cells"][deployment_.zones[0]][keyed_service_]["slices"] = {{0, 1023}};
     way["ways"].push_back({{"prefix", "/x"}, {"service", "nobody"}});
-    type["services"][keyed_]["timeout_ms"] = "soon";
+    type["services"][keyed_service_]["timeout_ms"] = "soon";
     gone["cells"] = {"elsewhere"};
     std::string const doubled = R"({"cells":["a"],"cells":["b"],"services":{},"ways":[]})",
                       cut = routing_.dump().substr(0, 100);
@@ -381,7 +382,7 @@
                                                       {Register::catalogue, twice.dump()},
                                                       {Register::catalogue, outside.dump()},
                                                       {Register::catalogue, "\xff\xfe"}};
-    if (sim_.now - changed_[keyed_] > 8s && catalogue_["cells"].size() > 0 && !settled_)
+    if (sim_.now - changed_[keyed_service_] > 8s && catalogue_["cells"].size() > 0 && !layouts_settled_)
       all.emplace_back(Register::routing, gone.dump());
     return all;
   }
@@ -400,7 +401,7 @@
     mark_disturbed(nodes_[i].machine);
     nodes_[i].process->kill();
     sim_.after(down, [this, i] {
-      if (!nodes_[i].process->alive && !gone_.contains(nodes_[i].machine)) start_node(i);
+      if (!nodes_[i].process->alive && !removed_machines_.contains(nodes_[i].machine)) start_node(i);
     });
   }
 
@@ -415,19 +416,19 @@
     extend_faults(7s);
     wait_for_exit(i, n.process->incarnation, sim_.now);
   }
-  void wait_for_exit(std::size_t const i, std::uint64_t const run, Instant const told) {
+  void wait_for_exit(std::size_t const i, std::uint64_t const run, Instant const told_at) {
     Node& n = nodes_[i];
     if (n.process->incarnation != run) return;
-    Duration const waited = sim_.now - told;
+    Duration const waited = sim_.now - told_at;
     if (!n.process->alive || waited >= 5500ms ||
         (n.proxy->idle() && (waited > 2500ms || broken_on_purpose("leaves_at_once")))) {
       n.process->kill();
       sim_.after(300ms, [this, i, run] {
-        if (nodes_[i].process->incarnation == run && !gone_.contains(nodes_[i].machine)) start_node(i);
+        if (nodes_[i].process->incarnation == run && !removed_machines_.contains(nodes_[i].machine)) start_node(i);
       });
       return;
     }
-    sim_.after(20ms, [this, i, run, told] { wait_for_exit(i, run, told); });
+    sim_.after(20ms, [this, i, run, told_at] { wait_for_exit(i, run, told_at); });
   }
 
   void kill_registry(std::size_t const i, Duration const down) {
@@ -435,7 +436,8 @@
     mark_disturbed(registry_hosts_[i].machine);
     registry_hosts_[i].process->kill();
     sim_.after(down, [this, i] {
-      if (!registry_hosts_[i].process->alive && !gone_.contains(registry_hosts_[i].machine)) start_registry(i);
+      if (!registry_hosts_[i].process->alive && !removed_machines_.contains(registry_hosts_[i].machine))
+        start_registry(i);
     });
   }
   void restart_registry(std::size_t const i) {
@@ -448,7 +450,7 @@
     voters_[i].process->kill();
     extend_faults(500ms);
     sim_.after(300ms, [this, i] {
-      if (!voters_[i].process->alive && !gone_.contains(voters_[i].machine)) start_voter(i);
+      if (!voters_[i].process->alive && !removed_machines_.contains(voters_[i].machine)) start_voter(i);
     });
   }
 
@@ -469,28 +471,28 @@
     std::size_t const core = random_core();
     std::string const machine = registry_hosts_[core].machine, zone = registry_hosts_[core].zone;
     if (kind == "core_gone" || kind == "cell_gone") {
-      gone_.insert(machine);
+      removed_machines_.insert(machine);
       power_off(core, false, 0s);
       kill_registry(core, 0s);
     }
     if (kind == "disk_lost") power_off(core, true, 500ms);
     if (kind == "node_gone") {
       std::size_t const i = sim_.chance() % nodes_.size();
-      gone_.insert(nodes_[i].machine);
+      removed_machines_.insert(nodes_[i].machine);
       nodes_[i].process->kill();
     }
     if (kind != "cell_gone") return;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       if (nodes_[i].zone != zone) continue;
-      gone_.insert(nodes_[i].machine);
+      removed_machines_.insert(nodes_[i].machine);
       nodes_[i].process->kill();
       for (std::size_t b = 0; b < backends_.size(); ++b)
         if (backends_[b].node == i) kill_backend(b);
     }
     std::size_t const other = core == 0 ? 1 : 0;
     sim_.after(3s, [this, other] {
-      std::uint64_t const slices = routing_["services"][keyed_]["key"]["slices"];
-      catalogue_ = {{"cells", {{deployment_.zones[other], {{keyed_, {{"slices", {{0, slices - 1}}}}}}}}}};
+      std::uint64_t const slices = routing_["services"][keyed_service_]["key"]["slices"];
+      catalogue_ = {{"cells", {{deployment_.zones[other], {{keyed_service_, {{"slices", {{0, slices - 1}}}}}}}}}};
       put((other + 2) % registry_hosts_.size(), Register::catalogue, catalogue_.dump(), std::nullopt, true);
     });
   }
@@ -498,8 +500,8 @@
   void repair_all() {
     sim_.heal();
     sim_.unreliable_links = false;
-    hot_ = false;
-    strike_.reset();
+    hot_key_active_ = false;
+    pending_power_loss_.reset();
     kill_after_acknowledgement_ = kill_between_rounds_ = false;
     for (Backend& b : backends_) b.frozen = false;
     for (std::size_t i = 0; i < registry_hosts_.size(); ++i) {
@@ -518,8 +520,8 @@
   }
 
   std::map<std::string, std::uint64_t> fault_counts_;
-  std::set<std::string> gone_;
-  std::optional<Strike> strike_;
+  std::set<std::string> removed_machines_;
+  std::optional<PendingPowerLoss> pending_power_loss_;
   bool kill_between_rounds_ = false, kill_after_acknowledgement_ = false;
 };
 
--- a/source/simulation/sim_fleet.hpp
+++ b/source/simulation/sim_fleet.hpp
@@ -21,12 +21,12 @@
     sim_.run_until(sim_.now + 1s);
     put(1, Register::catalogue, deployment_.catalogue, std::nullopt, true);
     sim_.run_until(sim_.now + 3s);
-    calling_ = true;
-    for (std::string const& m : deployment_.mix) keep_calling(m);
-    keep_calling("promo:GET:/promo:20:0");
-    keep_sampling();
-    if (scenario_.fault_every == 0s) settled_ = true;
-    keep_sending_revisions();
+    traffic_enabled_ = true;
+    for (std::string const& m : deployment_.mix) schedule_calls(m);
+    schedule_calls("promo:GET:/promo:20:0");
+    schedule_samples();
+    if (scenario_.fault_every == 0s) layouts_settled_ = true;
+    schedule_revisions();
     history_.planned_only =
         !scenario_.only.empty() && std::all_of(scenario_.only.begin(), scenario_.only.end(),
                                                [](std::string const& k) { return k.starts_with("roll_"); });
@@ -36,12 +36,12 @@
     sim_.run_until(faults_end);
     if (scenario_.only.contains("roll_all")) sim_.run_until(faults_until_ + 1s);
     repair_all();
-    if (!settled_) settle_layouts();
+    if (!layouts_settled_) restore_layouts();
     sim_.run_until(sim_.now + 6s);
     if (!scenario_.last.empty()) inject_permanent_fault(scenario_.last);
     faults_until_ = sim_.now;
     sim_.run_until(sim_.now + 22s);
-    calling_ = false;
+    traffic_enabled_ = false;
     sim_.run_until(sim_.now + 6s);
     read_back();
     history_.count_extra_attempts();
@@ -50,7 +50,7 @@
 
   std::map<std::string, std::uint64_t> const& mishaps() const { return fault_counts_; }
   // One key gets half the keyed calls, and its runs are slow.
-  void make_hot() { hot_ = slow_key_ = true; }
+  void make_hot() { hot_key_active_ = hot_key_slow_ = true; }
 };
 
 }  // namespace banktide
--- a/source/simulation/sim_machines.hpp
+++ b/source/simulation/sim_machines.hpp
@@ -314,7 +314,7 @@
     bool const with_faults = faults_active();
     Duration work = std::chrono::milliseconds(1 + sim_.chance() % 15);
     if (with_faults && sim_.chance() % 200 == 0) work = history_.planned_only ? 1000ms : 1800ms;
-    if (slow_key_ && header_of(q, "x-key") == "k0") work = 300ms;
+    if (hot_key_slow_ && header_of(q, "x-key") == "k0") work = 300ms;
     Instant const end = std::min(sim_.now + work, deadline);
     std::string const id = header_of(q, "call-id"), epoch = header_of(q, "banktide-epoch");
     history_.runs.push_back(RunRecord{id, b.service, b.instance, header_of(q, "x-key"), nodes_[b.node].zone,
@@ -411,7 +411,7 @@
   std::map<std::pair<std::string, std::string>, Instant> service_last_disturbed_;
   Instant start_{}, faults_until_{};  // until when the last mishap goes on
   std::uint64_t runs_ = 0, instances_ = 0, next_port_ = 20000;
-  bool slow_key_ = false;
+  bool hot_key_slow_ = false;
 };
 
 }  // namespace banktide
--- a/source/simulation/sim_traffic.hpp
+++ b/source/simulation/sim_traffic.hpp
@@ -14,9 +14,9 @@
         routing_(Json::parse(deployment_.routing)),
         catalogue_(Json::parse(deployment_.catalogue)) {
     for (auto const& [name, service] : routing_["services"].items())
-      if (service.contains("key")) keyed_ = name;
-    for (Json const& w : routing_["ways"]) ways_[w["prefix"]] = w["service"];
-    ways_["/promo"] = "promo";
+      if (service.contains("key")) keyed_service_ = name;
+    for (Json const& w : routing_["ways"]) path_routes_[w["prefix"]] = w["service"];
+    path_routes_["/promo"] = "promo";
     net_.on_send = [this](SimProcess const& from, Address const& to, std::uint8_t const kind, Bytes const& raw) {
       if (kind == Accept::kind) on_accept_sent(from);
       if (kind != ForwardCall::kind) return;
@@ -32,14 +32,14 @@
 
   // ---- callers
 
-  void keep_calling(std::string const& mix) {
+  void schedule_calls(std::string const& mix) {
     std::vector<std::string> parts;
     std::stringstream in(mix);
     for (std::string p; std::getline(in, p, ':');) parts.push_back(p);
     Duration const gap = std::chrono::microseconds(1000000 * scenario_.rate_divisor / std::stoull(parts[3]));
     sim_.after(gap, [this, mix, parts] {
-      if (!calling_) return;
-      keep_calling(mix);
+      if (!traffic_enabled_) return;
+      schedule_calls(mix);
       call_once(parts);
     });
   }
@@ -50,19 +50,19 @@
     Node& n = nodes_[at];
     CallRecord c;
     c.id = parts[0] + "-" + std::to_string(++calls_);
-    c.service = ways_[parts[2]];
+    c.service = path_routes_[parts[2]];
     c.zone = n.zone;
     c.machine = n.machine;
     c.repeatable = parts[1] == "GET";
     c.sent = sim_.now;
-    if (keys > 0) c.key = "k" + std::to_string(hot_ && sim_.chance() % 2 ? 0 : sim_.chance() % keys);
+    if (keys > 0) c.key = "k" + std::to_string(hot_key_active_ && sim_.chance() % 2 ? 0 : sim_.chance() % keys);
     if (sim_.now - fault_at_ < 3s) c.after_fault = fault_kind_;
     if (!n.process->alive) {
       c.outcome = "unsent";
       history_.calls[c.id] = c;
       return;
     }
-    judge(at, c, true);
+    update_expectations(at, c, true);
     HttpRequest q{
         parts[1], parts[2] + "/" + c.id, {{"call-id", c.id}}, parts[1] == "POST" ? "{\"id\":\"" + c.id + "\"}" : ""};
     if (keys > 0) q.headers.push_back({"x-key", c.key});
@@ -73,24 +73,24 @@
     std::shared_ptr<Proxy<SimProcess, SimEdge>> const proxy = n.proxy;
     p->run([this, p, proxy, q, id, want, at] {
       history_.calls[id].received_at = sim_.now;
-      spawn(*p, answer(proxy, q, id, want, at));
+      spawn(*p, run_call(proxy, q, id, want, at));
     });
     if (sim_.chance() % 100 == 0)
-      sim_.after(std::chrono::milliseconds(sim_.chance() % 10), [this, id] { over(id, "hung-up"); });
+      sim_.after(std::chrono::milliseconds(sim_.chance() % 10), [this, id] { set_outcome(id, "hung-up"); });
     sim_.after(5s, [this, id, at] {
       if (!history_.calls[id].outcome.empty()) return;
-      judge(at, history_.calls[id], false);
-      over(id, "lost");
+      update_expectations(at, history_.calls[id], false);
+      set_outcome(id, "lost");
     });
   }
 
-  void over(std::string const& id, std::string const& outcome) {
+  void set_outcome(std::string const& id, std::string const& outcome) {
     CallRecord& seen = history_.calls[id];
     if (seen.outcome.empty()) seen.outcome = outcome;
   }
 
-  Task<void> answer(std::shared_ptr<Proxy<SimProcess, SimEdge>> proxy, HttpRequest q, std::string id, std::string want,
-                    std::size_t at) {
+  Task<void> run_call(std::shared_ptr<Proxy<SimProcess, SimEdge>> proxy, HttpRequest q, std::string id,
+                      std::string want, std::size_t at) {
     HttpReply const r = co_await proxy->call(std::move(q));
     CallRecord& c = history_.calls[id];
     if (!c.outcome.empty()) co_return;
@@ -102,7 +102,7 @@
       if (h.name == "Retry-After") c.retry_after = true;
     }
     if (c.outcome != "answered") c.reason = r.body;
-    judge(at, c, false);
+    update_expectations(at, c, false);
     if (scenario_.verbose && c.outcome != "answered")
       log_info("sim_call",
                {{"id", id}, {"outcome", c.outcome}, {"cell", c.zone}, {"body", r.body}, {"at_ms", at_ms()}});
@@ -111,19 +111,20 @@
   // Whether what the operators last meant is what was acknowledged last. Once
   // only notes change, an older one in force makes no difference.
   bool matches_operator_intent() const {
-    for (std::size_t i = settled_ ? 1 : 0; i < 2; ++i)
-      if (latest_put_[i] >= history_.revisions.size() || history_.revisions[latest_put_[i]].bytes != known_bytes_[i])
+    for (std::size_t i = layouts_settled_ ? 1 : 0; i < 2; ++i)
+      if (latest_put_[i] >= history_.revisions.size() ||
+          history_.revisions[latest_put_[i]].bytes != acknowledged_bytes_[i])
         return false;
     return pending_puts_.empty();
   }
 
   // A call may fail up to 2 s after what hindered it is over, and eject its
   // target for 4 s.
-  static constexpr Duration known_good_for = 7s;
+  static constexpr Duration recovery_time = 7s;
 
   // What an honest mesh owes this call, by what was done to whom: at its start,
   // and still at its end.
-  void judge(std::size_t const at, CallRecord& c, bool const begins) {
+  void update_expectations(std::size_t const at, CallRecord& c, bool const begins) {
     Node const& n = nodes_[at];
     bool stay = false, serve = false;
     Duration const unchanged = sim_.now - std::max(changed_[c.service], diverged_at_);
@@ -131,64 +132,65 @@
                     undisturbed_for(core_machine_of(n.zone)) >= 4s;
     bool closed = false;
     for (Json const& name : catalogue_.value("closed", Json::array())) closed = closed || name == c.service;
-    if (up && !closed && c.service != keyed_ && unchanged > 8s) {
+    if (up && !closed && c.service != keyed_service_ && unchanged > 8s) {
       std::set<std::string> allowed, named;
       for (auto const& [zone, services] : catalogue_["cells"].items())
         if (services.contains(c.service)) named.insert(zone);
       for (std::string const& zone : deployment_.zones)
         if (named.empty() || named.contains(zone)) allowed.insert(zone);
-      auto const good = [&](std::string const& zone) {
-        return allowed.contains(zone) && zone_undisturbed(zone, known_good_for) &&
-               service_undisturbed_for(c.service, zone) > known_good_for && healthy_backends(c.service, zone) > 0;
+      auto const undisturbed = [&](std::string const& zone) {
+        return allowed.contains(zone) && zone_undisturbed(zone, recovery_time) &&
+               service_undisturbed_for(c.service, zone) > recovery_time && healthy_backends(c.service, zone) > 0;
       };
-      stay = good(n.zone);
+      stay = undisturbed(n.zone);
       bool const none = !allowed.contains(n.zone) ||
                         (healthy_backends(c.service, n.zone) == 0 && service_undisturbed_for(c.service, n.zone) > 6s);
       bool elsewhere = none, any = false;
       for (std::string const& zone : deployment_.zones) {
         if (zone == n.zone) continue;
         elsewhere = elsewhere && zone_undisturbed(zone, 4s) && service_undisturbed_for(c.service, zone) > 4s;
-        any = any || good(zone);
+        any = any || undisturbed(zone);
       }
       serve = stay || (elsewhere && any);
     }
-    if (up && !closed && c.service == keyed_ && unchanged > 14s) {
-      std::uint64_t const slice = digest_of(c.key) % routing_["services"][keyed_]["key"]["slices"].get<std::uint64_t>();
+    if (up && !closed && c.service == keyed_service_ && unchanged > 14s) {
+      std::uint64_t const slice =
+          digest_of(c.key) % routing_["services"][keyed_service_]["key"]["slices"].get<std::uint64_t>();
       bool cores = true;
       for (RegistryHost const& k : registry_hosts_) cores = cores && undisturbed_for(k.machine) > 14s;
       for (std::string const& zone : deployment_.zones) {
         bool here = false;
-        if (catalogue_["cells"].contains(zone) && catalogue_["cells"][zone].contains(keyed_))
-          for (Json const& range : catalogue_["cells"][zone][keyed_]["slices"])
+        if (catalogue_["cells"].contains(zone) && catalogue_["cells"][zone].contains(keyed_service_))
+          for (Json const& range : catalogue_["cells"][zone][keyed_service_]["slices"])
             here = here || (range[0].get<std::uint64_t>() <= slice && slice <= range[1].get<std::uint64_t>());
-        if (here && cores && zone_undisturbed(zone, 14s) && service_undisturbed_for(keyed_, zone) > 14s &&
-            healthy_backends(keyed_, zone) > 0)
+        if (here && cores && zone_undisturbed(zone, 14s) && service_undisturbed_for(keyed_service_, zone) > 14s &&
+            healthy_backends(keyed_service_, zone) > 0)
           serve = true;
       }
     }
-    bool const calm = c.service != "promo" && sim_.now >= faults_until_ + 15s && unchanged > 15s;
+    bool const no_recent_fault = c.service != "promo" && sim_.now >= faults_until_ + 15s && unchanged > 15s;
     if (begins) {
       c.must_stay = stay;
       c.must_serve = serve;
-      c.calm = calm;
+      c.no_recent_fault = no_recent_fault;
     } else {
       c.must_stay = c.must_stay && stay;
       c.must_serve = c.must_serve && serve;
-      c.calm = c.calm && calm;
+      c.no_recent_fault = c.no_recent_fault && no_recent_fault;
     }
   }
 
   // ---- operators
 
   void put(std::size_t const at, Register const reg, std::string const& bytes,
-           std::optional<Revision> const match = std::nullopt, bool const insist = false) {
+           std::optional<Revision> const match = std::nullopt, bool const retry = false) {
     RegistryHost& c = registry_hosts_[at];
     RevisionRecord r;
     r.reg = reg;
     r.bytes = bytes;
     r.sent = sim_.now;
-    r.maybe = true;
-    r.matched = match;
+    r.may_be_applied = true;
+    r.if_match = match;
     latest_put_[static_cast<std::size_t>(reg)] = history_.revisions.size();
     history_.revisions.push_back(r);
     std::size_t const n = history_.revisions.size() - 1;
@@ -197,10 +199,10 @@
     if (match) q.headers.push_back({"If-Match", "\"" + std::to_string(*match) + "\""});
     std::shared_ptr<SimProcess> const p = c.process;
     std::shared_ptr<Registry<SimProcess>> const registry = c.registry;
-    if (!p->alive) history_.revisions[n].maybe = false;
+    if (!p->alive) history_.revisions[n].may_be_applied = false;
     sim_.after(8s, [this, n] { pending_puts_.erase(n); });
     p->run([this, p, registry, q, n, at] { spawn(*p, put_once(registry, q, n, at)); });
-    if (insist)
+    if (retry)
       sim_.after(1500ms, [this, at, reg, bytes, n] {
         if (history_.revisions[n].revision == 0) put((at + 1) % registry_hosts_.size(), reg, bytes, std::nullopt, true);
       });
@@ -213,43 +215,44 @@
     pending_puts_.erase(n);
     if (reply.status == 200) {
       r.revision = Json::parse(reply.body)["revision"].get<Revision>();
-      r.maybe = false;
+      r.may_be_applied = false;
       std::size_t const i = static_cast<std::size_t>(r.reg);
-      if (r.revision > known_[i]) known_bytes_[i] = r.bytes;
-      known_[i] = std::max(known_[i], r.revision);
+      if (r.revision > acknowledged_revisions_[i]) acknowledged_bytes_[i] = r.bytes;
+      acknowledged_revisions_[i] = std::max(acknowledged_revisions_[i], r.revision);
       acknowledged(at);
     } else if (reply.status != 504) {
-      r.maybe = false;
+      r.may_be_applied = false;
     }
   }
 
   std::size_t random_core() { return sim_.chance() % registry_hosts_.size(); }
   void put_routing() { put(random_core(), Register::routing, routing_.dump()); }
   void put_catalogue() { put(random_core(), Register::catalogue, catalogue_.dump()); }
-  void note() { routing_["note"] = "revision " + std::to_string(++sent_); }
+  void change_note() { routing_["note"] = "revision " + std::to_string(++sent_); }
 
   // The keyed service's slices: split between its two cells, or in one of
   // them, or with the catalogue silent.
-  void place_keyed(std::uint64_t const style) {
-    changed_[keyed_] = sim_.now;
-    std::uint64_t const slices = routing_["services"][keyed_]["key"]["slices"], cut = 1 + sim_.chance() % (slices - 1);
-    for (auto& [zone, services] : catalogue_["cells"].items()) services.erase(keyed_);
+  void place_keyed_slices(std::uint64_t const style) {
+    changed_[keyed_service_] = sim_.now;
+    std::uint64_t const slices = routing_["services"][keyed_service_]["key"]["slices"],
+                        cut = 1 + sim_.chance() % (slices - 1);
+    for (auto& [zone, services] : catalogue_["cells"].items()) services.erase(keyed_service_);
     std::string const& a = deployment_.zones[style % 2];
     std::string const& b = deployment_.zones[1 - style % 2];
     if (style == 4) return;
     if (style >= 2) {
-      catalogue_["cells"][a][keyed_]["slices"] = {{0, slices - 1}};
+      catalogue_["cells"][a][keyed_service_]["slices"] = {{0, slices - 1}};
       return;
     }
-    catalogue_["cells"][a][keyed_]["slices"] = {{0, cut - 1}};
-    catalogue_["cells"][b][keyed_]["slices"] = {{cut, slices - 1}};
+    catalogue_["cells"][a][keyed_service_]["slices"] = {{0, cut - 1}};
+    catalogue_["cells"][b][keyed_service_]["slices"] = {{cut, slices - 1}};
   }
 
   void change_something() {
-    note();
+    change_note();
     std::vector<std::string> open;
     for (auto const& [name, s] : routing_["services"].items())
-      if (name != keyed_ && name != "promo") open.push_back(name);
+      if (name != keyed_service_ && name != "promo") open.push_back(name);
     std::string const service = open[sim_.chance() % open.size()];
     std::uint64_t const what = sim_.chance() % 20;
     if (what < 10) {
@@ -267,7 +270,7 @@
       }
       put_routing();
     } else if (what < 17) {
-      place_keyed(sim_.chance() % 5);
+      place_keyed_slices(sim_.chance() % 5);
       put_catalogue();
     } else if (what == 17) {
       changed_[service] = sim_.now;
@@ -283,57 +286,57 @@
       catalogue_["closed"] = {service};
       put_catalogue();
       sim_.after(1500ms, [this, service] {
-        if (settled_) return;
+        if (layouts_settled_) return;
         changed_[service] = sim_.now;
         catalogue_["closed"] = Json::array();
         put_catalogue();
       });
     } else {
-      changed_[keyed_] = sim_.now;
-      place_keyed(4);
+      changed_[keyed_service_] = sim_.now;
+      place_keyed_slices(4);
       put_catalogue();
       sim_.after(700ms, [this] {
-        if (settled_) return;
-        changed_[keyed_] = sim_.now;
-        Json& slices = routing_["services"][keyed_]["key"]["slices"];
+        if (layouts_settled_) return;
+        changed_[keyed_service_] = sim_.now;
+        Json& slices = routing_["services"][keyed_service_]["key"]["slices"];
         slices = slices == 32 ? 48 : 32;
-        note();
+        change_note();
         put_routing();
       });
       sim_.after(2500ms, [this] {
-        if (settled_) return;
-        place_keyed(0);
+        if (layouts_settled_) return;
+        place_keyed_slices(0);
         put_catalogue();
       });
     }
   }
 
-  void keep_sending_revisions() {
-    if (!calling_) return;
-    if (settled_) {
-      note();
+  void schedule_revisions() {
+    if (!traffic_enabled_) return;
+    if (layouts_settled_) {
+      change_note();
       put_routing();
     } else {
       change_something();
     }
-    sim_.after(std::chrono::milliseconds(400 + sim_.chance() % 1600), [this] { keep_sending_revisions(); });
+    sim_.after(std::chrono::milliseconds(400 + sim_.chance() % 1600), [this] { schedule_revisions(); });
   }
 
   // From here on only notes change, so that what isn't served is a fault.
-  void settle_layouts() {
-    settled_ = true;
-    for (auto const& [prefix, service] : ways_) changed_[service] = sim_.now;
+  void restore_layouts() {
+    layouts_settled_ = true;
+    for (auto const& [prefix, service] : path_routes_) changed_[service] = sim_.now;
     routing_ = Json::parse(deployment_.routing);
     catalogue_ = Json::parse(deployment_.catalogue);
-    note();
-    settle_by(0, std::nullopt);
+    change_note();
+    restore_step(0, std::nullopt);
   }
   // One after the other, each when the last is taken: a second sent before the
   // first was answered could land before it. What isn't taken begins anew.
-  void settle_by(std::size_t step, std::optional<std::size_t> const sent) {
-    if (!calling_) return;
+  void restore_step(std::size_t step, std::optional<std::size_t> const sent) {
+    if (!traffic_enabled_) return;
     if (sent && pending_puts_.contains(*sent)) {
-      sim_.after(100ms, [this, step, sent] { settle_by(step, sent); });
+      sim_.after(100ms, [this, step, sent] { restore_step(step, sent); });
       return;
     }
     if (sent) step = history_.revisions[*sent].revision > 0 ? step + 1 : 0;
@@ -343,7 +346,7 @@
         : step == 1 ? routing_.dump()
                     : catalogue_.dump());
     std::size_t const now = history_.revisions.size() - 1;
-    sim_.after(500ms, [this, step, now] { settle_by(step, now); });
+    sim_.after(500ms, [this, step, now] { restore_step(step, now); });
   }
 
   void read_back() {
@@ -362,8 +365,8 @@
 
   // ---- samples
 
-  void keep_sampling() {
-    if (!calling_) return;
+  void schedule_samples() {
+    if (!traffic_enabled_) return;
     if (pending_puts_.empty() && !matches_operator_intent()) diverged_at_ = sim_.now;
     for (Node& n : nodes_) {
       std::vector<InForceSample>& seen = history_.in_force_samples[n.machine];
@@ -381,24 +384,24 @@
       if (!registry_hosts_[k].process->alive || registry_hosts_[k].process->frozen || !voters_[k].process->alive ||
           voters_[k].disk.stalled_until > sim_.now || sim_.has_cut(registry_hosts_[k].machine) || sim_.unreliable_links)
         mark_disturbed(registry_hosts_[k].machine);
-    sim_.after(50ms, [this] { keep_sampling(); });
+    sim_.after(50ms, [this] { schedule_samples(); });
   }
 
   std::string at_ms() const { return std::to_string(as_ms(sim_.now.time_since_epoch()) - 3600000); }
 
   Json routing_, catalogue_;  // as the operators last meant them
-  std::string keyed_;
-  std::map<std::string, std::string> ways_;
+  std::string keyed_service_;
+  std::map<std::string, std::string> path_routes_;
   std::map<std::string, Instant> changed_;  // by service: its last change of more than a note
-  std::array<Revision, 2> known_{};
-  std::array<std::string, 2> known_bytes_;
+  std::array<Revision, 2> acknowledged_revisions_{};
+  std::array<std::string, 2> acknowledged_bytes_;
   std::array<std::size_t, 2> latest_put_{};
   std::set<std::size_t> pending_puts_;
   Instant diverged_at_{};  // when what was in force was last not what operators meant
   std::uint64_t calls_ = 0, sent_ = 1;
   std::string fault_kind_;
   Instant fault_at_{};
-  bool calling_ = false, hot_ = false, settled_ = false;
+  bool traffic_enabled_ = false, hot_key_active_ = false, layouts_settled_ = false;
 };
 
 }  // namespace banktide
--- a/tests/programs/operator_streams_test.cpp
+++ b/tests/programs/operator_streams_test.cpp
@@ -42,8 +42,8 @@
     sim_.run_until(sim_.now + 1s);
     put(1, Register::catalogue, deployment_.catalogue);
     sim_.run_until(sim_.now + 3s);
-    calling_ = true;
-    for (std::string const& m : deployment_.mix) keep_calling(m);
+    traffic_enabled_ = true;
+    for (std::string const& m : deployment_.mix) schedule_calls(m);
     streams = std::make_unique<OperatorStreams<SimProcess>>(*registry_hosts_[2].registry);
   }
   void run(Duration const d) { sim_.run_until(sim_.now + d); }
