--- a/source/simulation/sim_faults.hpp
+++ b/source/simulation/sim_faults.hpp
@@ -60,12 +60,12 @@
 
   void schedule_faults(Instant const end) {
     if (sim_.now >= end) return;
-    std::vector<std::string> mine;
+    std::vector<std::string> enabled;
     for (std::string const& k : kinds())
-      if (scenario_.only.empty() || scenario_.only.contains(k)) mine.push_back(k);
-    if (scenario_.only.contains("roll_all") && fault_counts_["roll_all"] == 0) mine = {"roll_all"};
-    if (!mine.empty()) {
-      std::string const kind = mine[sim_.chance() % mine.size()];
+      if (scenario_.only.empty() || scenario_.only.contains(k)) enabled.push_back(k);
+    if (scenario_.only.contains("roll_all") && fault_counts_["roll_all"] == 0) enabled = {"roll_all"};
+    if (!enabled.empty()) {
+      std::string const kind = enabled[sim_.chance() % enabled.size()];
       ++fault_counts_[kind];
       fault_kind_ = kind;
       fault_at_ = sim_.now;
@@ -220,12 +220,12 @@
     if (kind == "cut_core") {
       for (std::size_t i = 0; i < registry_hosts_.size(); ++i)
         for (std::size_t j = 0; j < registry_hosts_.size(); ++j)
-          if ((i < 2) != (j < 2)) sim_.cut(registry_hosts_[i].machine, registry_hosts_[j].machine);
+          if ((i < 2) != (j < 2)) sim_.truncated(registry_hosts_[i].machine, registry_hosts_[j].machine);
     } else if (kind == "cut_core_one") {
       for (std::size_t j = 0; j < registry_hosts_.size(); ++j) {
         if (j == core) continue;
-        sim_.cut(registry_hosts_[core].machine, registry_hosts_[j].machine);
-        sim_.cut(registry_hosts_[j].machine, registry_hosts_[core].machine);
+        sim_.truncated(registry_hosts_[core].machine, registry_hosts_[j].machine);
+        sim_.truncated(registry_hosts_[j].machine, registry_hosts_[core].machine);
       }
     } else if (kind == "cut_cell") {
       std::string const zone = registry_hosts_[core].zone;
@@ -234,7 +234,7 @@
         if (n.zone == zone) inside.insert(n.machine);
       for (std::string const& a : machines)
         for (std::string const& b : machines)
-          if (inside.contains(a) != inside.contains(b)) sim_.cut(a, b);
+          if (inside.contains(a) != inside.contains(b)) sim_.truncated(a, b);
     } else if (kind == "isolate" || kind == "isolate_one_way") {
       isolate_machine(machines[sim_.chance() % machines.size()], machines, kind == "isolate", sim_.chance() % 2 == 0);
     } else {
@@ -254,8 +254,8 @@
                        bool const out) {
     for (std::string const& other : machines) {
       if (other == m) continue;
-      if (both || out) sim_.cut(m, other);
-      if (both || !out) sim_.cut(other, m);
+      if (both || out) sim_.truncated(m, other);
+      if (both || !out) sim_.truncated(other, m);
     }
   }
 
@@ -355,35 +355,35 @@
   }
 
   std::vector<std::pair<Register, std::string>> invalid_revisions() {
-    Json unknown_service = catalogue_, unknown_zone = catalogue_, twice = catalogue_, outside = catalogue_,
-         way = routing_, type = routing_, gone = routing_;
+    Json unknown_service = catalogue_, unknown_zone = catalogue_, duplicate_slices = catalogue_,
+         out_of_range_slices = catalogue_, unknown_target = routing_, wrong_type = routing_, missing_zone = routing_;
     unknown_service["cells"][deployment_.zones[0]]["nobody"] = Json::object();
     unknown_zone["cells"]["nowhere"] = Json::object();
-    twice["cells"][deployment_.zones[0]][keyed_service_]["slices"] = {{0, 5}};
-    twice["cells"][deployment_.zones[1]][keyed_service_]["slices"] = {{5, 9}};
-    outside["cells"][deployment_.zones[0]][keyed_service_]["slices"] = {{0, 1023}};
-    way["ways"].push_back({{"prefix", "/x"}, {"service", "nobody"}});
-    type["services"][keyed_service_]["timeout_ms"] = "soon";
-    gone["cells"] = {"elsewhere"};
-    std::string const doubled = R"({"cells":["a"],"cells":["b"],"services":{},"ways":[]})",
-                      cut = routing_.dump().substr(0, 100);
+    duplicate_slices["cells"][deployment_.zones[0]][keyed_service_]["slices"] = {{0, 5}};
+    duplicate_slices["cells"][deployment_.zones[1]][keyed_service_]["slices"] = {{5, 9}};
+    out_of_range_slices["cells"][deployment_.zones[0]][keyed_service_]["slices"] = {{0, 1023}};
+    unknown_target["ways"].push_back({{"prefix", "/x"}, {"service", "nobody"}});
+    wrong_type["services"][keyed_service_]["timeout_ms"] = "soon";
+    missing_zone["cells"] = {"elsewhere"};
+    std::string const duplicate_key = R"({"cells":["a"],"cells":["b"],"services":{},"ways":[]})",
+                      truncated = routing_.dump().substr(0, 100);
     std::vector<std::pair<Register, std::string>> all{{Register::routing, ""},
                                                       {Register::routing, "not json"},
-                                                      {Register::routing, doubled},
-                                                      {Register::routing, cut},
+                                                      {Register::routing, duplicate_key},
+                                                      {Register::routing, truncated},
                                                       {Register::routing, "[]"},
-                                                      {Register::routing, way.dump()},
-                                                      {Register::routing, type.dump()},
+                                                      {Register::routing, unknown_target.dump()},
+                                                      {Register::routing, wrong_type.dump()},
                                                       {Register::routing, std::string(300000, ' ')},
                                                       {Register::routing, std::string(5000, '[')},
                                                       {Register::catalogue, "{}"},
                                                       {Register::catalogue, unknown_service.dump()},
                                                       {Register::catalogue, unknown_zone.dump()},
-                                                      {Register::catalogue, twice.dump()},
-                                                      {Register::catalogue, outside.dump()},
+                                                      {Register::catalogue, duplicate_slices.dump()},
+                                                      {Register::catalogue, out_of_range_slices.dump()},
                                                       {Register::catalogue, "\xff\xfe"}};
     if (sim_.now - changed_[keyed_service_] > 8s && catalogue_["cells"].size() > 0 && !layouts_settled_)
-      all.emplace_back(Register::routing, gone.dump());
+      all.emplace_back(Register::routing, missing_zone.dump());
     return all;
   }
 
--- a/source/simulation/sim_traffic.hpp
+++ b/source/simulation/sim_traffic.hpp
@@ -138,20 +138,20 @@
         if (services.contains(c.service)) named.insert(zone);
       for (std::string const& zone : deployment_.zones)
         if (named.empty() || named.contains(zone)) allowed.insert(zone);
-      auto const undisturbed = [&](std::string const& zone) {
+      auto const can_serve = [&](std::string const& zone) {
         return allowed.contains(zone) && zone_undisturbed(zone, recovery_time) &&
                service_undisturbed_for(c.service, zone) > recovery_time && healthy_backends(c.service, zone) > 0;
       };
-      stay = undisturbed(n.zone);
+      stay = can_serve(n.zone);
       bool const none = !allowed.contains(n.zone) ||
                         (healthy_backends(c.service, n.zone) == 0 && service_undisturbed_for(c.service, n.zone) > 6s);
-      bool elsewhere = none, any = false;
+      bool elsewhere = none, any_zone = false;
       for (std::string const& zone : deployment_.zones) {
         if (zone == n.zone) continue;
         elsewhere = elsewhere && zone_undisturbed(zone, 4s) && service_undisturbed_for(c.service, zone) > 4s;
-        any = any || undisturbed(zone);
+        any_zone = any_zone || can_serve(zone);
       }
-      serve = stay || (elsewhere && any);
+      serve = stay || (elsewhere && any_zone);
     }
     if (up && !closed && c.service == keyed_service_ && unchanged > 14s) {
       std::uint64_t const slice =
