--- a/source/transport/cancellation.hpp
+++ b/source/transport/cancellation.hpp
@@ -1,5 +1,5 @@
-// Tells the parts of a request's way that nobody waits for its result any more. One
-// object goes along with the request; whatever the request waits for just then listens.
+// Cancellation of a request whose result is no longer needed. One object accompanies
+// the request; the operation that the request currently awaits registers a listener.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,7 @@
  public:
   bool requested() const { return requested_; }
 
-  /** Tells the listener, if there is one; once. */
+  /** Notifies the listener, if there is one; only once. */
   void request() {
     if (std::exchange(requested_, true)) return;
     std::function<void()> const react = std::move(listener_);
@@ -28,10 +28,10 @@
 
 using SharedCancellation = std::shared_ptr<Cancellation>;
 
-/** Without a cancellation nothing is ever cancelled. */
+/** A null cancellation is never cancelled. */
 inline bool is_cancelled(SharedCancellation const& cancellation) { return cancellation && cancellation->requested(); }
 
-/** Reacts to a cancellation for as long as it lives, at once if it came before. One at a time. */
+/** Calls `react` on cancellation during its lifetime, at once if already cancelled. Only one listener at a time. */
 class CancellationListener {
  public:
   CancellationListener(SharedCancellation cancellation, std::function<void()> react)
--- a/source/transport/environment.hpp
+++ b/source/transport/environment.hpp
@@ -1,7 +1,7 @@
-// The policies that everything above the transport is written against: a clock
-// (now, alarms), a source of chance and a peer transport (ask, tell, serve).
-// The real set is sockets on the one asio thread; the simulated one is virtual
-// time. Nothing in coordination, state or the programs knows which it has.
+// The environment that all code above the transport is written against: a clock
+// (now, alarms), a random number generator and a peer transport (ask, tell,
+// serve). In production it is sockets on the one asio thread, in the simulator
+// virtual time; coordination, state and programs don't depend on which it is.
 #pragma once
 
 #include "protocol/archive.hpp"
@@ -19,29 +19,29 @@
 #include <optional>
 #include <random>
 
-// GCC 12 destroys an aggregate twice when it is made inside the expression of a
-// co_await, so questions are named before they are asked.
+// GCC 12 destroys an aggregate twice if it is created inside the operand of a
+// co_await, so requests are stored in named variables first.
 
 namespace banktide {
 
 using Address = std::string;
-/** The step of the error of a request that its peer has not taken, as it holds too many large ones. */
+/** The step of the error of a request that its peer rejected because it holds too many large ones. */
 inline constexpr char const* rejected_step = "take_request";
-/** Answers a peer's request; the cancellation is null for one that can't be cancelled. */
+/** Handles a peer's request; the cancellation is null if the request can't be cancelled. */
 using PeerHandler = std::function<Task<Result<Bytes>>(Bytes, SharedCancellation)>;
 
-// Handlers of peer messages by kind. A payload that does not decode is a
-// mishap; the transport answers it by closing the connection.
+// Handlers of peer messages by kind. If a payload can't be decoded, the handler
+// returns an error and the transport closes the connection.
 struct Dispatcher {
   std::array<PeerHandler, 256> handlers;
 
-  /** `f` takes the request, and the cancellation if it can do something about it. */
+  /** `f` takes the request, and also the cancellation if it supports one. */
   template <class Q, class F>
   void on(F f) {
     handlers[Q::kind] = [f](Bytes raw, SharedCancellation cancellation) -> Task<Result<Bytes>> {
       Result<Q> q = unpack<Q>(raw);
       if (!q) co_return tl::unexpected<Error>(q.error());
-      Bytes().swap(raw);  // a large body isn't held twice while it is handled
+      Bytes().swap(raw);  // keeps only one copy of a large body while it is handled
       if constexpr (std::is_invocable_v<F const&, Q, SharedCancellation>) {
         typename Q::Reply reply = co_await f(std::move(*q), std::move(cancellation));
         co_return pack(reply);
@@ -107,7 +107,8 @@
   co_return unpack_reply<Q>(raw, peer);
 }
 
-/** Passes a cancellation on to the peer, which still answers. One that comes before anything was sent is proof. */
+/** Forwards a cancellation to the peer, which still answers. Cancelled before anything was sent, it proves `not_run`.
+ */
 template <class Q, PeerTransport Env>
 Task<Result<typename Q::Reply>> ask_cancellable(Env& env, Address peer, Q q, Instant deadline,
                                                 SharedCancellation cancellation) {
@@ -120,8 +121,8 @@
   env.tell_raw(peer, Q::kind, pack_shared(q));
 }
 
-// One value, given once, awaited once, with a deadline. (Env is a Clock; it is not
-// constrained here, as a environment's own parts hold these before it is complete.)
+// A value that is set once and awaited once, with a deadline. (Env is a Clock; it is
+// unconstrained here because parts of an environment hold these before it is complete.)
 template <class Env, class T>
 class OneShot {
  public:
@@ -142,7 +143,7 @@
   std::optional<T> value_;
 };
 
-// One at a time, in the order of asking.
+// A mutex for coroutines; waiters are served in the order of their requests.
 template <class Env>
 class AsyncMutex {
  public:
@@ -173,8 +174,8 @@
   std::deque<std::shared_ptr<OneShot<Env, bool>>> waiting_;
 };
 
-// Asks every peer at once and returns as soon as `enough` says so, or when all
-// have answered, or at the deadline. Late answers go nowhere.
+// Asks all peers concurrently and returns as soon as `enough` holds, all have
+// answered, or the deadline has passed. Late answers are discarded.
 template <class Q, Environment Env, class Enough>
 Task<std::vector<std::pair<std::size_t, Result<typename Q::Reply>>>> ask_all(Env& env, std::vector<Address> peers, Q q,
                                                                              Instant deadline, Enough enough) {
--- a/source/transport/frame.cpp
+++ b/source/transport/frame.cpp
@@ -1,4 +1,4 @@
-// How a frame's head is written and checked.
+// Encoding and validation of frame headers.
 #include "transport/frame.hpp"
 
 #include <cstring>
--- a/source/transport/frame.hpp
+++ b/source/transport/frame.hpp
@@ -1,5 +1,5 @@
-// The frame in which peers exchange messages: a head (length, wire number, sort,
-// kind, id) and the payload after it.
+// The framing of messages between peers: a header (length, protocol version, frame
+// type, kind, id) followed by the payload.
 #pragma once
 
 #include "transport/result.hpp"
@@ -11,13 +11,10 @@
 inline constexpr std::uint8_t protocol_version = 1;
 inline constexpr std::size_t frame_limit = 72u << 20;
 
-/** Handled by the transport itself: answered with nothing at once. */
+/** Handled by the transport itself, which replies at once with an empty payload. */
 inline constexpr std::uint8_t ping_kind = 0;
 
-/**
- * A request, its response, a one-way message, word that the response to a request is of no more use, or word that a
- * request was not taken.
- */
+/** A request, its response, a one-way message, the cancellation of a request, or the rejection of a request. */
 enum class FrameType : std::uint8_t { ask = 0, reply = 1, tell = 2, cancel = 3, refused = 4 };
 inline constexpr std::uint8_t last_frame_type = 4;
 
@@ -31,7 +28,7 @@
 
   /** Writes `size` bytes. */
   void write(char* p) const;
-  /** Reads `size` bytes; a head that this version can't read is a mishap. */
+  /** Reads `size` bytes; returns an error for a header that this version can't read. */
   static Result<FrameHead> read(char const* p);
 };
 
--- a/source/transport/idle_limit.cpp
+++ b/source/transport/idle_limit.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr Duration default_limit = 2s;           // for requests that may not be repeated
-constexpr Duration reset_window = 12ms;          // a reset after longer isn't that of a forgotten connection
-constexpr Duration min_idle_time = 40ms;         // connections that rest less aren't idle
-constexpr Duration learnt_limit_lifetime = 30s;  // then the backend gets another chance
+constexpr Duration reset_window = 12ms;          // a later reset doesn't come from a dropped idle connection
+constexpr Duration min_idle_time = 40ms;         // a connection with a shorter pause isn't considered idle
+constexpr Duration learnt_limit_lifetime = 30s;  // then the default limit applies again
 
 }  // namespace
 
--- a/source/transport/idle_limit.hpp
+++ b/source/transport/idle_limit.hpp
@@ -1,7 +1,7 @@
-// How long a kept connection to a backend may have rested before it is used
-// again. Some backends forget idle connections sooner than they say, and what is
-// sent on such a connection next meets a reset: a request that may not be
-// repeated is then lost. One such death teaches the limit for a while.
+// The maximum idle time after which a persistent connection to a backend may be
+// reused. Some backends drop idle connections earlier than they announce; the next
+// request on such a connection is reset, and lost if it may not be repeated. After
+// such a reset, a shorter limit applies for a while.
 #pragma once
 
 #include "transport/result.hpp"
@@ -10,11 +10,11 @@
 
 class IdleLimit {
  public:
-  /// The longest rest after which a connection may carry a request.
+  /// The longest idle time after which a connection may carry a request.
   Duration allowed(Instant now, bool repeatable) const;
-  /// A reused connection ended before any byte of an answer. `rested` is how long it was
-  /// idle before, `after` how long the request had been out: a backend that has forgotten
-  /// a connection resets it at once, one that fails while it works does not.
+  /// A reused connection ended before any byte of an answer. `idle_for` is how long it was idle
+  /// before, `after` the time since the request was sent: a backend that has dropped the
+  /// connection resets it at once, one that fails during processing doesn't.
   void on_silent_end(Instant now, Duration idle_for, Duration after);
 
  private:
--- a/source/transport/log.hpp
+++ b/source/transport/log.hpp
@@ -1,6 +1,6 @@
-// Log lines: one event, one line, key=value pairs. Values with spaces, quotes
-// or control characters are quoted and escaped, so that a line stays a line
-// whatever a peer has sent.
+// Structured logging: one line of key=value pairs per event. Values with spaces,
+// quotes or control characters are quoted and escaped, so that input from peers
+// can't break or forge lines.
 #pragma once
 
 #include <initializer_list>
--- a/source/transport/mutant.hpp
+++ b/source/transport/mutant.hpp
@@ -1,6 +1,6 @@
-// Places where the code can be broken on purpose, so that a check is seen to
-// fail. Only the simulator and the tests are built with them; everywhere else
-// the question is a constant no.
+// Mutation testing: marked places can be broken on purpose, to show that a check
+// detects the fault. Only the simulator and the tests enable this; in other builds
+// `broken_on_purpose` is constant false.
 #pragma once
 
 #include <string>
--- a/source/transport/peer_connection.cpp
+++ b/source/transport/peer_connection.cpp
@@ -1,4 +1,4 @@
-// How the connection to a peer is made, kept and given up.
+// Establishing, monitoring and closing the connection to a peer.
 #include "transport/peer_connection.hpp"
 
 namespace banktide {
@@ -103,7 +103,7 @@
   alarm_.wake();
 }
 
-// None: it failed, and so did everything that waited for it.
+// Returns null on failure; the queued frames have then failed too.
 Task<std::shared_ptr<PeerConnection::Link>> PeerConnection::connect() {
   Result<asio::ip::tcp::endpoint> const endpoint = parse_address(peer_);
   if (!endpoint) {
--- a/source/transport/peer_connection.hpp
+++ b/source/transport/peer_connection.hpp
@@ -1,14 +1,14 @@
-// The connection to one peer: requests and one-way messages wait in its queue,
-// are written in turn, and responses find their requests by id. A request still
-// waiting at its deadline is withdrawn before that is said.
+// The outgoing connection to one peer: requests and one-way messages are queued and
+// written in turn, and responses are matched to requests by id. A request still
+// queued at its deadline is withdrawn before the failure is reported.
 //
-// A peer that owes answers and says nothing is pinged; one that stays silent is
-// taken for unreachable and its connection is reset, so that nothing that a cut
-// has held up reaches it later. While a ping waits behind bytes that the peer
-// still takes, it isn't silent.
+// A peer that sends nothing while replies are pending is pinged; if it stays silent
+// it is considered unreachable and the connection is reset, so that nothing delayed
+// by a network partition reaches it later. While the ping is queued behind bytes
+// that the peer still accepts, the peer isn't considered silent.
 //
-// A request that is cancelled before it was sent is withdrawn; of one that was sent
-// the peer is told on the same connection, behind it.
+// A request cancelled before it was sent is withdrawn; for one already sent, a
+// cancel frame follows on the same connection.
 #pragma once
 
 #include "transport/peer_queue.hpp"
@@ -24,19 +24,19 @@
   Task<Result<Bytes>> ask(std::uint8_t kind, Bytes payload, Instant deadline, SharedCancellation cancellation);
   void tell(std::uint8_t kind, SharedBytes const& payload);
 
-  /** To be called every `watch_period` while answers are owed. */
+  /** To be called every `silence_check_interval` while replies are pending. */
   void check_silence();
   bool awaits_replies() const { return !pending_requests_.empty(); }
-  /** How long the peer has owed the answer to a ping; zero if it owes none. */
+  /** How long a ping has been unanswered; zero if none is pending. */
   Duration silence() const;
   Address const& peer() const { return peer_; }
 
-  /** Connects and writes while there is something to write, and ends when there was nothing for long. */
+  /** Connects and writes while there are frames to write; ends after an idle timeout. */
   Task<void> run();
   void stop();
   void drop_late(Instant now) { queue_.drop_late(now); }
 
-  bool is_running = false;  // a task runs `keep`
+  bool is_running = false;  // a task executes `run`
   static constexpr Duration silence_check_interval = 50ms;
 
  private:
@@ -45,7 +45,7 @@
     OneShot<SocketEnvironment, Result<Bytes>> reply;
     bool sent = false;
   };
-  // One connection of those that follow each other.
+  // One TCP connection; successive ones replace each other.
   struct Link {
     std::shared_ptr<PeerSocket> socket;
     bool broken = false;
--- a/source/transport/peer_queue.cpp
+++ b/source/transport/peer_queue.cpp
@@ -1,4 +1,4 @@
-// The order and the bounds of what waits for a peer.
+// Order and limits of the frames queued for a peer.
 #include "transport/peer_queue.hpp"
 
 namespace banktide {
@@ -139,7 +139,7 @@
   return is_large(f) ? large_lane : small_lane;
 }
 
-// Large requests and responses take turns with large one-way messages.
+// Large requests and responses alternate with large one-way messages.
 PeerQueue::Lane PeerQueue::next_lane() const {
   bool const one_way_waits = !lanes_[one_way_lane].empty(), large = !lanes_[large_lane].empty();
   bool const small_exhausted = small_in_a_row_ >= limits_.small_in_a_row;
@@ -158,7 +158,7 @@
   return Admission::accepted;
 }
 
-// Then dropping what waits here would make no room.
+// True if dropping frames of this queue would make no room, because other peers' queues exhaust the limit.
 bool PeerQueue::others_exhaust_bound(QueueBound const bound, std::size_t const bytes) const {
   std::size_t const others = totals_->bytes[index_of(bound)] - loads_[index_of(bound)].bytes;
   return others > 0 && others + bytes > limits_.of(bound).all_bytes;
--- a/source/transport/peer_queue.hpp
+++ b/source/transport/peer_queue.hpp
@@ -1,10 +1,10 @@
-// The outgoing queue of one peer: which frame is written next, which is refused
-// and which is dropped. Plain state; the caller gives the time and writes.
+// The outgoing queue of one peer: decides which frame is written next, rejected or
+// dropped. It does no I/O; the caller supplies the time and writes the frames.
 //
-// Small frames are sent before large ones, which get their turn after a number of
-// bytes all the same; in a lane frames keep their order. A small one-way message
-// doesn't overtake a large one of its kind: whoever gets it would take the older
-// news that come after it for outdated and ask for all of them again.
+// Small frames are sent before large ones, which get their turn after a limited
+// number of bytes; frames of one lane keep their order. A small one-way message
+// doesn't overtake a large one of its kind: the receiver would take the older
+// update that follows for outdated and request all of them again.
 #pragma once
 
 #include "protocol/archive.hpp"
@@ -20,19 +20,19 @@
 
 struct OutgoingFrame {
   FrameHead head;
-  SharedBytes payload;  // null: none
+  SharedBytes payload;  // null: empty
 
-  /** The frame with the head's length taken from the payload. */
+  /** Makes a frame; the header's length is that of the payload. */
   static OutgoingFrame of(FrameType type, std::uint8_t kind, std::uint64_t id, SharedBytes payload);
   std::size_t bytes() const { return FrameHead::size + head.length; }
 };
 
-/** Why a frame was not taken. */
+/** Whether a frame was accepted, or which limit it exceeds. */
 enum class Admission : std::uint8_t { accepted, too_many_frames, too_many_bytes, too_many_bytes_of_all };
 
 std::string to_text(Admission a);
 
-/** One-way messages that were dropped since the count was last taken. */
+/** One-way messages dropped since the counts were last taken. */
 struct DroppedMessages {
   std::size_t over_bound = 0;
   std::size_t late = 0;
@@ -46,33 +46,34 @@
   PeerQueue& operator=(PeerQueue const&) = delete;
   ~PeerQueue();
 
-  /** For a one-way message that doesn't fit the oldest ones of this peer are dropped; anything else is refused. */
+  /** Makes room for a one-way message by dropping the oldest ones of this peer; other frames are rejected if they don't
+   * fit. */
   Admission push(OutgoingFrame frame, Instant now);
 
-  /** Whether `push` would take a request or a response now. */
+  /** Whether `push` would accept a request or a response now. */
   bool has_room_for(OutgoingFrame const& frame) const {
     return admits(bound_of(frame), frame.bytes()) == Admission::accepted;
   }
 
-  /** Takes a request out again. False if it isn't waiting: it was taken to be written, or never pushed. */
+  /** Removes a queued request. False if it isn't queued: already taken for writing, or never pushed. */
   bool withdraw(std::uint64_t id);
 
-  /** Drops the one-way messages that have waited too long. */
+  /** Drops the one-way messages that were queued for too long. */
   void drop_late(Instant now);
 
-  /** What is to be written next: small frames together, or one large one. Its bytes count until `written`. */
+  /** Takes the next batch to write: several small frames, or one large one. Its bytes count until `finish_batch`. */
   std::vector<OutgoingFrame> take(Instant now);
 
-  /** What was last taken is written, or given up. */
+  /** The last batch has been written or abandoned. */
   void finish_batch();
 
-  /** Takes out everything that waits. */
+  /** Removes and returns all queued frames. */
   std::vector<OutgoingFrame> take_all();
 
   bool empty() const { return frames() == 0; }
-  /** The frames that wait. */
+  /** The number of queued frames. */
   std::size_t frames() const;
-  /** The bytes that wait or are being written. */
+  /** The bytes queued or being written. */
   std::size_t bytes() const;
 
   DroppedMessages take_dropped();
@@ -83,7 +84,7 @@
   struct QueuedFrame {
     OutgoingFrame frame;
     Instant since;
-    std::uint64_t number = 0;  // in order of pushing
+    std::uint64_t number = 0;  // sequence number of the push
   };
   using Frames = std::list<QueuedFrame>;
   struct FramePosition {
@@ -111,9 +112,9 @@
   std::shared_ptr<QueueTotals> const totals_;
   std::array<Frames, lane_count> lanes_;
   std::array<Load, queue_bounds> loads_;
-  std::map<std::uint64_t, FramePosition> one_way_;  // by number: the oldest first
+  std::map<std::uint64_t, FramePosition> one_way_;  // by sequence number, oldest first
   std::unordered_map<std::uint64_t, FramePosition> requests_;
-  std::array<std::size_t, 256> large_one_way_{};  // how many wait, by kind
+  std::array<std::size_t, 256> large_one_way_{};  // number queued, by kind
   std::uint64_t last_number_ = 0;
   std::size_t small_in_a_row_ = 0;
   Lane last_large_lane_ = large_lane;
--- a/source/transport/peer_session.cpp
+++ b/source/transport/peer_session.cpp
@@ -1,4 +1,4 @@
-// How requests of an accepted connection are read, handled and answered.
+// Reading, handling and answering the requests of an accepted connection.
 #include "transport/peer_session.hpp"
 
 namespace banktide {
@@ -7,8 +7,8 @@
 
 constexpr std::size_t max_concurrent_requests = 4096;
 constexpr Duration idle_wait = 3600s;
-constexpr Duration room_check_interval = 10ms;     // which other peers' queues may make
-std::function<void()> const no_progress_callback;  // nobody asks here how far a frame has come
+constexpr Duration room_check_interval = 10ms;     // other peers' queues may make room
+std::function<void()> const no_progress_callback;  // progress isn't tracked here
 
 std::string remote_address(PeerSocket const& socket) {
   boost::system::error_code ec;
@@ -49,12 +49,12 @@
                                       [id](OutgoingFrame const& response) { return response.head.id == id; });
   if (held_back != held_back_.end()) drop_held_back(held_back);
   auto const found = in_progress_.find(id);
-  if (found == in_progress_.end()) return;  // answered already
+  if (found == in_progress_.end()) return;  // already answered
   SharedCancellation const cancellation = found->second;
   cancellation->request();
 }
 
-// Their answers can't be delivered any more.
+// The answers can no longer be delivered.
 void PeerSession::cancel_all() {
   std::vector<SharedCancellation> all;
   for (auto const& [id, cancellation] : in_progress_) all.push_back(cancellation);
@@ -62,7 +62,7 @@
   for (SharedCancellation const& cancellation : all) cancellation->request();
 }
 
-// Counts the bytes of a large request, as they are about to be read.
+// Reserves the bytes of a large request before it is read.
 bool PeerSession::try_accept(FrameHead const& head) {
   if (!is_large_request(head)) return true;
   std::size_t& accepted_bytes = env_.totals_->accepted_requests;
@@ -118,7 +118,7 @@
   close();
 }
 
-// A peer that asks for more than it reads is held up itself.
+// Backpressure: a peer that sends more requests than it reads responses is slowed down.
 bool PeerSession::is_at_capacity() const { return handling_ >= max_concurrent_requests || !held_back_.empty(); }
 
 Task<void> PeerSession::answer(ReceivedFrame request) {
@@ -149,7 +149,7 @@
   alarm_.wake();
 }
 
-// The requests behind the other responses have run as well: none of them is worth less than this one.
+// Drops the new response rather than an older one: the requests of both have run, so neither is worth less.
 void PeerSession::hold_back(OutgoingFrame response) {
   if (env_.totals_->held_back + response.bytes() > env_.limits_.held_back_bytes) {
     log_warn("response_dropped", {{"step", "respond"},
--- a/source/transport/peer_session.hpp
+++ b/source/transport/peer_session.hpp
@@ -1,11 +1,11 @@
-// The answering side of one accepted connection: requests are handled as they
-// come, responses wait in a queue and are written in turn. A peer that doesn't
-// read its responses loses the connection. Responses that don't fit the queue are held
-// back until they do, and the peer's next requests aren't read meanwhile; if too much is
-// held back in the process, the one response that comes last is replaced by a failure, and
-// nothing else is touched. A large request for which there is no room is read, dropped
-// and refused. What the peer
-// cancels, and what is left when the connection ends, is cancelled at its handler.
+// The server side of one accepted connection: requests are handled as they arrive,
+// responses are queued and written in turn. The connection of a peer that doesn't
+// read its responses is closed. Responses that don't fit into the queue are held back
+// until they do, and further requests of the peer aren't read meanwhile; if the process
+// holds back too much, the newest response is replaced by an empty one, which the
+// peer treats as a failure, and the others are kept. A large request that exceeds the
+// limit is read, discarded and rejected. Requests that the peer cancels, and those in
+// progress when the connection ends, are cancelled at their handlers.
 #pragma once
 
 #include "transport/peer_queue.hpp"
@@ -23,7 +23,7 @@
   PeerSession& operator=(PeerSession const&) = delete;
   ~PeerSession();
 
-  /** Starts its tasks. They end when the connection does. */
+  /** Starts the tasks of the session, which end with the connection. */
   void start();
   void close();
 
@@ -46,7 +46,7 @@
   std::shared_ptr<PeerSocket> const socket_;
   std::string const peer_;
   PeerQueue queue_;
-  std::list<OutgoingFrame> held_back_;  // in the order of their coming
+  std::list<OutgoingFrame> held_back_;  // in order of arrival
   SocketEnvironment::Alarm alarm_;
   std::size_t handling_ = 0;
   tsl::robin_map<std::uint64_t, SharedCancellation> in_progress_;  // requests by id
--- a/source/transport/peer_socket.cpp
+++ b/source/transport/peer_socket.cpp
@@ -1,4 +1,4 @@
-// Reading and writing of frames in pieces.
+// Reading and writing of frames in chunks.
 #include "transport/peer_socket.hpp"
 
 #include <boost/asio/buffer.hpp>
@@ -18,14 +18,14 @@
 constexpr std::size_t write_chunk = 32u << 10;
 constexpr std::size_t max_copied_payload = 8u << 10;
 
-// The bytes of some frames, in order. Small payloads are copied next to their
-// heads, large ones are written from where they are.
+// The bytes of a batch of frames, in order. Small payloads are copied next to their
+// headers, large ones are written in place.
 class FrameBytes {
  public:
   explicit FrameBytes(std::vector<OutgoingFrame> const& frames) {
     std::size_t copied_bytes = 0;
     for (OutgoingFrame const& f : frames) copied_bytes += FrameHead::size + (is_copied(f) ? f.head.length : 0);
-    copied_.reserve(copied_bytes);  // so that no part moves
+    copied_.reserve(copied_bytes);  // so that parts stay valid
     for (OutgoingFrame const& f : frames) add(f);
   }
 
@@ -97,7 +97,7 @@
   boost::system::error_code ignored;
   socket.set_option(asio::ip::tcp::no_delay(true), ignored);
   ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &user_timeout_ms, sizeof user_timeout_ms);
-  // Where it is refused more waits in the kernel; nothing else changes.
+  // If the option isn't supported, only more bytes are buffered in the kernel.
   ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_NOTSENT_LOWAT, &kernel_unsent_limit,
                sizeof kernel_unsent_limit);
 }
@@ -124,7 +124,7 @@
     if (ec) co_return make_error("read_frame", "", ec.message());
     co_return frame;
   }
-  frame.payload.reserve(head->length);  // memory is only used as the bytes come
+  frame.payload.reserve(head->length);  // memory pages are only used as bytes arrive
   while (frame.payload.size() < head->length) {
     std::size_t const at = frame.payload.size();
     frame.payload.resize(std::min<std::size_t>(head->length, at + read_chunk));
--- a/source/transport/peer_socket.hpp
+++ b/source/transport/peer_socket.hpp
@@ -1,6 +1,6 @@
-// Frames on one socket: read piece by piece, and written so that what a slow
-// link can't take yet waits with us, where it can still be put in order, and not
-// in the kernel.
+// Frames on one socket. They are read in chunks, and written so that bytes that a
+// slow link can't accept yet stay in this process, where they can still be
+// reordered, instead of in the kernel.
 #pragma once
 
 #include "transport/peer_queue.hpp"
@@ -15,23 +15,23 @@
 struct ReceivedFrame {
   FrameHead head;
   Bytes payload;
-  bool skipped = false;  ///< the payload was read and dropped
+  bool skipped = false;  ///< the payload was read and discarded
 };
 
-/** Whether the payload of a frame is to be kept. */
+/** Whether to keep the payload of a frame. */
 using FrameFilter = std::function<bool(FrameHead const&)>;
 
-/** Sets the options of a connection between peers. */
+/** Sets the socket options of a connection between peers. */
 void prepare(PeerSocket& socket);
 
-/** Closes so that nothing that is still in the kernel reaches the peer. */
+/** Closes the connection with a reset, so that bytes still in the kernel don't reach the peer. */
 void reset(PeerSocket& socket);
 
-/** A mishap without a reason is the end of the connection between two frames. `on_progress` runs with every piece. */
+/** An error without a reason means that the connection ended between two frames. `on_progress` runs for every chunk. */
 Task<Result<ReceivedFrame>> read_frame(PeerSocket& socket, std::function<void()> const& on_progress,
                                        FrameFilter const& filter = nullptr);
 
-/** Closes the socket when the peer takes no byte for `stall_limit`. `on_progress` runs with every piece. */
+/** Closes the socket if the peer accepts no byte for `stall_limit`. `on_progress` runs for every chunk. */
 Task<boost::system::error_code> write_frames(std::shared_ptr<PeerSocket> socket,
                                              std::vector<OutgoingFrame> const& frames, Duration stall_limit,
                                              std::function<void()> const& on_progress);
--- a/source/transport/result.hpp
+++ b/source/transport/result.hpp
@@ -1,7 +1,7 @@
-// What every step hands back: a value, or a mishap that says at which step and
-// with which peer it arose and what is proved about the call. `not_run` is a
-// proof that nothing reached a backend and nothing will; `unknown` is
-// everything else. Proofs are only ever weakened on the way up, never guessed.
+// The result of an operation: a value, or an error with the step and the peer at
+// which it arose and what is proven about the call. `not_run` proves that nothing
+// reached a backend and nothing will; `unknown` is everything else. On the way up a
+// proof may only be weakened, never strengthened.
 #pragma once
 
 #include <utility>
--- a/source/transport/socket_environment.cpp
+++ b/source/transport/socket_environment.cpp
@@ -1,5 +1,4 @@
-// The real surroundings: the clock's alarms, the port that peers connect to, and
-// the connections to peers.
+// Alarms, the listening port, and the connections to peers.
 #include "transport/socket_environment.hpp"
 
 #include "transport/peer_connection.hpp"
@@ -134,12 +133,12 @@
   if (!connection->awaits_replies()) connections_.erase(connection->peer());
 }
 
-// Runs only while answers are owed.
 Duration SocketEnvironment::silence_of(Address const& peer) const {
   auto const found = connections_.find(peer);
   return found == connections_.end() ? Duration::zero() : found->second->silence();
 }
 
+// Runs only while replies are pending.
 Task<void> SocketEnvironment::check_connections() {
   bool awaiting = true;
   while (awaiting && !stopping_) {
--- a/source/transport/socket_environment.hpp
+++ b/source/transport/socket_environment.hpp
@@ -1,7 +1,7 @@
-// The real surroundings: the steady clock, and peers over TCP in frames of our
-// own (`frame.hpp`). One connection to each peer that is asked or told something
-// (`peer_connection.hpp`), one session for each that was accepted
-// (`peer_session.hpp`), all on the one thread of the cpprest pool.
+// The production environment: the steady clock, and peers over TCP with the framing
+// of `frame.hpp`. There is one outgoing connection per peer (`peer_connection.hpp`)
+// and one session per accepted connection (`peer_session.hpp`), all on the single
+// thread of the cpprest pool.
 #pragma once
 
 #include "transport/frame.hpp"
@@ -23,7 +23,7 @@
 
 Result<asio::ip::tcp::endpoint> parse_address(Address const& a);
 
-/** Starts the library's pool, with the one thread that carries everything. */
+/** Starts the cpprest thread pool with the single thread that runs everything. */
 void start_pool();
 
 class SocketEnvironment {
@@ -31,7 +31,7 @@
   class Alarm {
    public:
     explicit Alarm(SocketEnvironment& env);
-    /** True when the time came, false when it was woken before. */
+    /** Returns true at the time, false if woken earlier. */
     Task<bool> wait(Instant until);
     void wake();
 
@@ -50,30 +50,30 @@
   asio::io_context::executor_type executor() { return io_.get_executor(); }
   asio::io_context& io() { return io_; }
 
-  /** Binds at once, so that a taken port is a start-up error and port 0 is known. */
+  /** Binds immediately, so that a port in use is a start-up error and the port chosen for 0 is known. */
   Result<Address> listen(Address const& at);
   void serve(Dispatcher& dispatcher);
 
-  /** A request. Whether it had begun to be written when it failed is what tells "not run" from "unknown". */
+  /** Sends a request. A failure before writing began is `not_run`, a later one `unknown`. */
   Task<Result<Bytes>> ask_raw(Address peer, std::uint8_t kind, Bytes payload, Instant deadline,
                               SharedCancellation cancellation = nullptr);
-  /** A one-way message. It may be dropped: see `PeerLimits`. */
+  /** Sends a one-way message, which may be dropped: see `PeerLimits`. */
   void tell_raw(Address const& peer, std::uint8_t kind, SharedBytes const& payload);
 
-  /** How long the peer has owed the answer to a ping: well before its connection is given up. */
+  /** How long a ping to the peer has been unanswered; detects silence well before the connection is reset. */
   Duration silence_of(Address const& peer) const;
 
-  /** What waits for peers or is being written to them. */
+  /** The bytes queued for peers or being written. */
   QueueTotals const& queued() const { return *totals_; }
 
-  /** Closes every connection and returns when no task of this world is left. Nothing may be asked afterwards. */
+  /** Closes all connections and returns when all tasks have ended. No requests may follow. */
   Task<void> stop();
 
  private:
   friend class PeerConnection;
   friend class PeerSession;
 
-  // A task that `stop` waits for; its owner lives as long.
+  // Starts a task that `stop` waits for; the task keeps `owner` alive.
   void start(Task<void> task, std::shared_ptr<void const> owner = nullptr);
   std::shared_ptr<PeerConnection> connection_to(Address const& peer);
   Task<void> run(std::shared_ptr<PeerConnection> connection);
--- a/tests/transport/socket_environment_test.cpp
+++ b/tests/transport/socket_environment_test.cpp
@@ -535,7 +535,7 @@
   });
   EXPECT_EQ(run, 3u);
   EXPECT_EQ(refusals, std::vector<std::string>{rejected_step});
-  std::type(answers.begin(), answers.end());
+  std::sort(answers.begin(), answers.end());
   EXPECT_EQ(answers, (std::vector<std::string>{"100", "2000000", "700000"}));
 }
 
