--- a/tests/programs/control_trial_test.cpp
+++ b/tests/programs/control_trial_test.cpp
@@ -9,7 +9,7 @@
 constexpr std::size_t cores = 4;
 constexpr std::uint32_t losses = 1;
 
-ConfigurationChange order(Revision const version, std::string const& text = "") {
+ConfigurationChange make_change(Revision const version, std::string const& text = "") {
   return ConfigurationChange{version, std::to_string(version) + ":" + text};
 }
 
@@ -61,7 +61,7 @@
     for (Revision version = 5; version < 15; ++version) {
       std::array<std::uint16_t, 2> statuses{};
       for (std::size_t operator_ = 0; operator_ < 2; ++operator_) {
-        ConfigurationChange const change = order(version, operator_ == 0 ? "one" : "other");
+        ConfigurationChange const change = make_change(version, operator_ == 0 ? "one" : "other");
         spawn(t.client(), send_until_decided(t, change, operator_ + 1, statuses[operator_]));
       }
       ASSERT_TRUE(t.stores.run_until([&] { return decided(statuses[0]) && decided(statuses[1]); }, 10s));
@@ -75,15 +75,15 @@
 TEST(ControlTrial, a_change_is_acknowledged_again_later_anywhere_and_after_everything_restarted) {
   ControlTrial t(2, cores, losses, 0);
   ASSERT_TRUE(formed(t));
-  for (Revision version = 10; version <= 30; version += 10) ASSERT_EQ(sent(t, 0, order(version, "first")), 200u);
+  for (Revision version = 10; version <= 30; version += 10) ASSERT_EQ(sent(t, 0, make_change(version, "first")), 200u);
   for (std::size_t i = 0; i < cores; ++i) t.power_off(i);
   for (std::size_t i = 0; i < cores; ++i) t.start(i, false);
   ASSERT_TRUE(formed(t));
   t.stores.run_for(3s);
   for (std::size_t registry = 0; registry < cores; ++registry)
     for (Revision version = 10; version <= 30; version += 10) {
-      EXPECT_EQ(sent(t, registry, order(version, "first")), 200u);
-      EXPECT_EQ(sent(t, registry, order(version, "second")), 409u);
+      EXPECT_EQ(sent(t, registry, make_change(version, "first")), 200u);
+      EXPECT_EQ(sent(t, registry, make_change(version, "second")), 409u);
     }
   EXPECT_EQ(finished(t, t.read(1)).body, "30:first");
 }
@@ -92,10 +92,10 @@
 TEST(ControlTrial, version_zero_is_refused_while_nothing_is_held_and_then_acknowledged_as_any_older_one) {
   ControlTrial t(3, cores, losses, 0);
   ASSERT_TRUE(formed(t));
-  EXPECT_EQ(sent(t, 0, order(0, "zero")), 409u);
-  EXPECT_EQ(sent(t, 1, order(4, "four")), 200u);
-  EXPECT_EQ(sent(t, 0, order(0, "zero")), 200u);
-  EXPECT_EQ(sent(t, 2, order(0, "other")), 409u);
+  EXPECT_EQ(sent(t, 0, make_change(0, "zero")), 409u);
+  EXPECT_EQ(sent(t, 1, make_change(4, "four")), 200u);
+  EXPECT_EQ(sent(t, 0, make_change(0, "zero")), 200u);
+  EXPECT_EQ(sent(t, 2, make_change(0, "other")), 409u);
   EXPECT_EQ(finished(t, t.read(1)).body, "4:four");
 }
 
@@ -103,48 +103,48 @@
   for (std::size_t const alone : {0u, 3u}) {
     ControlTrial t(3 + alone, cores, losses, 0);
     ASSERT_TRUE(formed(t));
-    ASSERT_EQ(sent(t, alone, order(10)), 200u);
+    ASSERT_EQ(sent(t, alone, make_change(10)), 200u);
     cut_off(t, {alone});
     std::size_t const other = (alone + 1) % cores;
     Instant const end = t.stores.sim.now + 20s;
     for (Revision version = 11; t.stores.sim.now < end; ++version) {
-      ASSERT_EQ(sent(t, other, order(version)), 200u);
+      ASSERT_EQ(sent(t, other, make_change(version)), 200u);
       Instant const asked = t.stores.sim.now;
       EXPECT_EQ(finished(t, t.read(alone)).status, 503u);
-      EXPECT_EQ(sent(t, alone, order(version + 1000)), 503u);
+      EXPECT_EQ(sent(t, alone, make_change(version + 1000)), 503u);
       EXPECT_LT(t.stores.sim.now - asked, 2s);
     }
     // Right after the partition heals, a read that began before may still be in flight.
     t.stores.sim.heal();
     Revision const newest = 5000;
-    ASSERT_EQ(sent(t, other, order(newest)), 200u);
+    ASSERT_EQ(sent(t, other, make_change(newest)), 200u);
     HttpReply const seen = finished(t, t.read(alone));
-    EXPECT_TRUE(seen.status == 503 || seen.body == order(newest).content) << seen.body;
+    EXPECT_TRUE(seen.status == 503 || seen.body == make_change(newest).content) << seen.body;
   }
 }
 
 TEST(ControlTrial, neither_half_of_a_partition_confirms_or_returns_anything_and_both_recover) {
   ControlTrial t(9, cores, losses, 0);
   ASSERT_TRUE(formed(t));
-  ASSERT_EQ(sent(t, 0, order(10)), 200u);
+  ASSERT_EQ(sent(t, 0, make_change(10)), 200u);
   for (Revision round = 1; round <= 3; ++round) {
     cut_off(t, {0, 1});
     t.stores.run_for(2s);
     for (std::size_t registry = 0; registry < cores; ++registry) {
-      EXPECT_EQ(sent(t, registry, order(10 * round + registry + 1, "half")), 503u);
+      EXPECT_EQ(sent(t, registry, make_change(10 * round + registry + 1, "half")), 503u);
       EXPECT_EQ(finished(t, t.read(registry)).status, 503u);
     }
     t.stores.sim.heal();
     t.stores.run_for(2s);
     for (std::size_t registry = 0; registry < cores; ++registry)
-      EXPECT_EQ(sent(t, registry, order(10 * round + 10, "whole")), 200u);
+      EXPECT_EQ(sent(t, registry, make_change(10 * round + 10, "whole")), 200u);
   }
 }
 
 TEST(ControlTrial, the_status_reports_who_votes_and_how_many_losses_are_tolerated) {
   ControlTrial t(10, cores, losses, 0);
   ASSERT_TRUE(formed(t));
-  ASSERT_EQ(sent(t, 0, order(10)), 200u);
+  ASSERT_EQ(sent(t, 0, make_change(10)), 200u);
   t.stores.run_for(1s);
   Json const sound = Json::parse(finished(t, t.status(1)).body);
   EXPECT_EQ(sound["voting"], 4);
@@ -198,9 +198,9 @@
   Task<void> write_loop() {
     while (!stopped_) {
       Revision const version = ++version_ / 2 + 1;  // each version twice
-      ConfigurationChange const mine = order(version, std::to_string(t.stores.sim.chance() % 1000));
-      co_await t.submit(mine, true);
-      submitted_.push_back(mine);
+      ConfigurationChange const change = make_change(version, std::to_string(t.stores.sim.chance() % 1000));
+      co_await t.submit(change, true);
+      submitted_.push_back(change);
       if (t.stores.sim.chance() % 4 == 0) {
         ConfigurationChange const again = submitted_[t.stores.sim.chance() % submitted_.size()];
         co_await t.submit(again, true);
@@ -369,20 +369,20 @@
   for (std::size_t member = 0; member < cores; ++member) {
     for (std::size_t n = 0; n < 250; ++n) {
       if (n == 125) t.power_off(member);
-      ASSERT_EQ(sent(t, (member + 1) % cores, order(++version, std::string(200, 'x'))), 200u);
+      ASSERT_EQ(sent(t, (member + 1) % cores, make_change(++version, std::string(200, 'x'))), 200u);
     }
     Instant const started = t.stores.sim.now;
     t.start(member, false);
     ASSERT_TRUE(t.stores.run_until(
         [&] {
           return t.stores.acceptors[member]->voting() &&
-                 finished(t, t.read(member)).body == order(version, std::string(200, 'x')).content;
+                 finished(t, t.read(member)).body == make_change(version, std::string(200, 'x')).content;
         },
         4s))
         << "member " << member;
     slowest = std::max<Duration>(slowest, t.stores.sim.now - started);
     // A member has recovered fully when it votes on the newest value.
-    ASSERT_EQ(sent(t, member, order(++version)), 200u);
+    ASSERT_EQ(sent(t, member, make_change(++version)), 200u);
     t.stores.run_for(1s);
     most_bytes = std::max(most_bytes, pack(t.stores.disks[member].durable).size());
   }
--- a/tests/programs/maintenance_window_run_test.cpp
+++ b/tests/programs/maintenance_window_run_test.cpp
@@ -31,7 +31,7 @@
   bool was_clear = false;
   std::size_t runs_after = 0;
 
-  bool harm() const {
+  bool shows_harm() const {
     return twice + lost + ran_though_refused + unknown + repeatable_harmed > 0 || longest_keyed > 3s ||
            longest_payment > 2s;
   }
@@ -40,54 +40,54 @@
 struct MaintenanceRun {
   explicit MaintenanceRun(std::uint64_t const seed) : mesh(seed, {"a", "b", "c"}) {}
 
-  void look(RunResults& m, bool const in_window) {
+  void sample(RunResults& m, bool const in_window) {
     if (in_window) m.keys_in_window = std::max(m.keys_in_window, mesh.keys_held("a"));
     std::size_t const held = mesh.keys_held();
     m.fewest_keys_held = std::min(m.fewest_keys_held, held);
     if (in_window) m.fewest_keys_in_window = std::min(m.fewest_keys_in_window, held);
   }
-  void pass(RunResults& m, Duration const d, bool const in_window = false) {
+  void run_and_sample(RunResults& m, Duration const d, bool const in_window = false) {
     for (Instant const end = mesh.sim.now + d; mesh.sim.now < end;) {
       mesh.run_for(100ms);
-      look(m, in_window);
+      sample(m, in_window);
     }
   }
 
-  RunResults play(bool const marked, Duration const dark_for) {
+  RunResults execute(bool const scheduled, Duration const dark_for) {
     RunResults m;
     EXPECT_TRUE(mesh.form());
     mesh.serving = true;
-    pass(m, 10s);
+    run_and_sample(m, 10s);
     std::string const body = R"({"opens_in_s":40,"lasts_s":60,"lead_s":25})";
-    if (marked) {
+    if (scheduled) {
       EXPECT_EQ(mesh.call_operator_interface("b", "PUT", "/maintenance/a", body).status, 200);
       EXPECT_EQ(mesh.call_operator_interface("c", "PUT", "/maintenance/a", body).status, 200);  // scheduled twice
     }
-    Instant const marked_at = mesh.sim.now;
-    pass(m, opens_in - lead + settle);
+    Instant const scheduled_at = mesh.sim.now;
+    run_and_sample(m, opens_in - lead + settle);
     Instant const drained_at = mesh.sim.now;
-    pass(m, marked_at + opens_in + 1s - mesh.sim.now, true);
-    if (marked) m.was_clear = status(0).value("clear", false);
+    run_and_sample(m, scheduled_at + opens_in + 1s - mesh.sim.now, true);
+    if (scheduled) m.was_clear = status(0).value("clear", false);
     mesh.power_off("a");
     Instant const dark_at = mesh.sim.now;
-    pass(m, 20s, true);
+    run_and_sample(m, 20s, true);
     mesh.kill_registries();
-    pass(m, 1s, true);
+    run_and_sample(m, 1s, true);
     mesh.start_registries();
-    Instant const closes_at = marked_at + opens_in + lasts;
+    Instant const closes_at = scheduled_at + opens_in + lasts;
     if (dark_at + dark_for < closes_at) {
-      pass(m, dark_at + dark_for - mesh.sim.now, true);
+      run_and_sample(m, dark_at + dark_for - mesh.sim.now, true);
       mesh.power_on("a");
-      pass(m, closes_at - mesh.sim.now - 200ms, true);
+      run_and_sample(m, closes_at - mesh.sim.now - 200ms, true);
     } else {
-      pass(m, closes_at - mesh.sim.now - 200ms, true);
-      pass(m, dark_at + dark_for - mesh.sim.now);
+      run_and_sample(m, closes_at - mesh.sim.now - 200ms, true);
+      run_and_sample(m, dark_at + dark_for - mesh.sim.now);
       mesh.power_on("a");
     }
-    pass(m, 45s);
+    run_and_sample(m, 45s);
     m.runs_in_window = mesh.executions_in("a", drained_at, closes_at - 200ms);
     m.runs_after = mesh.executions_in("a", mesh.sim.now - 8s, mesh.sim.now);
-    if (marked) m.phase = status(0).value("phase", "");
+    if (scheduled) m.phase = status(0).value("phase", "");
     mesh.serving = false;
     mesh.run_for(5s);
     compare(m, dark_at);
@@ -141,7 +141,7 @@
   std::uint64_t const seed = GetParam();
   MaintenanceRun run(seed);
   // Machines come back before the window closes, or after it.
-  RunResults const m = run.play(true, seed % 2 == 0 ? 45s : 70s);
+  RunResults const m = run.execute(true, seed % 2 == 0 ? 45s : 70s);
   EXPECT_GT(m.records, 3000u);
   EXPECT_EQ(m.twice, 0u);
   EXPECT_EQ(m.lost, 0u);
@@ -163,8 +163,8 @@
 
 TEST(RunWithoutWindow, without_the_mark_the_same_night_does_harm) {
   MaintenanceRun run(1);
-  RunResults const m = run.play(false, 70s);
-  EXPECT_TRUE(m.harm());
+  RunResults const m = run.execute(false, 70s);
+  EXPECT_TRUE(m.shows_harm());
   EXPECT_GT(m.runs_in_window, 0u);
   EXPECT_LT(m.fewest_keys_in_window, 65536u);
   // Even without a window, nothing is executed twice or lost.
