--- a/source/data_path/backend_queue.cpp
+++ b/source/data_path/backend_queue.cpp
@@ -9,7 +9,7 @@
 Duration BackendQueue::time_to_next_slot() const { return estimate_.overall() / static_cast<int>(slots_); }
 
 Duration BackendQueue::weight_of(std::uint32_t const rank, std::uint32_t const work_class) const {
-  return estimate_.expected(work_class) * static_cast<int>(1 + std::min(rank, highest_rank));
+  return estimate_.expected(work_class) * static_cast<int>(1 + std::min(rank, max_rank));
 }
 
 Duration BackendQueue::expected_wait(std::uint32_t const rank, std::uint32_t const work_class) const {
@@ -28,21 +28,21 @@
   }
   Duration const work = estimate_.expected(request.work_class);
   Instant const done = now + expected_wait(request.rank, request.work_class) + work;
-  if (done > request.useful_until || waiting_.size() >= longest) return Admission::refuse;
+  if (done > request.useful_until || waiting_.size() >= max_waiting) return Admission::refuse;
   Waiting const entry{request, work, weight_of(request.rank, request.work_class)};
   auto const after =
       std::find_if(waiting_.begin(), waiting_.end(), [&](Waiting const& w) { return w.weight > entry.weight; });
   waiting_.insert(after, entry);
-  refuse_hopeless(now);
+  refuse_late(now);
   return Admission::wait;
 }
 
 void BackendQueue::finished(Instant const now, std::uint32_t const work_class, Duration const took,
                             bool const measured) {
-  if (measured) estimate_.ran(work_class, took);
+  if (measured) estimate_.record_run(work_class, took);
   if (running_ > 0) --running_;
   start_next(now);
-  refuse_hopeless(now);
+  refuse_late(now);
 }
 
 void BackendQueue::start_next(Instant const now) {
@@ -55,11 +55,11 @@
   }
 }
 
-void BackendQueue::refuse_hopeless(Instant const now) {
+void BackendQueue::refuse_late(Instant const now) {
   Duration wait = Duration::zero();
   for (auto it = waiting_.begin(); it != waiting_.end();) {
-    bool const hopeless = now + wait + it->work / 2 > it->request.useful_until;
-    if (hopeless) {
+    bool const too_late = now + wait + it->work / 2 > it->request.useful_until;
+    if (too_late) {
       decisions_.refuse.push_back(it->request.id);
       it = waiting_.erase(it);
     } else {
--- a/source/data_path/backend_queue.hpp
+++ b/source/data_path/backend_queue.hpp
@@ -63,10 +63,10 @@
   Duration time_to_next_slot() const;
   Duration weight_of(std::uint32_t rank, std::uint32_t work_class) const;
   void start_next(Instant now);
-  void refuse_hopeless(Instant now);
+  void refuse_late(Instant now);
 
-  static constexpr std::size_t longest = 512;
-  static constexpr std::uint32_t highest_rank = 7;
+  static constexpr std::size_t max_waiting = 512;
+  static constexpr std::uint32_t max_rank = 7;
   std::uint32_t slots_ = 1;
   std::uint32_t running_ = 0;
   std::list<Waiting> waiting_;  // by weight, then by arrival
--- a/source/data_path/client_departure.hpp
+++ b/source/data_path/client_departure.hpp
@@ -22,7 +22,7 @@
 
 class ClientDeparture {
  public:
-  void note(ClientState const state, Instant const now) {
+  void record_hang_up(ClientState const state, Instant const now) {
     if (!at_) at_ = now;
     last_state_ = state;
   }
@@ -33,11 +33,11 @@
     ++(last_state_ == ClientState::gone ? counts.reset : counts.closed);
     Duration const outlived = now - *at_;
     counts.outlived_ms += static_cast<std::uint64_t>(as_ms(outlived));
-    if (outlived >= long_after) ++counts.outlived;
+    if (outlived >= outlive_threshold) ++counts.outlived;
   }
 
  private:
-  static constexpr Duration long_after = 500ms;
+  static constexpr Duration outlive_threshold = 500ms;
   std::optional<Instant> at_;
   ClientState last_state_ = ClientState::here;
 };
--- a/source/data_path/endpoint_selector.cpp
+++ b/source/data_path/endpoint_selector.cpp
@@ -45,11 +45,11 @@
 
 double EndpointSelector::busy_there(Endpoint const& endpoint, Instant const now) const {
   auto const it = history_.find(endpoint.address);
-  if (it == history_.end()) return endpoint.announced_busy;
+  if (it == history_.end()) return endpoint.announced_load;
   EndpointHistory const& h = it->second;
   double const age = std::chrono::duration<double>(now - h.others_at) / std::chrono::duration<double>(load_half_life);
   double const fresh = h.others_at == Instant{} ? 0 : std::exp2(-age);
-  double const announced = std::max(0.0, static_cast<double>(endpoint.announced_busy) - h.in_flight);
+  double const announced = std::max(0.0, static_cast<double>(endpoint.announced_load) - h.in_flight);
   return h.in_flight + fresh * h.others + (1 - fresh) * announced;
 }
 
@@ -224,7 +224,7 @@
 void EndpointSelector::answered(Address const& address, EndpointLoad const& load, Instant const now) {
   EndpointHistory& h = history_[address];
   if (h.in_flight > 0) --h.in_flight;
-  h.failures_in_row = 0;
+  h.consecutive_failures = 0;
   h.ejections = 0;
   h.gone = false;
   h.busy_until = Instant{};
@@ -244,10 +244,10 @@
 void EndpointSelector::failed(Address const& address, bool const certain, Instant const now) {
   EndpointHistory& h = history_[address];
   if (h.in_flight > 0) --h.in_flight;
-  ++h.failures_in_row;
+  ++h.consecutive_failures;
   h.gone = certain;
-  if (!certain && h.failures_in_row < failures_to_eject) return;
-  h.failures_in_row = 0;
+  if (!certain && h.consecutive_failures < failures_to_eject) return;
+  h.consecutive_failures = 0;
   h.avoid_until = now + first_ejection * (1 << std::min(h.ejections, longest_ejection_doublings));
   ++h.ejections;
 }
--- a/source/data_path/endpoint_selector.hpp
+++ b/source/data_path/endpoint_selector.hpp
@@ -24,7 +24,7 @@
   bool local_zone = false;
   std::uint32_t slots = 1;
   /** Requests running and waiting there, as last announced by the feed. */
-  std::uint32_t announced_busy = 0;
+  std::uint32_t announced_load = 0;
 };
 
 /** What this node has itself seen of one peer address. */
@@ -37,7 +37,7 @@
   /** What requests and answers take on their way there and back, in microseconds, when it was last measured. */
   double transfer_us = 0;
   Instant transfer_at{};
-  std::uint32_t failures_in_row = 0;
+  std::uint32_t consecutive_failures = 0;
   std::uint32_t ejections = 0;
   /** The last failure was certain: nothing was there. */
   bool gone = false;
@@ -68,7 +68,7 @@
                          std::mt19937_64& chance, bool repeatable = false);
 
   /** Says which addresses don't answer at the moment; they are avoided. May be left unset. */
-  void set_silent(std::function<bool(Address const&)> silent) { silent_ = std::move(silent); }
+  void set_silence_check(std::function<bool(Address const&)> silent) { silent_ = std::move(silent); }
 
   void sent(Address const& address);
   /** The request that `sent` counted is over; its answer told the load there. */
--- a/source/data_path/failure_share.cpp
+++ b/source/data_path/failure_share.cpp
@@ -8,25 +8,25 @@
 
 constexpr Duration half_life = 2s;
 // Requests without a failure that are assumed on top, so that few prove little.
-constexpr double assumed_good = 4;
+constexpr double assumed_successes = 4;
 
 }  // namespace
 
-double FailureShare::fading(Instant const now) const {
+double FailureShare::decay(Instant const now) const {
   if (now <= counted_at_) return 1;
   return std::exp2(-(std::chrono::duration<double>(now - counted_at_) / std::chrono::duration<double>(half_life)));
 }
 
 void FailureShare::add(Instant const now, bool const failed) {
-  double const kept = fading(now);
-  failed_ = failed_ * kept + (failed ? 1 : 0);
-  all_ = all_ * kept + 1;
+  double const decay_factor = decay(now);
+  failed_ = failed_ * decay_factor + (failed ? 1 : 0);
+  all_ = all_ * decay_factor + 1;
   counted_at_ = std::max(counted_at_, now);
 }
 
 std::uint32_t FailureShare::percent(Instant const now) const {
-  double const kept = fading(now);
-  return static_cast<std::uint32_t>(100 * failed_ * kept / (all_ * kept + assumed_good));
+  double const decay_factor = decay(now);
+  return static_cast<std::uint32_t>(100 * failed_ * decay_factor / (all_ * decay_factor + assumed_successes));
 }
 
 }  // namespace banktide
--- a/source/data_path/failure_share.hpp
+++ b/source/data_path/failure_share.hpp
@@ -17,7 +17,7 @@
   std::uint32_t percent(Instant now) const;
 
  private:
-  double fading(Instant now) const;
+  double decay(Instant now) const;
 
   double failed_ = 0;
   double all_ = 0;
--- a/source/data_path/local_backend.hpp
+++ b/source/data_path/local_backend.hpp
@@ -27,15 +27,15 @@
   /** A backend that has not sent a heartbeat for longer is taken for gone. */
   Duration silent_after = 6s;
   /** One that has not sent a heartbeat for longer gives way to another instance at once: it should have by now. */
-  Duration gives_way_after = 1500ms;
+  Duration replaceable_after = 1500ms;
   /** After the acknowledgement of a drain, requests on their way are still taken for this long. */
-  Duration drain_tail = 700ms;
+  Duration drain_grace = 700ms;
   /** After this no request is sent to a draining backend, whatever waits. */
   Duration drain_end = 1500ms;
   /** How often the load that the zone's feed tells is brought up to date. */
-  Duration announce_load_every = 2s;
+  Duration load_announcement_interval = 2s;
   /** The part of a route's aim, in percent, within which its answer is to be foreseen: runs differ in length. */
-  int aim_percent = 85;
+  int target_latency_percent = 85;
 };
 
 /** Opens connections to a backend; made anew for each life of a backend. */
@@ -50,7 +50,7 @@
     /** An instance's process is proved to have ended. */
     std::function<void(std::string const& service, std::string const& instance, std::string const& reason)> ended;
     /** An instance has signed off without having drained before: its process may serve on for a while. */
-    std::function<void(std::string const& instance)> signed_off;
+    std::function<void(std::string const& instance)> left_undrained;
     /** Connections that a backend of the service takes. */
     std::function<std::size_t(std::string const& service)> connection_limit;
   };
@@ -90,7 +90,7 @@
   void leave(std::string const& id) {
     if (!instance_ || instance_->beat.id != id) return;
     bool const drained = instance_->beat.leaving;
-    if (!drained) events_.signed_off(id);
+    if (!drained) events_.left_undrained(id);
     std::string const service = instance_->beat.service;
     ended_.insert(id);
     retire("it signed off");
@@ -138,7 +138,7 @@
     Instant const deadline = arrived + std::chrono::milliseconds(forward.remaining_ms);
     // What would miss its aim is better refused early: another endpoint, or the
     // client's next try, may still make it.
-    Duration const aim = std::chrono::milliseconds(forward.target_latency_ms) * settings_.aim_percent / 100;
+    Duration const aim = std::chrono::milliseconds(forward.target_latency_ms) * settings_.target_latency_percent / 100;
     Duration const useful = std::min<Duration>(aim, deadline - arrived);
     if (key_is_due(forward, arrived)) co_await wait_for_key(forward, arrived + useful, cancellation);
     if (is_cancelled(cancellation)) co_return cancelled_reply(Proof::not_run);
@@ -180,7 +180,7 @@
   // The feed goes to every node of the zone: load that changes with each request
   // is told now and then; answers tell it fresher to those who send.
   void announce_load(Instant const now) {
-    if (now - load_announced_ < settings_.announce_load_every) return;
+    if (now - load_announced_ < settings_.load_announcement_interval) return;
     load_announced_ = now;
     announced_running_ = instance_->queue.running();
     announced_waiting_ = instance_->queue.waiting();
@@ -221,7 +221,7 @@
   // A late heartbeat of a former life looks like the first one of a new life. Who beats again while the present
   // instance says nothing is alive; whoever was taken for gone by mistake comes back in the same way.
   bool takes_the_place(std::string const& id, Instant const now) {
-    bool const present_is_silent = instance_->refused || now - instance_->heard > settings_.gives_way_after;
+    bool const present_is_silent = instance_->refused || now - instance_->heard > settings_.replaceable_after;
     bool const beats_again = rival_ == id && instance_->heard < rival_since_;
     if (present_is_silent || beats_again) return true;
     rival_ = id;
@@ -261,7 +261,7 @@
     Instance const& i = *instance_;
     if (i.refused || now - i.heard > settings_.silent_after)
       return refuse(Refusal::no_backend, "backend is gone or silent", 100ms);
-    if (i.draining_since && now - *i.draining_since > settings_.drain_tail && !forward.keyed)
+    if (i.draining_since && now - *i.draining_since > settings_.drain_grace && !forward.keyed)
       return refuse(Refusal::no_backend, "backend is draining", 30ms);
     if (i.draining_since && now - *i.draining_since > settings_.drain_end)
       return refuse(Refusal::no_backend, "backend is draining", 100ms);
--- a/source/data_path/request_path.hpp
+++ b/source/data_path/request_path.hpp
@@ -29,11 +29,11 @@
   /** The service of the backend on this machine: in whose name its requests go out. */
   std::string calling_service;
   /** How often an attempt may go to another endpoint after a proof that it was not run. */
-  std::uint32_t most_endpoints = 4;
+  std::uint32_t max_endpoints = 4;
   /** Share of a service's requests, in percent, that this node may send a second time. */
   std::uint64_t retry_percent = 10;
   std::uint64_t retry_margin = 2;
-  std::size_t most_in_flight = 4096;
+  std::size_t max_in_flight = 4096;
   /** How long an access key that was dropped may still be used anywhere; none: as long as this node knows it. */
   std::optional<Duration> revocation_limit;
 };
@@ -65,7 +65,7 @@
   /** The router in force is of the newest configuration that was chosen before `asked`. */
   void confirm_access_keys(Instant const asked) { access_lease_.confirm(asked); }
   /** Whether requests that need an access key can be let in now; true if none needs one. */
-  bool lets_tenants_in() const {
+  bool can_admit_tenants() const {
     return !router_ || !router_->configuration().tenants || access_lease_.valid(env_.now());
   }
   /** The process ends then at the latest: requests that may last longer are refused from now on. */
@@ -82,14 +82,14 @@
     if (route == nullptr) co_return plain_reply(404, "no route");
     AccessDecision const access = decide_access(*router, *route, request, access_lease_.valid(env_.now()));
     if (access.verdict != AccessDecision::Verdict::granted) co_return access_refused(access.verdict);
-    if (in_flight_ >= settings_.most_in_flight) co_return refusal("too many requests in flight", busy_retry);
+    if (in_flight_ >= settings_.max_in_flight) co_return refusal("too many requests in flight", busy_retry);
     remove_credentials(request, *router, *route, access);
     Result<Attempt> attempt = prepare(*router, *route, access.tenant, std::move(request));
     if (!attempt) co_return plain_reply(400, attempt.error().reason);
     if (end_ && attempt->deadline > *end_) co_return refusal("node is leaving", leaving_retry);
     std::shared_ptr<ClientDeparture> const departure = std::make_shared<ClientDeparture>();
     exchange->on_hang_up = [this, departure, cancellation = attempt->cancellation](ClientState const state) {
-      departure->note(state, env_.now());
+      departure->record_hang_up(state, env_.now());
       cancellation->request();
     };
     if (exchange->client_hung_up()) exchange->on_hang_up(exchange->client);
@@ -133,7 +133,7 @@
   /** A request on its way, with what must be known to send it again. */
   struct Attempt {
     Forward forward;
-    Instant began{};
+    Instant started{};
     Instant deadline{};
     Duration target_latency{};  // from `began`; zero: not stated
     std::uint32_t attempt_limit = 1;
@@ -173,7 +173,7 @@
     return plain_reply(env_.now() + answer_margin >= attempt.deadline ? 504 : 502, reason);
   }
 
-  static std::optional<std::uint64_t> number(std::string const& text) {
+  static std::optional<std::uint64_t> parse_number(std::string const& text) {
     std::uint64_t value = 0;
     auto const [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc() || end != text.data() + text.size() || text.empty()) return std::nullopt;
@@ -193,11 +193,11 @@
       if (!key) return make_error("admit", "", "no key", Proof::not_run);
       f.key = static_cast<std::uint16_t>(*key);
     }
-    Duration patience = route.timeout;
-    std::optional<std::uint64_t> const remaining = number(header_of(request, headers_.remaining_ms));
-    if (remaining) patience = std::min<Duration>(patience, std::chrono::milliseconds(*remaining));
-    attempt.began = env_.now();
-    attempt.deadline = attempt.began + patience;
+    Duration time_limit = route.timeout;
+    std::optional<std::uint64_t> const remaining = parse_number(header_of(request, headers_.remaining_ms));
+    if (remaining) time_limit = std::min<Duration>(time_limit, std::chrono::milliseconds(*remaining));
+    attempt.started = env_.now();
+    attempt.deadline = attempt.started + time_limit;
     attempt.target_latency = std::max<Duration>(Duration::zero(), route.target_latency);
     attempt.attempt_limit = std::max<std::uint32_t>(route.attempt_limit, 1);
     f.repeatable = route.repeatable;
@@ -244,15 +244,15 @@
         reply = std::move(*got);
         selector_.transferred(address, env_.now() - sent - std::chrono::microseconds(reply.elapsed_us), env_.now());
       } else {
-        if (got.error().proof != Proof::not_run) unanswered(address, env_.now() - sent);
+        if (got.error().proof != Proof::not_run) record_unanswered(address, env_.now() - sent);
         reply.outcome = got.error().proof == Proof::not_run ? Outcome::not_run : Outcome::unknown;
         reply.refusal = reply.outcome == Outcome::not_run ? Refusal::unreachable : Refusal::none;
-        if (got.error().step == rejected_step) reply = no_room();
+        if (got.error().transition == rejected_step) reply = no_room();
         if (is_cancelled(cancellation)) reply.refusal = Refusal::cancelled;
-        reply.reason = got.error().step + ": " + got.error().reason;
+        reply.reason = got.error().transition + ": " + got.error().reason;
       }
     }
-    learn(address, reply);
+    update_selector(address, reply);
     co_return reply;
   }
 
@@ -265,12 +265,12 @@
   }
 
   // Without an answer the way took at least what was waited for it, as far as that tells more.
-  void unanswered(Address const& address, Duration const waited) {
+  void record_unanswered(Address const& address, Duration const waited) {
     Duration const expected = selector_.expected_transfer(address, env_.now());
     selector_.transferred(address, std::max(waited, expected), env_.now());
   }
 
-  void learn(Address const& address, ForwardReply const& reply) {
+  void update_selector(Address const& address, ForwardReply const& reply) {
     Instant const now = env_.now();
     if (reply.outcome == Outcome::answered)
       selector_.answered(address, reply.load, now);
@@ -284,14 +284,14 @@
   }
 
   /** Whether the backend's own answer should rather be asked for again elsewhere. */
-  bool worth_repeating(Attempt const& attempt, ForwardReply const& reply) const {
+  bool should_retry(Attempt const& attempt, ForwardReply const& reply) const {
     return attempt.forward.repeatable && reply.reply.status >= 500 && reply.reply.status != 504;
   }
 
   // What is left of the aim when the request arrives there, if its answer is to be back
   // in time. Once that is hopeless a part of it still says how long to wait for a slot.
   std::uint32_t target_latency_left_ms(Attempt const& attempt, Address const& endpoint) const {
-    Duration const spent = env_.now() - attempt.began + selector_.expected_transfer(endpoint, env_.now());
+    Duration const spent = env_.now() - attempt.started + selector_.expected_transfer(endpoint, env_.now());
     Duration const left = std::max(attempt.target_latency - spent, attempt.target_latency / late_target_divisor);
     return static_cast<std::uint32_t>(as_ms(left));
   }
@@ -307,24 +307,24 @@
     last.outcome = Outcome::not_run;
     last.refusal = Refusal::no_backend;
     bool may_have_run = false;
-    std::uint32_t arrivals = 0;
+    std::uint32_t arrived_attempts = 0;
     std::uint32_t retry_after_ms = 0;
     budget(attempt.forward.service).record_first(env_.now());
-    for (std::uint32_t n = 0; n < settings_.most_endpoints; ++n) {
+    for (std::uint32_t n = 0; n < settings_.max_endpoints; ++n) {
       attempt.forward.remaining_ms = remaining_ms(attempt);
       if (attempt.forward.remaining_ms < 2 || attempt.cancellation->requested()) break;
-      attempt.state.step(RequestPhase::selecting);
+      attempt.state.transition(RequestPhase::selecting);
       std::optional<Address> const endpoint = choose(attempt, tried);
       if (!endpoint) break;
-      if (arrivals > 0) {
-        if (arrivals >= attempt.attempt_limit || !budget(attempt.forward.service).try_extra(env_.now())) break;
+      if (arrived_attempts > 0) {
+        if (arrived_attempts >= attempt.attempt_limit || !budget(attempt.forward.service).try_extra(env_.now())) break;
         ++counts_.retried;
       }
       attempt.forward.target_latency_ms = target_latency_left_ms(attempt, *endpoint);
-      attempt.state.step(RequestPhase::forwarded);
+      attempt.state.transition(RequestPhase::forwarded);
       last = co_await send(*endpoint, attempt.forward, attempt.deadline, attempt.cancellation);
-      if (last.outcome == Outcome::answered && !worth_repeating(attempt, last)) break;
-      if (last.outcome != Outcome::not_run || last.refusal == Refusal::by_backend) ++arrivals;
+      if (last.outcome == Outcome::answered && !should_retry(attempt, last)) break;
+      if (last.outcome != Outcome::not_run || last.refusal == Refusal::by_backend) ++arrived_attempts;
       if (last.outcome != Outcome::not_run) {
         may_have_run = true;
         if (!attempt.forward.repeatable) break;
@@ -357,12 +357,12 @@
 
   HttpReply finish(Attempt& attempt, ForwardReply last, bool const may_have_run, std::uint32_t const retry_after_ms) {
     if (last.outcome == Outcome::answered) {
-      attempt.state.step(RequestPhase::answered);
+      attempt.state.transition(RequestPhase::answered);
       ++counts_.answered;
       return std::move(last.reply);
     }
-    attempt.state.step(RequestPhase::given_up);
-    if (attempt.cancellation->requested()) return abandoned(may_have_run);
+    attempt.state.transition(RequestPhase::given_up);
+    if (attempt.cancellation->requested()) return client_left_reply(may_have_run);
     if (may_have_run) return failure(attempt, last.reason);
     Duration wait = attempt.forward.keyed ? key_retry : busy_retry;
     if (retry_after_ms > 0) wait = std::chrono::milliseconds(retry_after_ms);
@@ -370,7 +370,7 @@
   }
 
   // Its client has closed, or ended its side and may still read; `departures` counts it.
-  static HttpReply abandoned(bool const may_have_run) {
+  static HttpReply client_left_reply(bool const may_have_run) {
     return may_have_run ? plain_reply(502, "client has left") : refusal_of("client has left", busy_retry);
   }
 
--- a/source/data_path/request_state.hpp
+++ b/source/data_path/request_state.hpp
@@ -29,7 +29,7 @@
   RequestPhase phase() const { return phase_; }
 
   /** Takes the step if the chart has it, and says whether it did. */
-  bool step(RequestPhase const to) {
+  bool transition(RequestPhase const to) {
     if (!allowed(phase_, to)) return false;
     phase_ = to;
     return true;
--- a/source/data_path/work_estimate.hpp
+++ b/source/data_path/work_estimate.hpp
@@ -12,7 +12,7 @@
 class WorkEstimate {
  public:
   /** One run of the class took `took`. */
-  void ran(std::uint32_t const work_class, Duration const took) {
+  void record_run(std::uint32_t const work_class, Duration const took) {
     double const ms = std::chrono::duration<double, std::milli>(took).count();
     update(overall_, ms);
     update(by_class_[work_class], ms);
@@ -29,11 +29,11 @@
 
  private:
   static constexpr double weight_of_newest = 0.05;
-  static constexpr double first_guess_ms = 50;
+  static constexpr double initial_estimate_ms = 50;
 
   /** A mean that follows the newest runs, and at first all of them alike. */
   struct Mean {
-    double ms = first_guess_ms;
+    double ms = initial_estimate_ms;
     double runs = 0;
   };
 
--- a/source/programs/mesh_node.hpp
+++ b/source/programs/mesh_node.hpp
@@ -44,7 +44,7 @@
         configuration_alarm_(env) {
     // Only a real network pings its peers.
     if constexpr (requires { env.silence_of(Address{}); })
-      path_.selector().set_silent([&env](Address const& peer) { return env.silence_of(peer) > silent_after; });
+      path_.selector().set_silence_check([&env](Address const& peer) { return env.silence_of(peer) > silent_after; });
   }
 
   void start(Dispatcher& dispatcher) {
@@ -65,7 +65,7 @@
   /** Readiness: whether clients of this machine should send new requests here. */
   bool ready() const {
     bool const informed = follower_.has_confirmed_values() && follower_.has_view() && path_.router() && in_contact();
-    return !graceful_shutdown_.leaving() && informed && path_.lets_tenants_in();
+    return !graceful_shutdown_.leaving() && informed && path_.can_admit_tenants();
   }
   bool idle() const { return pending_work().requests == 0; }
   /** Requests in flight and bytes queued here. Client connections are counted by the HTTP server, not here. */
@@ -139,7 +139,7 @@
     LocalBackendSettings l;
     l.node = settings_.follower.id;
     l.drain_end = settings_.bounds.drain_limit * 3 / 4;
-    l.drain_tail = settings_.bounds.drain_limit * 35 / 100;
+    l.drain_grace = settings_.bounds.drain_limit * 35 / 100;
     return l;
   }
 
@@ -154,7 +154,7 @@
       if (keys_) keys_->on_instance_ended(instance, reason);
       report_alarm_.wake();
     };
-    e.signed_off = [this](std::string const& instance) {
+    e.left_undrained = [this](std::string const& instance) {
       if (keys_) keys_->on_instance_signed_off(instance, env_.now());
       report_alarm_.wake();
     };
--- a/tests/data_path/endpoint_selector_test.cpp
+++ b/tests/data_path/endpoint_selector_test.cpp
@@ -194,7 +194,7 @@
   std::mt19937_64 chance(1);
   EndpointSelector selector = with({endpoint("near", true, 8), endpoint("far", false, 8)});
   std::set<Address> silent{"near"};
-  selector.set_silent([&silent](Address const& address) { return silent.contains(address); });
+  selector.set_silence_check([&silent](Address const& address) { return silent.contains(address); });
   EXPECT_TRUE(selector.avoided("near", start));
   EXPECT_EQ(chosen(selector, chance), "far");
   EXPECT_EQ(chosen(selector, chance, {"far"}), "near") << "better than nobody";
@@ -210,8 +210,8 @@
   for (int n = 0; n < 24; ++n) {
     EndpointSelector::Endpoints all;
     for (std::string const name : {"a", "b", "c", "d"}) all.push_back(endpoint(name, true, 9));
-    all[0].announced_busy = 1;
-    for (std::size_t i = 1; i < 4; ++i) all[i].announced_busy = 4;
+    all[0].announced_load = 1;
+    for (std::size_t i = 1; i < 4; ++i) all[i].announced_load = 4;
     nodes.push_back(with(all));
   }
   std::map<std::string, int> requests;
--- a/tests/data_path/local_backend_model_test.cpp
+++ b/tests/data_path/local_backend_model_test.cpp
@@ -67,7 +67,7 @@
     LocalBackend<SimProcess>::Events events;
     events.record_changed = [] {};
     events.ended = [](std::string const&, std::string const&, std::string const&) {};
-    events.signed_off = [](std::string const&) {};
+    events.left_undrained = [](std::string const&) {};
     events.connection_limit = [](std::string const&) { return std::size_t{10}; };
     ConnectionsFactory factory = [this](Address const&, std::size_t) {
       return std::make_unique<FickleBackend>(*process_, runs_);
--- a/tests/data_path/local_backend_test.cpp
+++ b/tests/data_path/local_backend_test.cpp
@@ -49,7 +49,7 @@
     events.ended = [this](std::string const&, std::string const& instance, std::string const&) {
       ended.push_back(instance);
     };
-    events.signed_off = [this](std::string const& instance) { signed_off.push_back(instance); };
+    events.left_undrained = [this](std::string const& instance) { left_undrained.push_back(instance); };
     events.connection_limit = [](std::string const&) { return std::size_t{10}; };
     ConnectionsFactory factory = [this](Address const&, std::size_t) {
       return std::make_unique<PromptBackend>(*process, calls, on_answer);
@@ -130,7 +130,7 @@
   std::size_t calls = 0;
   std::function<void()> on_answer;
   std::uint64_t beats = 0;
-  std::vector<std::string> ended, signed_off;
+  std::vector<std::string> ended, left_undrained;
   std::unique_ptr<LocalBackend<SimProcess>> backend;
   std::vector<ForwardReply> replies;
   Duration took{};
@@ -200,12 +200,12 @@
   LocalTrial sudden;
   sudden.backend->leave("i-1");
   EXPECT_TRUE(sudden.ended.empty());
-  EXPECT_EQ(sudden.signed_off, std::vector<std::string>{"i-1"});
+  EXPECT_EQ(sudden.left_undrained, std::vector<std::string>{"i-1"});
   LocalTrial drained;
   drained.beat(true);
   drained.backend->leave("i-1");
   EXPECT_EQ(drained.ended, std::vector<std::string>{"i-1"});
-  EXPECT_TRUE(drained.signed_off.empty());
+  EXPECT_TRUE(drained.left_undrained.empty());
 }
 
 // Guards against a living backend that is never served again: a late heartbeat of a former life came after its own.
