--- a/source/data_path/endpoint_selector.cpp
+++ b/source/data_path/endpoint_selector.cpp
@@ -11,10 +11,10 @@
 
 constexpr Duration load_half_life = 400ms;
 constexpr Duration first_ejection = 250ms;
-constexpr std::uint32_t longest_ejection_doublings = 4;
-constexpr Duration outliers_found_every = 100ms;
-constexpr Duration failures_believed_for = 5s;  // then an endpoint gets another chance
-constexpr std::uint64_t one_in_so_many_probes = 24;
+constexpr std::uint32_t max_ejection_doublings = 4;
+constexpr Duration outlier_update_interval = 100ms;
+constexpr Duration failure_report_lifetime = 5s;  // then an endpoint gets another chance
+constexpr std::uint64_t probe_one_in = 24;
 constexpr Duration transfer_half_life = 1500ms;  // then a way that was slow is worth another look
 constexpr double weight_of_slower = 0.5;         // of a measurement, in the mean
 constexpr double weight_of_faster = 0.3;
@@ -43,20 +43,21 @@
   return it == endpoints_.end() ? none : it->second;
 }
 
-double EndpointSelector::busy_there(Endpoint const& endpoint, Instant const now) const {
+double EndpointSelector::expected_load(Endpoint const& endpoint, Instant const now) const {
   auto const it = history_.find(endpoint.address);
   if (it == history_.end()) return endpoint.announced_load;
   EndpointHistory const& h = it->second;
-  double const age = std::chrono::duration<double>(now - h.others_at) / std::chrono::duration<double>(load_half_life);
-  double const fresh = h.others_at == Instant{} ? 0 : std::exp2(-age);
+  double const age =
+      std::chrono::duration<double>(now - h.other_load_at) / std::chrono::duration<double>(load_half_life);
+  double const fresh = h.other_load_at == Instant{} ? 0 : std::exp2(-age);
   double const announced = std::max(0.0, static_cast<double>(endpoint.announced_load) - h.in_flight);
-  return h.in_flight + fresh * h.others + (1 - fresh) * announced;
+  return h.in_flight + fresh * h.other_load + (1 - fresh) * announced;
 }
 
 bool EndpointSelector::has_free_slot(Endpoint const& endpoint, Instant const now) const {
   auto const it = history_.find(endpoint.address);
   if (it != history_.end() && now < it->second.busy_until) return false;
-  return busy_there(endpoint, now) + 1 <= endpoint.slots;
+  return expected_load(endpoint, now) + 1 <= endpoint.slots;
 }
 
 double EndpointSelector::transfer_us(Address const& address, Instant const now) const {
@@ -83,7 +84,7 @@
   return has_free_slot(endpoint, now) && transfer_us(endpoint.address, now) < congested_transfer_us;
 }
 
-double EndpointSelector::mean_run(Endpoints const& endpoints) const {
+double EndpointSelector::mean_run_time(Endpoints const& endpoints) const {
   double sum = 0;
   std::size_t n = 0;
   for (Endpoint const& e : endpoints) {
@@ -95,7 +96,7 @@
   return n == 0 ? 50000 : sum / static_cast<double>(n);
 }
 
-double EndpointSelector::run_of(Endpoint const& endpoint, double const mean_run_us) const {
+double EndpointSelector::run_time_of(Endpoint const& endpoint, double const mean_run_us) const {
   auto const it = history_.find(endpoint.address);
   return it == history_.end() || it->second.run_us == 0 ? mean_run_us : it->second.run_us;
 }
@@ -105,23 +106,23 @@
 // all slots look taken.
 double EndpointSelector::cost(Endpoint const& endpoint, Instant const now, double const mean_run_us) const {
   double const slots = std::max<std::uint32_t>(endpoint.slots, 1);
-  double const busy = busy_there(endpoint, now);
+  double const busy = expected_load(endpoint, now);
   double const queued = std::max(0.0, busy + 1 - slots);
   double const fullness = std::min(1.0, busy / slots);
   double const wait = slowdown_of_full * fullness + wait_weight * std::pow(fullness, wait_power) + queued / slots;
-  return run_of(endpoint, mean_run_us) * (1 + wait) + transfer_us(endpoint.address, now);
+  return run_time_of(endpoint, mean_run_us) * (1 + wait) + transfer_us(endpoint.address, now);
 }
 
 std::uint32_t EndpointSelector::failed_percent(Endpoint const& endpoint, Instant const now) const {
   auto const it = history_.find(endpoint.address);
-  if (it == history_.end() || now - it->second.failed_percent_at > failures_believed_for) return 0;
+  if (it == history_.end() || now - it->second.failed_percent_at > failure_report_lifetime) return 0;
   return it->second.failed_percent;
 }
 
 std::set<Address> const& EndpointSelector::outliers_of(std::string const& service, Endpoints const& endpoints,
                                                        Instant const now) {
   Outliers& known = outliers_[service];
-  if (now - known.found_at < outliers_found_every) return known.addresses;
+  if (now - known.found_at < outlier_update_interval) return known.addresses;
   known.found_at = now;
   known.addresses.clear();
   std::vector<std::uint32_t> failed;
@@ -133,38 +134,38 @@
   return known.addresses;
 }
 
-bool EndpointSelector::withheld(Endpoint const& endpoint, double const draw) const {
+bool EndpointSelector::is_withheld(Endpoint const& endpoint, double const draw) const {
   auto const share = zone_shares_.find(endpoint.zone);
   return share != zone_shares_.end() && draw >= share->second;
 }
 
-bool EndpointSelector::reachable(Endpoint const& endpoint, Instant const now) const {
+bool EndpointSelector::is_reachable(Endpoint const& endpoint, Instant const now) const {
   auto const it = history_.find(endpoint.address);
-  return it == history_.end() || !it->second.gone || !avoided(endpoint.address, now);
+  return it == history_.end() || !it->second.unreachable || !avoided(endpoint.address, now);
 }
 
 Endpoint const* EndpointSelector::select(std::string const& service, std::set<Address> const& tried, Instant const now,
                                          std::mt19937_64& chance, bool const repeatable) {
   Endpoints const& all = of(service);
   std::set<Address> const& outliers = outliers_of(service, all, now);
-  bool const probes = repeatable && !outliers.empty() && chance() % one_in_so_many_probes == 0;
-  auto const shunned = [&](Endpoint const& e) {
+  bool const probes = repeatable && !outliers.empty() && chance() % probe_one_in == 0;
+  auto const is_last_resort = [&](Endpoint const& e) {
     return avoided(e.address, now) || (!probes && outliers.contains(e.address));
   };
   if (zone_shares_.empty())
-    return best_of(
-        all, tried, now, chance, [](Endpoint const&) { return true; }, shunned);
+    return select_from(
+        all, tried, now, chance, [](Endpoint const&) { return true; }, is_last_resort);
   double const draw = std::uniform_real_distribution<double>(0, 1)(chance);
-  bool const others =
-      std::any_of(all.begin(), all.end(), [&](Endpoint const& e) { return !withheld(e, draw) && reachable(e, now); });
-  return best_of(
-      all, tried, now, chance, [&](Endpoint const& e) { return !others || !withheld(e, draw); }, shunned);
+  bool const other_load = std::any_of(all.begin(), all.end(),
+                                      [&](Endpoint const& e) { return !is_withheld(e, draw) && is_reachable(e, now); });
+  return select_from(
+      all, tried, now, chance, [&](Endpoint const& e) { return !other_load || !is_withheld(e, draw); }, is_last_resort);
 }
 
 // Two are drawn, the abler ones more often, and the better of them is taken. To take
 // the best of all would send the requests of every node, which know the same of it, to
 // one endpoint at a time.
-Endpoint const* EndpointSelector::better_of_two(std::vector<Candidate> const& from, std::mt19937_64& chance) {
+Endpoint const* EndpointSelector::pick_better_of_two(std::vector<Candidate> const& from, std::mt19937_64& chance) {
   if (from.empty()) return nullptr;
   Candidate const& first = from[draw(from, from.size(), chance)];
   if (from.size() == 1) return first.endpoint;
@@ -177,45 +178,45 @@
 std::size_t EndpointSelector::draw(std::vector<Candidate> const& from, std::size_t const skipped,
                                    std::mt19937_64& chance) {
   double sum = 0;
-  for (std::size_t i = 0; i < from.size(); ++i) sum += i == skipped ? 0 : from[i].ability;
+  for (std::size_t i = 0; i < from.size(); ++i) sum += i == skipped ? 0 : from[i].throughput;
   double left = std::uniform_real_distribution<double>(0, sum)(chance);
   std::size_t last = 0;
   for (std::size_t i = 0; i < from.size(); ++i) {
     if (i == skipped) continue;
     last = i;
-    left -= from[i].ability;
+    left -= from[i].throughput;
     if (left < 0) break;
   }
   return last;
 }
 
-template <class Offered, class Shunned>
-Endpoint const* EndpointSelector::best_of(Endpoints const& all, std::set<Address> const& tried, Instant const now,
-                                          std::mt19937_64& chance, Offered const offered, Shunned const shunned) const {
-  double const mean = mean_run(all);
+template <class Eligible, class LastResort>
+Endpoint const* EndpointSelector::select_from(Endpoints const& all, std::set<Address> const& tried, Instant const now,
+                                              std::mt19937_64& chance, Eligible const is_eligible,
+                                              LastResort const is_last_resort) const {
+  double const mean = mean_run_time(all);
   std::vector<Candidate> free_local, free_remote;
-  std::optional<Candidate> least_full;
+  std::optional<Candidate> best_busy;
   std::vector<Endpoint const*> last_resort;
   for (Endpoint const& e : all) {
-    if (tried.contains(e.address) || !offered(e)) continue;
-    if (shunned(e)) {
+    if (tried.contains(e.address) || !is_eligible(e)) continue;
+    if (is_last_resort(e)) {
       last_resort.push_back(&e);
       continue;
     }
-    Candidate const candidate{&e, cost(e, now, mean), e.slots / run_of(e, mean)};
+    Candidate const candidate{&e, cost(e, now, mean), e.slots / run_time_of(e, mean)};
     if (ready(e, now)) {
       (e.local_zone ? free_local : free_remote).push_back(candidate);
       continue;
     }
     double const penalty = e.local_zone ? 1 : crossing_penalty;
-    bool const better = !least_full || candidate.cost * penalty < least_full->cost;
-    if (better) least_full = Candidate{&e, candidate.cost * penalty, candidate.ability};
+    bool const better = !best_busy || candidate.cost * penalty < best_busy->cost;
+    if (better) best_busy = Candidate{&e, candidate.cost * penalty, candidate.throughput};
   }
-  if (!free_local.empty()) return better_of_two(free_local, chance);
-  Endpoint const* const remote = better_of_two(free_remote, chance);
-  if (remote != nullptr && (!least_full || cost(*remote, now, mean) * crossing_penalty < least_full->cost))
-    return remote;
-  if (least_full) return least_full->endpoint;
+  if (!free_local.empty()) return pick_better_of_two(free_local, chance);
+  Endpoint const* const remote = pick_better_of_two(free_remote, chance);
+  if (remote != nullptr && (!best_busy || cost(*remote, now, mean) * crossing_penalty < best_busy->cost)) return remote;
+  if (best_busy) return best_busy->endpoint;
   return last_resort.empty() ? nullptr : last_resort[chance() % last_resort.size()];
 }
 
@@ -226,10 +227,10 @@
   if (h.in_flight > 0) --h.in_flight;
   h.consecutive_failures = 0;
   h.ejections = 0;
-  h.gone = false;
+  h.unreachable = false;
   h.busy_until = Instant{};
-  h.others = std::max(0.0, static_cast<double>(load.running + load.waiting) - h.in_flight);
-  h.others_at = now;
+  h.other_load = std::max(0.0, static_cast<double>(load.running + load.waiting) - h.in_flight);
+  h.other_load_at = now;
   if (load.run_us > 0) h.run_us = load.run_us;
   h.failed_percent = load.failed_percent;
   h.failed_percent_at = now;
@@ -245,15 +246,15 @@
   EndpointHistory& h = history_[address];
   if (h.in_flight > 0) --h.in_flight;
   ++h.consecutive_failures;
-  h.gone = certain;
+  h.unreachable = certain;
   if (!certain && h.consecutive_failures < failures_to_eject) return;
   h.consecutive_failures = 0;
-  h.avoid_until = now + first_ejection * (1 << std::min(h.ejections, longest_ejection_doublings));
+  h.avoid_until = now + first_ejection * (1 << std::min(h.ejections, max_ejection_doublings));
   ++h.ejections;
 }
 
 bool EndpointSelector::avoided(Address const& address, Instant const now) const {
-  if (silent_ && silent_(address)) return true;
+  if (is_silent_ && is_silent_(address)) return true;
   auto const it = history_.find(address);
   return it != history_.end() && now < it->second.avoid_until;
 }
--- a/source/data_path/endpoint_selector.hpp
+++ b/source/data_path/endpoint_selector.hpp
@@ -31,8 +31,8 @@
 struct EndpointHistory {
   std::uint32_t in_flight = 0;
   /** Requests of other nodes there, as of the last answer. */
-  double others = 0;
-  Instant others_at{};
+  double other_load = 0;
+  Instant other_load_at{};
   std::uint32_t run_us = 0;
   /** What requests and answers take on their way there and back, in microseconds, when it was last measured. */
   double transfer_us = 0;
@@ -40,7 +40,7 @@
   std::uint32_t consecutive_failures = 0;
   std::uint32_t ejections = 0;
   /** The last failure was certain: nothing was there. */
-  bool gone = false;
+  bool unreachable = false;
   Instant avoid_until{};
   /** For how long refusals for being busy are believed. */
   Instant busy_until{};
@@ -68,7 +68,7 @@
                          std::mt19937_64& chance, bool repeatable = false);
 
   /** Says which addresses don't answer at the moment; they are avoided. May be left unset. */
-  void set_silence_check(std::function<bool(Address const&)> silent) { silent_ = std::move(silent); }
+  void set_silence_check(std::function<bool(Address const&)> silent) { is_silent_ = std::move(silent); }
 
   void sent(Address const& address);
   /** The request that `sent` counted is over; its answer told the load there. */
@@ -90,24 +90,24 @@
   struct Candidate {
     Endpoint const* endpoint = nullptr;
     double cost = 0;
-    double ability = 0;
+    double throughput = 0;
   };
-  static Endpoint const* better_of_two(std::vector<Candidate> const& from, std::mt19937_64& chance);
+  static Endpoint const* pick_better_of_two(std::vector<Candidate> const& from, std::mt19937_64& chance);
   static std::size_t draw(std::vector<Candidate> const& from, std::size_t skipped, std::mt19937_64& chance);
-  double run_of(Endpoint const& endpoint, double mean_run_us) const;
+  double run_time_of(Endpoint const& endpoint, double mean_run_us) const;
   /** A good one of those that `offered` says may be had; those that `shunned` names are the last resort. */
-  template <class Offered, class Shunned>
-  Endpoint const* best_of(Endpoints const& all, std::set<Address> const& tried, Instant now, std::mt19937_64& chance,
-                          Offered offered, Shunned shunned) const;
-  bool withheld(Endpoint const& endpoint, double draw) const;
-  bool reachable(Endpoint const& endpoint, Instant now) const;
+  template <class Eligible, class LastResort>
+  Endpoint const* select_from(Endpoints const& all, std::set<Address> const& tried, Instant now,
+                              std::mt19937_64& chance, Eligible is_eligible, LastResort is_last_resort) const;
+  bool is_withheld(Endpoint const& endpoint, double draw) const;
+  bool is_reachable(Endpoint const& endpoint, Instant now) const;
   double cost(Endpoint const& endpoint, Instant now, double mean_run_us) const;
   double transfer_us(Address const& address, Instant now) const;
   bool has_free_slot(Endpoint const& endpoint, Instant now) const;
   /** A slot is free, and the links on the way aren't congested. */
   bool ready(Endpoint const& endpoint, Instant now) const;
-  double busy_there(Endpoint const& endpoint, Instant now) const;
-  double mean_run(Endpoints const& endpoints) const;
+  double expected_load(Endpoint const& endpoint, Instant now) const;
+  double mean_run_time(Endpoints const& endpoints) const;
   std::set<Address> const& outliers_of(std::string const& service, Endpoints const& endpoints, Instant now);
   std::uint32_t failed_percent(Endpoint const& endpoint, Instant now) const;
 
@@ -120,7 +120,7 @@
   static constexpr std::uint32_t failures_to_eject = 3;
   std::map<std::string, Endpoints> endpoints_;
   std::map<std::string, double> zone_shares_;
-  std::function<bool(Address const&)> silent_;
+  std::function<bool(Address const&)> is_silent_;
   tsl::robin_map<Address, EndpointHistory> history_;
   tsl::robin_map<std::string, Outliers> outliers_;
 };
--- a/source/data_path/local_backend.hpp
+++ b/source/data_path/local_backend.hpp
@@ -64,34 +64,34 @@
         events_(std::move(events)) {}
 
   /** Takes a heartbeat up. False: it is older than one already seen, or of an instance that doesn't count here. */
-  bool heartbeat(BackendHeartbeat const& beat) {
+  bool heartbeat(BackendHeartbeat const& last_beat) {
     Instant const now = env_.now();
-    if (ended_.contains(beat.id) || !is_newest_of_its_life(beat)) return false;
+    if (ended_.contains(last_beat.id) || !is_newest_heartbeat(last_beat)) return false;
     bool changed = false;
-    if (!instance_ || instance_->beat.id != beat.id) {
-      if (instance_ && !takes_the_place(beat.id, now)) return false;
+    if (!instance_ || instance_->last_beat.id != last_beat.id) {
+      if (instance_ && !replaces_current(last_beat.id, now)) return false;
       if (instance_) retire("another instance beats here");
-      start(beat);
+      start(last_beat);
       changed = true;
     }
     Instance& i = *instance_;
-    changed = changed || i.beat.slots != beat.slots || i.refused || (beat.leaving && !i.draining_since);
-    if (beat.leaving && !i.draining_since) i.draining_since = now;
-    i.beat = beat;
-    i.heard = now;
+    changed = changed || i.last_beat.slots != last_beat.slots || i.refused || (last_beat.leaving && !i.draining_since);
+    if (last_beat.leaving && !i.draining_since) i.draining_since = now;
+    i.last_beat = last_beat;
+    i.last_heartbeat = now;
     i.refused = false;
-    i.queue.set_slots(beat.slots);
-    carry_out();
+    i.queue.set_slots(last_beat.slots);
+    apply_queue_decisions();
     if (changed) events_.record_changed();
     return true;
   }
 
   /** The backend signs off. */
   void leave(std::string const& id) {
-    if (!instance_ || instance_->beat.id != id) return;
-    bool const drained = instance_->beat.leaving;
+    if (!instance_ || instance_->last_beat.id != id) return;
+    bool const drained = instance_->last_beat.leaving;
     if (!drained) events_.left_undrained(id);
-    std::string const service = instance_->beat.service;
+    std::string const service = instance_->last_beat.service;
     ended_.insert(id);
     retire("it signed off");
     if (drained) events_.ended(service, id, "it signed off");
@@ -102,15 +102,15 @@
   std::vector<BackendRecord> records() const {
     if (!instance_) return {};
     Instance const& i = *instance_;
-    if (i.refused || env_.now() - i.heard > settings_.silent_after) return {};
+    if (i.refused || env_.now() - i.last_heartbeat > settings_.silent_after) return {};
     BackendRecord r;
-    r.service = i.beat.service;
-    r.instance = i.beat.id;
+    r.service = i.last_beat.service;
+    r.instance = i.last_beat.id;
     r.node = settings_.node;
     r.running = announced_running_;
     r.waiting = announced_waiting_;
-    r.slots = i.beat.slots;
-    r.warming = i.beat.warm_left > Duration::zero();
+    r.slots = i.last_beat.slots;
+    r.warming = i.last_beat.warm_left > Duration::zero();
     r.liveness = i.draining_since ? Liveness::leaving : Liveness::alive;
     return {r};
   }
@@ -125,7 +125,7 @@
     if (!instance_) return l;
     l.running = instance_->queue.running();
     l.waiting = instance_->queue.waiting();
-    l.slots = instance_->beat.slots;
+    l.slots = instance_->last_beat.slots;
     l.run_us = static_cast<std::uint32_t>(
         std::chrono::duration_cast<std::chrono::microseconds>(instance_->queue.estimate().overall()).count());
     l.failed_percent = instance_->failures.percent(env_.now());
@@ -138,24 +138,25 @@
     Instant const deadline = arrived + std::chrono::milliseconds(forward.remaining_ms);
     // What would miss its aim is better refused early: another endpoint, or the
     // client's next try, may still make it.
-    Duration const aim = std::chrono::milliseconds(forward.target_latency_ms) * settings_.target_latency_percent / 100;
-    Duration const useful = std::min<Duration>(aim, deadline - arrived);
-    if (key_is_due(forward, arrived)) co_await wait_for_key(forward, arrived + useful, cancellation);
+    Duration const target_latency =
+        std::chrono::milliseconds(forward.target_latency_ms) * settings_.target_latency_percent / 100;
+    Duration const useful_time = std::min<Duration>(target_latency, deadline - arrived);
+    if (is_key_pending(forward, arrived)) co_await wait_for_key(forward, arrived + useful_time, cancellation);
     if (is_cancelled(cancellation)) co_return cancelled_reply(Proof::not_run);
     if (ForwardReply const refused = check(forward, env_.now()); refused.refusal != Refusal::none) co_return refused;
     std::uint64_t const id = ++last_id_;
-    QueuedRequest const queued{id, forward.rank, forward.work_class, arrived + useful};
+    QueuedRequest const queued{id, forward.rank, forward.work_class, arrived + useful_time};
     Admission const admission = instance_->queue.admit(env_.now(), queued);
     if (admission == Admission::refuse) co_return refuse(Refusal::busy, "queue too long", expected_wait(forward));
     std::shared_ptr<Waiter> const waiter = std::make_shared<Waiter>(env_);
     requests_[id] = waiter;
-    std::uint64_t const life = life_;
+    std::uint64_t const incarnation = incarnation_;
     if (admission == Admission::wait) {
-      carry_out();
-      std::optional<bool> const turn = co_await wait_for_slot(*waiter, id, life, deadline, cancellation);
-      if (!turn || !*turn) co_return give_up_waiting(id, life, forward, cancellation);
+      apply_queue_decisions();
+      std::optional<bool> const turn = co_await wait_for_slot(*waiter, id, incarnation, deadline, cancellation);
+      if (!turn || !*turn) co_return give_up_waiting(id, incarnation, forward, cancellation);
     }
-    ForwardReply reply = co_await send(forward, deadline, life, cancellation);
+    ForwardReply reply = co_await send(forward, deadline, incarnation, cancellation);
     requests_.erase(id);
     co_return reply;
   }
@@ -167,11 +168,11 @@
     announce_load(now);
     if (instance_->draining_since && now - *instance_->draining_since > settings_.drain_end) {
       instance_->queue.refuse_all();
-      carry_out();
+      apply_queue_decisions();
     }
-    if (now - instance_->heard > settings_.silent_after && !instance_->silent) {
+    if (now - instance_->last_heartbeat > settings_.silent_after && !instance_->silent) {
       instance_->silent = true;
-      log_info("backend_silent", {{"instance", instance_->beat.id}});
+      log_info("backend_silent", {{"instance", instance_->last_beat.id}});
       events_.record_changed();
     }
   }
@@ -188,11 +189,11 @@
 
   /** One life of the backend. */
   struct Instance {
-    BackendHeartbeat beat;
+    BackendHeartbeat last_beat;
     std::shared_ptr<BackendCaller> connections;
     BackendQueue queue;
     FailureShare failures;
-    Instant heard{};
+    Instant last_heartbeat{};
     std::optional<Instant> draining_since;
     bool refused = false;
     bool silent = false;
@@ -203,41 +204,42 @@
     OneShot<Env, bool> turn;
   };
 
-  void start(BackendHeartbeat const& beat) {
-    ++life_;
+  void start(BackendHeartbeat const& last_beat) {
+    ++incarnation_;
     instance_.emplace();
-    instance_->connections = factory_(beat.address, events_.connection_limit(beat.service));
-    instance_->queue.set_slots(beat.slots);
-    log_info("backend_up", {{"service", beat.service}, {"instance", beat.id}, {"address", beat.address}});
+    instance_->connections = factory_(last_beat.address, events_.connection_limit(last_beat.service));
+    instance_->queue.set_slots(last_beat.slots);
+    log_info("backend_up",
+             {{"service", last_beat.service}, {"instance", last_beat.id}, {"address", last_beat.address}});
   }
 
-  bool is_newest_of_its_life(BackendHeartbeat const& beat) {
-    std::uint64_t& newest = newest_sequences_.try_emplace(beat.id, beat.sequence).first->second;
-    if (beat.sequence < newest) return false;
-    newest = beat.sequence;
+  bool is_newest_heartbeat(BackendHeartbeat const& last_beat) {
+    std::uint64_t& newest = newest_sequences_.try_emplace(last_beat.id, last_beat.sequence).first->second;
+    if (last_beat.sequence < newest) return false;
+    newest = last_beat.sequence;
     return true;
   }
 
   // A late heartbeat of a former life looks like the first one of a new life. Who beats again while the present
   // instance says nothing is alive; whoever was taken for gone by mistake comes back in the same way.
-  bool takes_the_place(std::string const& id, Instant const now) {
-    bool const present_is_silent = instance_->refused || now - instance_->heard > settings_.replaceable_after;
-    bool const beats_again = rival_ == id && instance_->heard < rival_since_;
-    if (present_is_silent || beats_again) return true;
-    rival_ = id;
-    rival_since_ = now;
+  bool replaces_current(std::string const& id, Instant const now) {
+    bool const current_is_silent = instance_->refused || now - instance_->last_heartbeat > settings_.replaceable_after;
+    bool const has_returned = contender_ == id && instance_->last_heartbeat < contender_since_;
+    if (current_is_silent || has_returned) return true;
+    contender_ = id;
+    contender_since_ = now;
     return false;
   }
 
   void retire(std::string const& reason) {
-    log_info("backend_ended", {{"instance", instance_->beat.id}, {"reason", reason}});
+    log_info("backend_ended", {{"instance", instance_->last_beat.id}, {"reason", reason}});
     instance_->queue.refuse_all();
-    carry_out();
+    apply_queue_decisions();
     wake_awaiting_keys();
     instance_->connections->close();
     instance_.reset();
-    rival_.clear();
-    ++life_;
+    contender_.clear();
+    ++incarnation_;
   }
 
   ForwardReply refuse(Refusal const why, std::string reason, Duration const retry_after) const {
@@ -256,10 +258,10 @@
   }
 
   ForwardReply check(Forward const& forward, Instant const now) const {
-    if (!instance_ || instance_->beat.service != forward.service)
+    if (!instance_ || instance_->last_beat.service != forward.service)
       return refuse(Refusal::no_backend, "no backend of the service here", 100ms);
     Instance const& i = *instance_;
-    if (i.refused || now - i.heard > settings_.silent_after)
+    if (i.refused || now - i.last_heartbeat > settings_.silent_after)
       return refuse(Refusal::no_backend, "backend is gone or silent", 100ms);
     if (i.draining_since && now - *i.draining_since > settings_.drain_grace && !forward.keyed)
       return refuse(Refusal::no_backend, "backend is draining", 30ms);
@@ -277,18 +279,19 @@
   }
 
   // The table gives the key to the backend, which learns of it by its next heartbeat.
-  bool key_is_due(Forward const& forward, Instant const now) const {
-    if (!forward.keyed || !instance_ || keys_ == nullptr || instance_->beat.service != forward.service) return false;
+  bool is_key_pending(Forward const& forward, Instant const now) const {
+    if (!forward.keyed || !instance_ || keys_ == nullptr || instance_->last_beat.service != forward.service)
+      return false;
     bool const stays = !instance_->draining_since && !instance_->refused;
     return stays && !key_held(forward, now) && keys_->is_assigned(forward.key) &&
-           awaiting_keys_.size() < most_awaiting_keys;
+           awaiting_keys_.size() < max_awaiting_keys;
   }
 
   // Who is cancelled leaves the queue at once; who has been given a slot by then keeps it until `send`.
-  Task<std::optional<bool>> wait_for_slot(Waiter& waiter, std::uint64_t const id, std::uint64_t const life,
+  Task<std::optional<bool>> wait_for_slot(Waiter& waiter, std::uint64_t const id, std::uint64_t const incarnation,
                                           Instant const deadline, SharedCancellation const cancellation) {
-    CancellationListener const listener(cancellation, [this, &waiter, id, life] {
-      if (life == life_ && instance_ && instance_->queue.withdraw(id)) waiter.turn.give(false);
+    CancellationListener const listener(cancellation, [this, &waiter, id, incarnation] {
+      if (incarnation == incarnation_ && instance_ && instance_->queue.withdraw(id)) waiter.turn.give(false);
     });
     co_return co_await waiter.turn.wait(deadline);
   }
@@ -302,23 +305,23 @@
     std::optional<bool> const granted = co_await waiter->turn.wait(until);
     awaiting_keys_.erase(id);
     // The answer that grants the key reaches the backend before a request does.
-    if (granted && *granted) co_await sleep_for(env_, grant_takes);
+    if (granted && *granted) co_await sleep_for(env_, grant_delivery_time);
   }
 
   void wake_awaiting_keys() {
     for (auto const& [id, waiter] : awaiting_keys_) waiter->turn.give(true);
   }
 
-  ForwardReply give_up_waiting(std::uint64_t const id, std::uint64_t const life, Forward const& forward,
+  ForwardReply give_up_waiting(std::uint64_t const id, std::uint64_t const incarnation, Forward const& forward,
                                SharedCancellation const& cancellation) {
     requests_.erase(id);
-    if (life == life_ && instance_) instance_->queue.withdraw(id);
+    if (incarnation == incarnation_ && instance_) instance_->queue.withdraw(id);
     if (is_cancelled(cancellation)) return cancelled_reply(Proof::not_run);
     return refuse(Refusal::busy, "no slot in time", expected_wait(forward));
   }
 
   // Wakes the requests that the queue has decided about.
-  void carry_out() {
+  void apply_queue_decisions() {
     if (!instance_) return;
     BackendQueue::Decisions const decisions = instance_->queue.take_decisions();
     for (std::uint64_t const id : decisions.refuse) wake(id, false);
@@ -348,40 +351,40 @@
     });
     std::int64_t const left = std::max<std::int64_t>(as_ms(deadline - env_.now()), 1);
     call.request.headers.push_back({std::string(headers_.remaining_ms), std::to_string(left)});
-    call.request.headers.push_back({std::string(headers_.target_instance), instance_->beat.id});
+    call.request.headers.push_back({std::string(headers_.target_instance), instance_->last_beat.id});
     call.request.headers.push_back({std::string(headers_.calling_service), forward.calling_service});
     if (!forward.tenant.empty()) call.request.headers.push_back({std::string(headers_.tenant), forward.tenant});
     return call;
   }
 
-  Task<ForwardReply> send(Forward& forward, Instant const deadline, std::uint64_t const life,
+  Task<ForwardReply> send(Forward& forward, Instant const deadline, std::uint64_t const incarnation,
                           SharedCancellation const cancellation) {
     // While it waited its keys may have moved, or its time have gone.
     Instant const begun = env_.now();
-    if (life != life_ || !instance_) co_return refuse(Refusal::no_backend, "backend ended", 100ms);
+    if (incarnation != incarnation_ || !instance_) co_return refuse(Refusal::no_backend, "backend ended", 100ms);
     bool const held = !forward.keyed || key_held(forward, begun);
     bool const drained = instance_->draining_since && begun - *instance_->draining_since > settings_.drain_end;
     if (is_cancelled(cancellation)) {
-      finished(life, forward.work_class, Duration::zero(), false);
+      finished(incarnation, forward.work_class, Duration::zero(), false);
       co_return cancelled_reply(Proof::not_run);
     }
     if (!held || drained || begun >= deadline) {
-      finished(life, forward.work_class, Duration::zero(), false);
+      finished(incarnation, forward.work_class, Duration::zero(), false);
       co_return refuse(held ? (drained ? Refusal::no_backend : Refusal::too_late) : Refusal::key_not_held,
                        "not sendable any more", 50ms);
     }
     std::shared_ptr<BackendCaller> const connections = instance_->connections;
-    std::string const instance = instance_->beat.id;
+    std::string const instance = instance_->last_beat.id;
     BackendCall call = call_of(forward, deadline);
     if (forward.repeatable) call.cancellation = cancellation;
     Result<HttpReply> got = co_await connections->call(std::move(call));
     Duration const took = env_.now() - begun;
     bool const good = got && got->status < 500 && got->status >= 200;
-    finished(life, forward.work_class, took, good);
-    bool const ended_by_us = !got && forward.repeatable && is_cancelled(cancellation);
-    if (ended_by_us) co_return cancelled_reply(got.error().proof);
-    if (life == life_ && instance_ && reached_backend(got)) instance_->failures.add(env_.now(), !good);
-    ForwardReply reply = got ? judge(std::move(*got), instance) : judge_failure(got.error(), instance);
+    finished(incarnation, forward.work_class, took, good);
+    bool const cancelled_here = !got && forward.repeatable && is_cancelled(cancellation);
+    if (cancelled_here) co_return cancelled_reply(got.error().proof);
+    if (incarnation == incarnation_ && instance_ && reached_backend(got)) instance_->failures.add(env_.now(), !good);
+    ForwardReply reply = got ? classify_reply(std::move(*got), instance) : classify_failure(got.error(), instance);
     co_return reply;
   }
 
@@ -391,35 +394,36 @@
     return got->status != 421 && !has_header(got->headers, headers_.not_executed);
   }
 
-  void finished(std::uint64_t const life, std::uint32_t const work_class, Duration const took, bool const measured) {
-    if (life != life_ || !instance_) return;
+  void finished(std::uint64_t const incarnation, std::uint32_t const work_class, Duration const took,
+                bool const measured) {
+    if (incarnation != incarnation_ || !instance_) return;
     instance_->queue.finished(env_.now(), work_class, took, measured);
-    carry_out();
+    apply_queue_decisions();
   }
 
-  ForwardReply judge(HttpReply http, std::string const& instance) {
+  ForwardReply classify_reply(HttpReply http, std::string const& instance) {
     bool const marked = has_header(http.headers, headers_.not_executed) || http.status == 421;
     if (marked) {
-      note_refusal(instance, http.status);
+      log_refusal(instance, http.status);
       return refuse(Refusal::by_backend, "backend did not run it", 50ms);
     }
     ForwardReply reply;
     reply.load = load();
     // Without the mark these promise nothing, though they read like a promise.
-    bool const like_promise = http.status == 503 || http.status == 429 || http.status == 408;
-    reply.outcome = like_promise ? Outcome::unknown : Outcome::answered;
-    if (like_promise) reply.reason = "backend failed with " + std::to_string(http.status);
+    bool const looks_like_refusal = http.status == 503 || http.status == 429 || http.status == 408;
+    reply.outcome = looks_like_refusal ? Outcome::unknown : Outcome::answered;
+    if (looks_like_refusal) reply.reason = "backend failed with " + std::to_string(http.status);
     reply.reply = std::move(http);
     return reply;
   }
 
   // A full backend may refuse hundreds a second: they are counted, and told once a second.
-  void note_refusal(std::string const& instance, std::uint16_t const status) {
+  void log_refusal(std::string const& instance, std::uint16_t const status) {
     ++refusals_;
-    if (env_.now() - refusals_told_ < 1s) return;
+    if (env_.now() - refusals_logged_at_ < 1s) return;
     log_info("backend_refused",
              {{"instance", instance}, {"status", std::to_string(status)}, {"so_far", std::to_string(refusals_)}});
-    refusals_told_ = env_.now();
+    refusals_logged_at_ = env_.now();
   }
 
   ForwardReply cancelled_reply(Proof const proof) const {
@@ -428,14 +432,14 @@
     return reply;
   }
 
-  ForwardReply judge_failure(Error const& error, std::string const& instance) {
+  ForwardReply classify_failure(Error const& error, std::string const& instance) {
     bool const nobody_listens = error.step == "connect" && error.reason == "refused";
-    if (nobody_listens && instance_ && instance_->beat.id == instance) {
+    if (nobody_listens && instance_ && instance_->last_beat.id == instance) {
       instance_->refused = true;
       instance_->queue.refuse_all();
-      carry_out();
+      apply_queue_decisions();
       log_info("backend_refuses", {{"instance", instance}});
-      events_.ended(instance_->beat.service, instance, "nobody listens at its port");
+      events_.ended(instance_->last_beat.service, instance, "nobody listens at its port");
       events_.record_changed();
     }
     if (error.proof == Proof::not_run) return refuse(Refusal::no_backend, error.step + ": " + error.reason, 100ms);
@@ -446,8 +450,8 @@
     return reply;
   }
 
-  static constexpr std::size_t most_awaiting_keys = 64;
-  static constexpr Duration grant_takes = 5ms;
+  static constexpr std::size_t max_awaiting_keys = 64;
+  static constexpr Duration grant_delivery_time = 5ms;
 
   Env& env_;
   LocalBackendSettings const settings_;
@@ -458,14 +462,14 @@
   std::optional<Instance> instance_;
   std::map<std::string, std::uint64_t> newest_sequences_;  // of each instance that ever beat here
   std::set<std::string> ended_;                            // instances that have signed off
-  std::string rival_;                                      // an instance that beat while another one was here
-  Instant rival_since_{};
+  std::string contender_;                                  // an instance that beat while another one was here
+  Instant contender_since_{};
   tsl::robin_map<std::uint64_t, std::shared_ptr<Waiter>> requests_;
   std::map<std::uint64_t, std::shared_ptr<Waiter>> awaiting_keys_;  // in the order of their coming
   std::uint64_t last_id_ = 0;
-  std::uint64_t life_ = 0;
+  std::uint64_t incarnation_ = 0;
   std::uint64_t refusals_ = 0;
-  Instant refusals_told_{};
+  Instant refusals_logged_at_{};
   std::uint32_t announced_running_ = 0;
   std::uint32_t announced_waiting_ = 0;
   Instant load_announced_{};
--- a/source/programs/caller_main.cpp
+++ b/source/programs/caller_main.cpp
@@ -42,7 +42,7 @@
   std::ofstream record(s.text("record"), std::ios::app);
   std::vector<std::string> const nodes = s.list("node");
   std::mt19937_64 chance(s.number("seed"));
-  HttpCaller<SocketEnvironment> caller(world);
+  HttpClient<SocketEnvironment> caller(world);
   std::uint64_t last = 0, open = 0;
   bool ended = false;
   Instant const start = world.now(), end = start + std::chrono::seconds(s.number("seconds"));
--- a/source/programs/fleet_main.cpp
+++ b/source/programs/fleet_main.cpp
@@ -186,7 +186,7 @@
  private:
   Process& process_;
   SocketEnvironment& world_;
-  HttpCaller<SocketEnvironment> caller_;
+  HttpClient<SocketEnvironment> caller_;
   std::string const bin_;
   fs::path const folder_;
 };
--- a/source/programs/proxy_main.cpp
+++ b/source/programs/proxy_main.cpp
@@ -48,7 +48,7 @@
              {{"step", bound.error().step}, {"peer", bound.error().peer}, {"reason", bound.error().reason}});
     return 1;
   }
-  using Edge = HttpCaller<SocketEnvironment>;
+  using Edge = HttpClient<SocketEnvironment>;
   Edge edge(world);
   ProxySettings settings{s.text("id"), s.text("cell"), *bound, s.flag("gateway"), s.list("seed")};
   settings.heartbeat_expiry = std::chrono::milliseconds(s.number("beat-expiry-ms"));
--- a/source/programs/registry_main.cpp
+++ b/source/programs/registry_main.cpp
@@ -48,11 +48,12 @@
   HttpListener operators(world.io(), s.text("operator"),
                          [&](HttpRequest q) { return registry.handle_operator_request(std::move(q)); });
   OperatorStreams<SocketEnvironment> streams(registry);
-  operators.on_lines_in("/changes", [&](HttpRequest q, LinesIn& in) { return streams.changes(std::move(q), in); });
-  operators.on_lines_out("/verdicts",
-                         [&](HttpRequest q, LinesOut& out) { return streams.verdicts(std::move(q), out); });
-  operators.on_lines_out("/decisions",
-                         [&](HttpRequest q, LinesOut& out) { return streams.decisions(std::move(q), out); });
+  operators.on_line_request("/changes",
+                            [&](HttpRequest q, LineReader& in) { return streams.changes(std::move(q), in); });
+  operators.on_line_response("/verdicts",
+                             [&](HttpRequest q, LineWriter& out) { return streams.verdicts(std::move(q), out); });
+  operators.on_line_response("/decisions",
+                             [&](HttpRequest q, LineWriter& out) { return streams.decisions(std::move(q), out); });
   process.run_on_thread([&]() {
     world.serve(dispatcher);
     registry.start(dispatcher);
--- a/source/programs/shell_main.cpp
+++ b/source/programs/shell_main.cpp
@@ -355,7 +355,7 @@
 
   Process& process_;
   SocketEnvironment& world_;
-  HttpCaller<SocketEnvironment> caller_;
+  HttpClient<SocketEnvironment> caller_;
   std::vector<Address> const registries_;
   Address answering_registry_;
   bool const json_;
--- a/source/transport/backend_connections.cpp
+++ b/source/transport/backend_connections.cpp
@@ -385,7 +385,7 @@
   }
   bool const whole_request_sent = written_ == sending_->head.size() + sending_->body.size();
   reusable_ = answer->keep_alive() && whole_request_sent;
-  rest_ = rest_time_of(answer->headers);
+  rest_ = usable_idle_time(answer->headers);
   HttpReply reply;
   reply.status = answer->status;
   reply.headers = std::move(answer->headers);
--- a/source/transport/http_codec.cpp
+++ b/source/transport/http_codec.cpp
@@ -13,10 +13,10 @@
 namespace http = boost::beast::http;
 
 constexpr std::size_t scratch_bytes = 32u << 10;
-constexpr Duration rest_default = 8s;   // without a `Keep-Alive: timeout`
-constexpr Duration rest_margin = 1s;    // below the peer's own time
-constexpr Duration rest_least = 200ms;  // when that leaves nothing
-constexpr std::size_t rest_seconds_limit = 86400;
+constexpr Duration default_idle_time = 8s;  // without a `Keep-Alive: timeout`
+constexpr Duration idle_time_margin = 1s;   // below the peer's own time
+constexpr Duration min_idle_time = 200ms;   // when that leaves nothing
+constexpr std::size_t max_idle_seconds = 86400;
 constexpr std::size_t body_reserve_limit = 1u << 20;  // more is only reserved as it arrives
 
 char lower(char const c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
@@ -36,7 +36,7 @@
 
 // Calls `visit` with each non-empty member of a comma-separated list.
 template <class Visit>
-void each_token(std::string_view list, Visit visit) {
+void for_each_token(std::string_view list, Visit visit) {
   while (!list.empty()) {
     std::size_t const comma = list.find(',');
     std::string_view const token = trim(list.substr(0, comma));
@@ -92,7 +92,7 @@
   bool found = false;
   for (Header const& header : headers)
     if (same_name(header.name, name))
-      each_token(header.value, [&](std::string_view const t) { found = found || same_name(t, token); });
+      for_each_token(header.value, [&](std::string_view const t) { found = found || same_name(t, token); });
   return found;
 }
 
@@ -102,27 +102,28 @@
 }
 
 void remove_hop_by_hop(std::vector<Header>& headers) {
-  std::vector<std::string> named;
+  std::vector<std::string> connection_tokens;
   for (Header const& header : headers)
     if (same_name(header.name, "connection"))
-      each_token(header.value, [&](std::string_view const token) { named.emplace_back(token); });
+      for_each_token(header.value, [&](std::string_view const token) { connection_tokens.emplace_back(token); });
   std::erase_if(headers, [&](Header const& header) {
     if (is_hop_by_hop(header.name)) return true;
-    return std::any_of(named.begin(), named.end(), [&](std::string const& n) { return same_name(n, header.name); });
+    return std::any_of(connection_tokens.begin(), connection_tokens.end(),
+                       [&](std::string const& n) { return same_name(n, header.name); });
   });
 }
 
-Duration rest_time_of(std::vector<Header> const& headers) {
+Duration usable_idle_time(std::vector<Header> const& headers) {
   std::string const* const value = find_header(headers, "keep-alive");
-  if (!value) return rest_default;
+  if (!value) return default_idle_time;
   constexpr std::string_view key = "timeout=";
   std::size_t const at = value->find(key);
-  if (at == std::string::npos) return rest_default;
+  if (at == std::string::npos) return default_idle_time;
   std::size_t seconds = 0;
   char const* const end = value->data() + value->size();
-  if (std::from_chars(value->data() + at + key.size(), end, seconds).ec != std::errc()) return rest_default;
-  if (seconds <= 1) return rest_least;
-  return std::chrono::seconds(std::min(seconds, rest_seconds_limit)) - rest_margin;
+  if (std::from_chars(value->data() + at + key.size(), end, seconds).ec != std::errc()) return default_idle_time;
+  if (seconds <= 1) return min_idle_time;
+  return std::chrono::seconds(std::min(seconds, max_idle_seconds)) - idle_time_margin;
 }
 
 void append_header(std::string& head, std::string_view const name, std::string_view const value) {
@@ -154,13 +155,13 @@
   std::size_t used = 0;
   error = {};
   while (!this->is_done() && used < bytes.size()) {
-    bool const had_header = header_whole_;
+    bool const had_header = header_complete_;
     used += this->put(asio::const_buffer(bytes.data() + used, bytes.size() - used), error);
     if (error == http::error::need_more) {
       error = {};
       return used;
     }
-    if (error || (stop_at_header && !had_header && header_whole_)) return used;
+    if (error || (stop_at_header && !had_header && header_complete_)) return used;
   }
   return used;
 }
@@ -194,7 +195,7 @@
 template <bool is_request>
 void MessageParser<is_request>::on_field_impl(Field const field, View const name, View const value, ErrorCode& error) {
   count_header_bytes(name.size() + value.size() + std::string_view(": \r\n").size(), error);
-  if (error || header_whole_) return;
+  if (error || header_complete_) return;
   // Another coding than chunked, or one on top of it, would leave the end of the message open to
   // interpretation.
   std::string_view const text(value.data(), value.size());
@@ -209,7 +210,7 @@
 
 template <bool is_request>
 void MessageParser<is_request>::on_header_impl(ErrorCode&) {
-  header_whole_ = true;
+  header_complete_ = true;
 }
 
 template <bool is_request>
--- a/source/transport/http_codec.hpp
+++ b/source/transport/http_codec.hpp
@@ -48,7 +48,7 @@
 
 /// How long a connection may rest after an answer with these headers and still be
 /// used again: a second less than its `Keep-Alive: timeout`.
-Duration rest_time_of(std::vector<Header> const& headers);
+Duration usable_idle_time(std::vector<Header> const& headers);
 
 /// Appends `name: value CRLF`.
 void append_header(std::string& head, std::string_view name, std::string_view value);
@@ -94,7 +94,7 @@
 
   std::size_t header_bytes_left_;
   int version_ = 11;
-  bool header_whole_ = false;
+  bool header_complete_ = false;
 };
 
 extern template class MessageParser<true>;
--- a/source/transport/http_edge.hpp
+++ b/source/transport/http_edge.hpp
@@ -25,13 +25,14 @@
 Task<T> await_task(pplx::task<T> t) {
   co_await asio::async_initiate<asio::use_awaitable_t<> const, void()>(
       [](auto handler, pplx::task<T> inner) {
-        auto kept = std::make_shared<decltype(handler)>(std::move(handler));
-        inner.then([kept](pplx::task<T> const done) {
+        auto shared_handler = std::make_shared<decltype(handler)>(std::move(handler));
+        inner.then([shared_handler](pplx::task<T> const done) {
           try {
             done.wait();
           } catch (...) {
           }
-          asio::post(crossplat::threadpool::shared_instance().service(), [kept]() { std::move (*kept)(); });
+          asio::post(crossplat::threadpool::shared_instance().service(),
+                     [shared_handler]() { std::move (*shared_handler)(); });
         });
       },
       asio::use_awaitable, t);
@@ -40,7 +41,7 @@
 
 // Whether the library sends this target as it stands. It reads a leading "//" as
 // a host, for one, and would then call another path.
-inline bool carries(std::string const& target) {
+inline bool is_sent_unchanged(std::string const& target) {
   try {
     return web::uri_builder(web::uri("http://127.0.0.1:1")).append(web::uri(target)).to_uri().resource().to_string() ==
            target;
@@ -52,118 +53,122 @@
 // The library joins repeated headers with ", ", which Set-Cookie alone doesn't
 // bear: its cookies are told apart again by what may follow a comma, a name and
 // "=". A quoted value could hide one: such an answer isn't passed off as whole.
-inline std::optional<std::vector<std::string>> cookies_of(std::string const& joined) {
-  if (joined.find('"') != std::string::npos && joined.find(',') != std::string::npos) return std::nullopt;
+inline std::optional<std::vector<std::string>> split_cookies(std::string const& joined_cookies) {
+  if (joined_cookies.find('"') != std::string::npos && joined_cookies.find(',') != std::string::npos)
+    return std::nullopt;
   std::vector<std::string> out;
   std::size_t from = 0;
-  for (std::size_t comma = joined.find(", "); comma != std::string::npos; comma = joined.find(", ", comma + 2)) {
-    std::size_t const end = joined.find_first_of("=;, ", comma + 2);
-    if (end == std::string::npos || joined[end] != '=' || end == comma + 2) continue;
-    out.push_back(joined.substr(from, comma - from));
+  for (std::size_t comma = joined_cookies.find(", "); comma != std::string::npos;
+       comma = joined_cookies.find(", ", comma + 2)) {
+    std::size_t const end = joined_cookies.find_first_of("=;, ", comma + 2);
+    if (end == std::string::npos || joined_cookies[end] != '=' || end == comma + 2) continue;
+    out.push_back(joined_cookies.substr(from, comma - from));
     from = comma + 2;
   }
-  out.push_back(joined.substr(from));
+  out.push_back(joined_cookies.substr(from));
   return out;
 }
 
 inline bool is_cookie(std::string const& name) {
-  std::string const want = "set-cookie";
-  return name.size() == want.size() && std::equal(name.begin(), name.end(), want.begin(), [](char a, char b) {
+  std::string const expected = "set-cookie";
+  return name.size() == expected.size() && std::equal(name.start(), name.end(), expected.start(), [](char a, char b) {
            return std::tolower(static_cast<unsigned char>(a)) == b;
          });
 }
 
 // The lines of a request's body while it arrives. A sender that is faster than
 // what is done with its lines is cut off before it fills the memory.
-class LinesIn {
+class LineReader {
  public:
   static constexpr std::size_t line_limit = 1u << 20, backlog = 8u << 20;
-  explicit LinesIn(web::http::http_request const& q) : in_(q.body().streambuf()) {}
+  explicit LineReader(web::http::http_request const& q) : in_(q.body().streambuf()) {}
 
   Task<std::optional<std::string>> next() {
     while (true) {
-      std::size_t const end = held_.find('\n');
+      std::size_t const end = unread_.find('\n');
       if (end != std::string::npos) {
-        std::string line = held_.substr(0, end);
-        held_.erase(0, end + 1);
+        std::string line = unread_.substr(0, end);
+        unread_.erase(0, end + 1);
         co_return line;
       }
-      if (over_ || held_.size() > line_limit) {
-        over_ = true;
-        if (held_.empty()) co_return std::nullopt;
-        co_return std::exchange(held_, "");
+      if (ended_ || unread_.size() > line_limit) {
+        ended_ = true;
+        if (unread_.empty()) co_return std::nullopt;
+        co_return std::exchange(unread_, "");
       }
       try {
         int const first = co_await await_task(in_.getc());
         std::size_t const n = in_.in_avail();
-        over_ = first < 0 || n == 0 || n > backlog;
-        if (over_) continue;
+        ended_ = first < 0 || n == 0 || n > backlog;
+        if (ended_) continue;
         std::vector<unsigned char> raw(std::min<std::size_t>(n, 64u << 10));
         std::size_t const got = co_await await_task(in_.getn(raw.data(), raw.size()));
-        held_.append(raw.begin(), raw.begin() + static_cast<std::ptrdiff_t>(got));
+        unread_.append(raw.start(), raw.start() + static_cast<std::ptrdiff_t>(got));
       } catch (std::exception const& e) {
         log_warn("caller_gone", {{"step", "read_lines"}, {"reason", e.what()}});
-        held_.clear();
-        over_ = true;
+        unread_.clear();
+        ended_ = true;
       }
     }
   }
 
  private:
   concurrency::streams::streambuf<unsigned char> in_;
-  std::string held_;
-  bool over_ = false;
+  std::string unread_;
+  bool ended_ = false;
 };
 
 // Lines of a reply while they are made. The reply begins with the first line.
-class LinesOut {
+class LineWriter {
  public:
   static constexpr std::size_t backlog = 256u << 10;
-  explicit LinesOut(web::http::http_request q) : q_(std::move(q)), over_(std::make_shared<bool>(false)) {}
+  explicit LineWriter(web::http::http_request q) : q_(std::move(q)), ended_(std::make_shared<bool>(false)) {}
 
-  bool begun() const { return begun_; }
-  bool full() const { return begun_ && !*over_ && buffer_.in_avail() > backlog; }
+  bool has_started() const { return started_; }
+  bool full() const { return started_ && !*ended_ && buffer_.in_avail() > backlog; }
   bool write(std::string line) {
-    if (!begun_) begin();
-    if (*over_) return false;
+    if (!started_) start();
+    if (*ended_) return false;
     line += '\n';
     buffer_.putn_nocopy(reinterpret_cast<unsigned char const*>(line.data()), line.size());
     buffer_.sync();
     return true;
   }
   void end() {
-    if (begun_) buffer_.close(std::ios_base::out);
+    if (started_) buffer_.close(std::ios_base::out);
   }
 
  private:
-  void begin() {
-    begun_ = true;
+  void start() {
+    started_ = true;
     web::http::http_response r(200);
     r.set_body(buffer_.create_istream(), "application/x-ndjson");
-    q_.reply(r).then([over = over_](pplx::task<void> done) {
+    q_.reply(r).then([ended = ended_](pplx::task<void> done) {
       try {
         done.get();
       } catch (std::exception const& e) {
         log_info("reader_gone", {{"reason", e.what()}});
       }
-      *over = true;
+      *ended = true;
     });
   }
   web::http::http_request q_;
   concurrency::streams::producer_consumer_buffer<unsigned char> buffer_;
-  std::shared_ptr<bool> over_;
-  bool begun_ = false;
+  std::shared_ptr<bool> ended_;
+  bool started_ = false;
 };
 
 class HttpListener {
  public:
   using Handler = std::function<Task<HttpReply>(HttpRequest)>;
-  using LinesInHandler = std::function<Task<HttpReply>(HttpRequest, LinesIn&)>;
-  using LinesOutHandler = std::function<Task<std::optional<HttpReply>>(HttpRequest, LinesOut&)>;
+  using LineRequestHandler = std::function<Task<HttpReply>(HttpRequest, LineReader&)>;
+  using LineResponseHandler = std::function<Task<std::optional<HttpReply>>(HttpRequest, LineWriter&)>;
 
   // Paths whose request body, or whose reply, is a stream of lines.
-  void on_lines_in(std::string const& path, LinesInHandler h) { lines_in_[path] = std::move(h); }
-  void on_lines_out(std::string const& path, LinesOutHandler h) { lines_out_[path] = std::move(h); }
+  void on_line_request(std::string const& path, LineRequestHandler h) { line_request_handlers_[path] = std::move(h); }
+  void on_line_response(std::string const& path, LineResponseHandler h) {
+    line_response_handlers_[path] = std::move(h);
+  }
 
   // `address` is ip:port with the port given.
   HttpListener(asio::io_context& io, Address const& address, Handler handler)
@@ -203,16 +208,16 @@
     for (auto const& [name, value] : q.headers()) request.headers.push_back({name, value});
     HttpReply reply;
     std::string const path = request.target.substr(0, request.target.find('?'));
-    if (request.method == "GET" && lines_out_.contains(path)) {
-      LinesOut out(q);
-      std::optional<HttpReply> const no = co_await lines_out_[path](std::move(request), out);
+    if (request.method == "GET" && line_response_handlers_.contains(path)) {
+      LineWriter out(q);
+      std::optional<HttpReply> const rejection = co_await line_response_handlers_[path](std::move(request), out);
       out.end();
-      if (out.begun()) co_return;
-      reply = no ? *no : HttpReply{503, {{"Retry-After", "1"}}, ""};
-    } else if (request.method == "POST" && lines_in_.contains(path)) {
-      LinesIn in(q);
-      reply = co_await lines_in_[path](std::move(request), in);
-    } else if (!carries(request.target)) {
+      if (out.has_started()) co_return;
+      reply = rejection ? *rejection : HttpReply{503, {{"Retry-After", "1"}}, ""};
+    } else if (request.method == "POST" && line_request_handlers_.contains(path)) {
+      LineReader in(q);
+      reply = co_await line_request_handlers_[path](std::move(request), in);
+    } else if (!is_sent_unchanged(request.target)) {
       reply.status = 400;
       reply.headers = {{"banktide-outcome", "not-run"}, {"Connection", "close"}};
       reply.body = "this target can't be carried as it stands\n";
@@ -221,7 +226,7 @@
       reply.headers = {{"banktide-outcome", "not-run"}, {"Connection", "close"}};
     } else {
       std::vector<unsigned char> const body = co_await await_task(q.extract_vector());
-      request.body.assign(body.begin(), body.end());
+      request.body.assign(body.start(), body.end());
       if (body.size() > body_limit) {
         reply.status = 413;
         reply.headers = {{"banktide-outcome", "not-run"}};
@@ -230,7 +235,7 @@
       }
     }
     web::http::http_response out(reply.status);
-    out.set_body(std::vector<unsigned char>(reply.body.begin(), reply.body.end()));
+    out.set_body(std::vector<unsigned char>(reply.body.start(), reply.body.end()));
     out.headers().remove("Content-Type");
     // The library writes values as they are, one line a name: the cookies after
     // the first bring their own lines along.
@@ -247,17 +252,17 @@
 
   asio::io_context& io_;
   Handler handler_;
-  std::map<std::string, LinesInHandler> lines_in_;
-  std::map<std::string, LinesOutHandler> lines_out_;
+  std::map<std::string, LineRequestHandler> line_request_handlers_;
+  std::map<std::string, LineResponseHandler> line_response_handlers_;
   web::http::experimental::listener::http_listener listener_;
 };
 
 // One call on one fresh connection. Only a failure to connect is proof that
 // nothing was sent.
 template <Clock Env>
-class HttpCaller {
+class HttpClient {
  public:
-  explicit HttpCaller(Env& env, std::string host = "127.0.0.1") : env_(env), host_(std::move(host)) {}
+  explicit HttpClient(Env& env, std::string host = "127.0.0.1") : env_(env), host_(std::move(host)) {}
 
   Task<Result<HttpReply>> run(std::uint16_t const port, HttpRequest q, Instant const deadline) {
     return run_at(host_ + ":" + std::to_string(port), std::move(q), deadline);
@@ -276,18 +281,19 @@
   }
 
   Task<Result<HttpReply>> run_at(Address const peer, HttpRequest q, Instant const deadline) {
-    Duration const left = deadline - env_.now();
-    if (left <= 1ms) co_return make_error("connect", peer, "deadline", Proof::not_run);
+    Duration const remaining = deadline - env_.now();
+    if (remaining <= 1ms) co_return make_error("connect", peer, "deadline", Proof::not_run);
     web::http::client::http_client_config config;
-    config.set_timeout(std::chrono::duration_cast<std::chrono::milliseconds>(left) + 1ms);
+    config.set_timeout(std::chrono::duration_cast<std::chrono::milliseconds>(remaining) + 1ms);
     config.set_max_redirects(0);
     web::http::http_request request(q.method);
     for (Header const& h : q.headers) request.headers().add(h.name, h.value);
     request.headers().remove("Connection");
-    if (!carries(q.target)) co_return make_error("target", peer, "can't be carried as it stands", Proof::not_run);
+    if (!is_sent_unchanged(q.target))
+      co_return make_error("target", peer, "can't be carried as it stands", Proof::not_run);
     if (!q.body.empty()) {
       std::string const type = request.headers().content_type();
-      request.set_body(std::vector<unsigned char>(q.body.begin(), q.body.end()));
+      request.set_body(std::vector<unsigned char>(q.body.start(), q.body.end()));
       if (type.empty())
         request.headers().remove("Content-Type");
       else
@@ -334,24 +340,24 @@
         length = value;
       else if (n == "transfer-encoding")
         coding = value;
-      std::optional<std::vector<std::string>> const several =
-          n == "set-cookie" ? cookies_of(value) : std::vector<std::string>{value};
-      if (!several) co_return make_error("read_reply", peer, "cookies that can't be told apart");
-      for (std::string const& one : *several) reply.headers.push_back({name, one});
+      std::optional<std::vector<std::string>> const cookies_or_value =
+          n == "set-cookie" ? split_cookies(value) : std::vector<std::string>{value};
+      if (!cookies_or_value) co_return make_error("read_reply", peer, "cookies that can't be told apart");
+      for (std::string const& one : *cookies_or_value) reply.headers.push_back({name, one});
     }
     bool const bodyless = method == "HEAD" || reply.status == 204 || reply.status == 304;
-    bool const counted =
+    bool const has_length =
         !length.empty() && length.size() < 10 && length.find_first_not_of("0123456789") == std::string::npos;
-    if (!bodyless && !(counted && coding.empty()) && !(coding == "chunked" && length.empty()))
+    if (!bodyless && !(has_length && coding.empty()) && !(coding == "chunked" && length.empty()))
       co_return make_error("read_reply", peer, "neither one length nor chunks");
-    if (counted && !bodyless && std::stoul(length) > body_limit)
+    if (has_length && !bodyless && std::stoul(length) > body_limit)
       co_return make_error("read_reply", peer, "body over the limit");
     if (bodyless) co_return reply;
     std::vector<unsigned char> const body = co_await await_task(r.extract_vector());
-    if (counted && body.size() != std::stoul(length))
+    if (has_length && body.size() != std::stoul(length))
       co_return make_error("read_reply", peer, "body differs from its length");
     if (body.size() > body_limit) co_return make_error("read_reply", peer, "body over the limit");
-    reply.body.assign(body.begin(), body.end());
+    reply.body.assign(body.start(), body.end());
     co_return reply;
   }
 
--- a/source/transport/http_server.cpp
+++ b/source/transport/http_server.cpp
@@ -25,14 +25,14 @@
 namespace http = boost::beast::http;
 
 constexpr Duration sweep_interval = 250ms;
-constexpr Duration accept_pause = 50ms;
+constexpr Duration accept_retry_delay = 50ms;
 constexpr Duration linger_time = 1s;
 constexpr int accept_backlog = 1024;
 constexpr std::size_t pipeline_depth = 16;
-constexpr std::size_t reads_per_event = 8;        // then other connections get their turn
-constexpr std::size_t refused_connections = 256;  // beyond the limit, kept long enough to be told 503
-constexpr std::size_t pending_slack = 64u << 10;  // unparsed bytes beyond a header's limit
-constexpr std::size_t gather_time_limit = 16;     // buffers in one write
+constexpr std::size_t reads_per_event = 8;         // then other connections get their turn
+constexpr std::size_t rejected_connections = 256;  // beyond the limit, kept long enough to be told 503
+constexpr std::size_t pending_slack = 64u << 10;   // unparsed bytes beyond a header's limit
+constexpr std::size_t max_write_buffers = 16;      // buffers in one write
 constexpr std::string_view retry_after_seconds = "0.2";
 
 bool would_block(ErrorCode const& error) {
@@ -46,19 +46,21 @@
 }
 
 // Bytes counted against the server's total for as long as this lives.
-class HeldBytes {
+class ByteReservation {
  public:
-  HeldBytes() = default;
-  HeldBytes(std::shared_ptr<std::size_t> total, std::size_t const bytes) : total_(std::move(total)), bytes_(bytes) {
+  ByteReservation() = default;
+  ByteReservation(std::shared_ptr<std::size_t> total, std::size_t const bytes)
+      : total_(std::move(total)), bytes_(bytes) {
     *total_ += bytes_;
   }
-  HeldBytes(HeldBytes&& other) noexcept : total_(std::move(other.total_)), bytes_(std::exchange(other.bytes_, 0)) {}
-  HeldBytes& operator=(HeldBytes&& other) noexcept {
+  ByteReservation(ByteReservation&& other) noexcept
+      : total_(std::move(other.total_)), bytes_(std::exchange(other.bytes_, 0)) {}
+  ByteReservation& operator=(ByteReservation&& other) noexcept {
     std::swap(total_, other.total_);
     std::swap(bytes_, other.bytes_);
     return *this;
   }
-  ~HeldBytes() {
+  ~ByteReservation() {
     if (total_) *total_ -= bytes_;
   }
   void set(std::size_t const bytes) {
@@ -74,7 +76,7 @@
 // One request's place in the order of answers.
 struct AnswerSlot : HttpExchange {
   std::optional<HttpReply> reply;
-  HeldBytes held;
+  ByteReservation held;
   bool keep_alive = true;
   bool http_1_0 = false;
   bool is_head = false;
@@ -84,7 +86,7 @@
 struct Outgoing {
   std::string head;
   std::string body;
-  HeldBytes held;
+  ByteReservation held;
 };
 
 }  // namespace
@@ -99,10 +101,10 @@
 
   std::size_t connections() const { return idle.size() + busy.size(); }
   void accept_next();
-  void accept_after_pause();
-  void take_in(tcp::socket socket);
+  void accept_after_delay();
+  void add_connection(tcp::socket socket);
   bool close_oldest_idle();
-  void sweep_later();
+  void schedule_sweep();
   void sweep();
   void stop();
 
@@ -128,7 +130,7 @@
 
   void start(HttpConnections::iterator place);
   bool is_overdue(Instant now) const;
-  void act_on_overdue(Instant now);
+  void handle_overdue(Instant now);
   bool is_idle_since(Instant before) const { return idle_since_ <= before; }
   bool has_unread_bytes() const;
   void advance();
@@ -139,16 +141,16 @@
   void on_readable(ErrorCode const& error);
   void on_hang_up(ClientState state);
   bool read_once(Instant now);
-  void take_bytes(std::string_view bytes);
+  void consume_bytes(std::string_view bytes);
 
-  bool may_begin_request() const;
-  bool may_parse() const { return !closing_ && (parser_ || may_begin_request()); }
+  bool may_start_request() const;
+  bool may_parse() const { return !closing_ && (parser_ || may_start_request()); }
   bool parse_pending();
   std::size_t parse(std::string_view bytes);
-  bool accept_header(bool body_has_begun);
-  bool account_body();
+  bool accept_header(bool body_has_started);
+  bool count_body();
   void dispatch();
-  void refuse(std::uint16_t status);
+  void reject(std::uint16_t status);
   void finish(std::shared_ptr<AnswerSlot> const& slot, HttpReply reply);
 
   bool queue_next_reply();
@@ -157,21 +159,21 @@
   void write();
   bool write_once();
   void linger();
-  void settle();
+  void update_idle_state();
 
   std::shared_ptr<HttpServerCore> core_;
   tcp::socket socket_;
-  HttpConnections::iterator place_;
+  HttpConnections::iterator list_position_;
   boost::beast::flat_buffer pending_;  // read but not parsed
   std::unique_ptr<RequestParser> parser_;
-  HeldBytes body_held_;
+  ByteReservation body_reservation_;
   std::vector<std::shared_ptr<AnswerSlot>> slots_;
   std::vector<Outgoing> unsent_;
   std::size_t written_ = 0;  // of the first unsent answer
   Instant last_read_{};
   Instant last_write_{};
-  Instant request_began_{};
-  Instant header_since_{};
+  Instant request_started_at_{};
+  Instant header_started_at_{};
   Instant idle_since_{};
   Instant linger_until_{};
   bool over_limit_ = false;
@@ -190,7 +192,7 @@
 // ---- connection: reading
 
 void HttpConnection::start(HttpConnections::iterator const place) {
-  place_ = place;
+  list_position_ = place;
   idle_since_ = last_read_ = last_write_ = std::chrono::steady_clock::now();
   wait_for_client();
 }
@@ -201,8 +203,8 @@
 }
 
 void HttpConnection::wait_for_client() {
-  bool const room = may_parse() || closing_ || pending_.size() < core_->limits.header_bytes;
-  if (!peer_finished_ && room) {
+  bool const has_capacity = may_parse() || closing_ || pending_.size() < core_->limits.header_bytes;
+  if (!peer_finished_ && has_capacity) {
     if (waits_to_read_) return;
     waits_to_read_ = true;
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](ErrorCode const& error) {
@@ -238,26 +240,26 @@
     return false;
   }
   last_read_ = now;
-  take_bytes(std::string_view(scratch.data(), bytes));
+  consume_bytes(std::string_view(scratch.data(), bytes));
   return bytes == scratch.size() && (may_parse() || closing_);
 }
 
-void HttpConnection::take_bytes(std::string_view bytes) {
+void HttpConnection::consume_bytes(std::string_view bytes) {
   if (closing_) return;
   if (pending_.size() == 0) bytes.remove_prefix(parse(bytes));
   if (bytes.empty() || closing_) return;
-  asio::mutable_buffer const room = pending_.prepare(bytes.size());
-  std::memcpy(room.data(), bytes.data(), bytes.size());
+  asio::mutable_buffer const has_capacity = pending_.prepare(bytes.size());
+  std::memcpy(has_capacity.data(), bytes.data(), bytes.size());
   pending_.commit(bytes.size());
   parse_pending();
 }
 
 void HttpConnection::on_hang_up(ClientState const state) {
   if (state == ClientState::finished_sending) peer_finished_ = true;
-  std::vector<std::shared_ptr<AnswerSlot>> const waiting = slots_;
-  bool const over = state == ClientState::gone || (lingering_ && peer_finished_);
-  if (over) close();
-  for (std::shared_ptr<AnswerSlot> const& slot : waiting) {
+  std::vector<std::shared_ptr<AnswerSlot>> const unanswered = slots_;
+  bool const ended = state == ClientState::gone || (lingering_ && peer_finished_);
+  if (ended) close();
+  for (std::shared_ptr<AnswerSlot> const& slot : unanswered) {
     if (slot->reply) continue;
     slot->client = state;
     if (slot->on_hang_up) slot->on_hang_up(state);
@@ -266,7 +268,7 @@
 
 // ---- connection: parsing
 
-bool HttpConnection::may_begin_request() const { return slots_.size() + unsent_.size() < pipeline_depth; }
+bool HttpConnection::may_start_request() const { return slots_.size() + unsent_.size() < pipeline_depth; }
 
 // Whether that moved anything.
 bool HttpConnection::parse_pending() {
@@ -275,7 +277,7 @@
   std::size_t const used = parse(std::string_view(static_cast<char const*>(bytes.data()), bytes.size()));
   pending_.consume(used);
   bool const too_long = may_parse() && pending_.size() > core_->limits.header_bytes + pending_slack;
-  if (too_long) refuse(400);
+  if (too_long) reject(400);
   return used > 0 || too_long;
 }
 
@@ -291,20 +293,20 @@
         continue;
       }
       parser_ = std::make_unique<RequestParser>(core_->limits.header_bytes, core_->limits.body_bytes);
-      body_held_ = HeldBytes(core_->held, 0);
-      request_began_ = last_read_;
-      header_since_ = std::chrono::steady_clock::now();
+      body_reservation_ = ByteReservation(core_->held, 0);
+      request_started_at_ = last_read_;
+      header_started_at_ = std::chrono::steady_clock::now();
     }
     bool const had_header = parser_->is_header_done();
     ErrorCode error;
     used += parser_->parse(rest, error, !had_header);
     if (error) {
-      refuse(status_of(error));
+      reject(status_of(error));
       return bytes.size();
     }
     if (!parser_->is_header_done()) break;
     if (!had_header && !accept_header(used < bytes.size())) return bytes.size();
-    if (!account_body()) return bytes.size();
+    if (!count_body()) return bytes.size();
     if (parser_->is_done())
       dispatch();
     else if (had_header)
@@ -314,38 +316,38 @@
 }
 
 // Whether the request may go on; if not, it has been refused.
-bool HttpConnection::accept_header(bool const body_has_begun) {
-  std::size_t const hosts = std::count_if(parser_->headers.begin(), parser_->headers.end(),
-                                          [](Header const& header) { return same_name(header.name, "host"); });
+bool HttpConnection::accept_header(bool const body_has_started) {
+  std::size_t const host_count = std::count_if(parser_->headers.begin(), parser_->headers.end(),
+                                               [](Header const& header) { return same_name(header.name, "host"); });
   std::size_t const declared = parser_->content_length().value_or(0);
-  if (hosts > 1) {
-    refuse(400);
+  if (host_count > 1) {
+    reject(400);
     return false;
   }
   bool const too_many_connections = over_limit_ && core_->connections() > core_->limits.connections;
   if (too_many_connections || *core_->held + declared > core_->limits.buffered_bytes) {
-    refuse(503);
+    reject(503);
     return false;
   }
-  bool const waits = !parser_->is_done() && !body_has_begun && !parser_->is_http_1_0();
-  continue_due_ = waits && header_has_token(parser_->headers, "expect", "100-continue");
+  bool const awaits_body = !parser_->is_done() && !body_has_started && !parser_->is_http_1_0();
+  continue_due_ = awaits_body && header_has_token(parser_->headers, "expect", "100-continue");
   return true;
 }
 
-bool HttpConnection::account_body() {
-  body_held_.set(parser_->body.size());
+bool HttpConnection::count_body() {
+  body_reservation_.set(parser_->body.size());
   if (*core_->held <= core_->limits.buffered_bytes) return true;
-  refuse(503);
+  reject(503);
   return false;
 }
 
 void HttpConnection::dispatch() {
   std::shared_ptr<AnswerSlot> const slot = std::make_shared<AnswerSlot>();
-  slot->arrival = request_began_;
+  slot->arrival = request_started_at_;
   slot->keep_alive = parser_->keep_alive();
   slot->http_1_0 = parser_->is_http_1_0();
   slot->is_head = parser_->method == "HEAD";
-  slot->held = std::move(body_held_);
+  slot->held = std::move(body_reservation_);
   HttpRequest request;
   request.method = std::move(parser_->method);
   request.target = std::move(parser_->target);
@@ -369,7 +371,7 @@
 }
 
 // An answer of our own to a request that isn't taken; it closes the connection.
-void HttpConnection::refuse(std::uint16_t const status) {
+void HttpConnection::reject(std::uint16_t const status) {
   std::shared_ptr<AnswerSlot> const slot = std::make_shared<AnswerSlot>();
   slot->keep_alive = false;
   slot->is_head = parser_ && parser_->method == "HEAD";
@@ -378,7 +380,7 @@
   if (status == 503) slot->reply->headers.push_back(Header{"Retry-After", std::string(retry_after_seconds)});
   slots_.push_back(slot);
   parser_.reset();
-  body_held_ = HeldBytes();
+  body_reservation_ = ByteReservation();
   continue_due_ = false;
   closing_ = true;
 }
@@ -388,14 +390,14 @@
 void HttpConnection::finish(std::shared_ptr<AnswerSlot> const& slot, HttpReply reply) {
   slot->on_hang_up = nullptr;
   if (closed_) {
-    slot->held = HeldBytes();
+    slot->held = ByteReservation();
     return;
   }
   if (reply.status < 200 || reply.status > 999) {  // not a final answer: the handler's mistake
     reply = HttpReply();
     reply.status = 500;
   }
-  slot->held = HeldBytes(core_->held, reply.body.size());
+  slot->held = ByteReservation(core_->held, reply.body.size());
   slot->reply = std::move(reply);
   advance();
 }
@@ -415,7 +417,7 @@
     return;
   }
   wait_for_client();
-  settle();
+  update_idle_state();
 }
 
 // Whether there was one. Only the last answer due may close the connection.
@@ -423,8 +425,9 @@
   if (close_after_write_ || slots_.empty() || !slots_.front()->reply) return false;
   std::shared_ptr<AnswerSlot> const slot = slots_.front();
   slots_.erase(slots_.begin());
-  bool const nothing_begun = slots_.empty() && pending_.size() == 0 && !parser_;
-  bool const closes = !slot->keep_alive || (nothing_begun && core_->draining) || (slots_.empty() && peer_finished_);
+  bool const no_request_started = slots_.empty() && pending_.size() == 0 && !parser_;
+  bool const closes =
+      !slot->keep_alive || (no_request_started && core_->draining) || (slots_.empty() && peer_finished_);
   Outgoing outgoing;
   outgoing.head = head_of(*slot, closes);
   std::uint16_t const status = slot->reply->status;
@@ -435,7 +438,7 @@
   if (closes) {
     closing_ = close_after_write_ = true;
     parser_.reset();
-    body_held_ = HeldBytes();
+    body_reservation_ = ByteReservation();
   }
   return true;
 }
@@ -475,10 +478,10 @@
 
 // Whether something was written and more may follow at once.
 bool HttpConnection::write_once() {
-  std::array<asio::const_buffer, gather_time_limit> buffers;
+  std::array<asio::const_buffer, max_write_buffers> buffers;
   std::size_t count = 0;
   for (Outgoing const& outgoing : unsent_) {
-    if (count + 2 > gather_time_limit) break;
+    if (count + 2 > max_write_buffers) break;
     buffers[count++] = asio::buffer(outgoing.head);
     buffers[count++] = asio::buffer(outgoing.body);
   }
@@ -525,7 +528,7 @@
   linger_until_ = std::chrono::steady_clock::now() + linger_time;
 }
 
-void HttpConnection::settle() {
+void HttpConnection::update_idle_state() {
   bool const idle = !parser_ && slots_.empty() && unsent_.empty() && !closing_;
   if (idle) {
     idle_since_ = std::max(last_read_, last_write_);
@@ -536,7 +539,7 @@
   is_idle_ = idle;
   HttpConnections& from = idle ? core_->busy : core_->idle;
   HttpConnections& to = idle ? core_->idle : core_->busy;
-  to.splice(to.end(), from, place_);
+  to.splice(to.end(), from, list_position_);
 }
 
 void HttpConnection::close() {
@@ -545,12 +548,12 @@
   ErrorCode error;
   socket_.close(error);
   parser_.reset();
-  body_held_ = HeldBytes();
+  body_reservation_ = ByteReservation();
   slots_.clear();
   unsent_.clear();
   pending_.clear();
-  std::shared_ptr<HttpConnection> const self = *place_;
-  (is_idle_ ? core_->idle : core_->busy).erase(place_);
+  std::shared_ptr<HttpConnection> const self = *list_position_;
+  (is_idle_ ? core_->idle : core_->busy).erase(list_position_);
 }
 
 // ---- connection: time-outs
@@ -560,11 +563,11 @@
   if (lingering_) return now >= linger_until_;
   if (!unsent_.empty() && now - last_write_ >= limits.idle_timeout) return true;
   if (!parser_ || closing_) return false;
-  if (!parser_->is_header_done()) return now - header_since_ >= limits.header_timeout;
+  if (!parser_->is_header_done()) return now - header_started_at_ >= limits.header_timeout;
   return now - last_read_ >= limits.idle_timeout;
 }
 
-void HttpConnection::act_on_overdue(Instant const now) {
+void HttpConnection::handle_overdue(Instant const now) {
   if (closed_ || !is_overdue(now)) return;
   if (lingering_) {
     close();
@@ -574,7 +577,7 @@
     on_hang_up(ClientState::gone);
     return;
   }
-  refuse(408);
+  reject(408);
   advance();
 }
 
@@ -584,33 +587,33 @@
   acceptor.async_accept([self = shared_from_this()](ErrorCode const& error, tcp::socket socket) {
     if (self->stopped || !self->acceptor.is_open()) return;
     if (error) {
-      self->accept_after_pause();
+      self->accept_after_delay();
       return;
     }
-    self->take_in(std::move(socket));
+    self->add_connection(std::move(socket));
     self->accept_next();
   });
 }
 
 // Out of descriptors or the like: trying again at once would spin.
-void HttpServerCore::accept_after_pause() {
-  accept_timer.expires_after(accept_pause);
+void HttpServerCore::accept_after_delay() {
+  accept_timer.expires_after(accept_retry_delay);
   accept_timer.async_wait([self = shared_from_this()](ErrorCode const& error) {
     if (!error && !self->stopped && self->acceptor.is_open()) self->accept_next();
   });
 }
 
-void HttpServerCore::take_in(tcp::socket socket) {
+void HttpServerCore::add_connection(tcp::socket socket) {
   bool const full = connections() >= limits.connections;
   bool const over_limit = full && !close_oldest_idle();
-  if (over_limit && connections() >= limits.connections + refused_connections) return;
+  if (over_limit && connections() >= limits.connections + rejected_connections) return;
   ErrorCode error;
   socket.non_blocking(true, error);
   if (!error) socket.set_option(tcp::no_delay(true), error);
   if (error) return;
   idle.push_back(std::make_shared<HttpConnection>(shared_from_this(), std::move(socket), over_limit));
   idle.back()->start(std::prev(idle.end()));
-  sweep_later();
+  schedule_sweep();
 }
 
 bool HttpServerCore::close_oldest_idle() {
@@ -620,7 +623,7 @@
   return true;
 }
 
-void HttpServerCore::sweep_later() {
+void HttpServerCore::schedule_sweep() {
   if (sweeping) return;
   sweeping = true;
   sweep_timer.expires_after(sweep_interval);
@@ -628,7 +631,7 @@
     self->sweeping = false;
     if (error || self->stopped) return;
     self->sweep();
-    if (self->connections() > 0) self->sweep_later();
+    if (self->connections() > 0) self->schedule_sweep();
   });
 }
 
@@ -639,7 +642,7 @@
   std::vector<std::shared_ptr<HttpConnection>> overdue;
   for (std::shared_ptr<HttpConnection> const& connection : busy)
     if (connection->is_overdue(now)) overdue.push_back(connection);
-  for (std::shared_ptr<HttpConnection> const& connection : overdue) connection->act_on_overdue(now);
+  for (std::shared_ptr<HttpConnection> const& connection : overdue) connection->handle_overdue(now);
 }
 
 void HttpServerCore::stop() {
--- a/tests/transport/backend_connections_test.cpp
+++ b/tests/transport/backend_connections_test.cpp
@@ -192,12 +192,12 @@
 }
 
 TEST(RestTime, is_a_second_below_what_the_backend_tells) {
-  EXPECT_EQ(rest_time_of({}), Duration(8s));
-  EXPECT_EQ(rest_time_of({{"Keep-Alive", "timeout=5, max=100"}}), Duration(4s));
-  EXPECT_EQ(rest_time_of({{"keep-alive", "max=100, timeout=2"}}), Duration(1s));
-  EXPECT_EQ(rest_time_of({{"Keep-Alive", "timeout=1"}}), Duration(200ms));
-  EXPECT_EQ(rest_time_of({{"Keep-Alive", "timeout=0"}}), Duration(200ms));
-  EXPECT_EQ(rest_time_of({{"Keep-Alive", "max=3"}}), Duration(8s));
+  EXPECT_EQ(usable_idle_time({}), Duration(8s));
+  EXPECT_EQ(usable_idle_time({{"Keep-Alive", "timeout=5, max=100"}}), Duration(4s));
+  EXPECT_EQ(usable_idle_time({{"keep-alive", "max=100, timeout=2"}}), Duration(1s));
+  EXPECT_EQ(usable_idle_time({{"Keep-Alive", "timeout=1"}}), Duration(200ms));
+  EXPECT_EQ(usable_idle_time({{"Keep-Alive", "timeout=0"}}), Duration(200ms));
+  EXPECT_EQ(usable_idle_time({{"Keep-Alive", "max=3"}}), Duration(8s));
 }
 
 TEST_F(BackendConnectionsTest, bytes_or_an_end_while_idle_end_the_connection) {
--- a/tests/transport/http_edge_test.cpp
+++ b/tests/transport/http_edge_test.cpp
@@ -75,7 +75,7 @@
 }
 
 inline Result<HttpReply> call_port(SocketEnvironment& env, std::uint16_t const port, HttpRequest q) {
-  HttpCaller<SocketEnvironment> caller(env);
+  HttpClient<SocketEnvironment> caller(env);
   std::promise<Result<HttpReply>> p;
   on_pool([&]() {
     asio::co_spawn(env.executor(), caller.run(port, std::move(q), env.now() + 20s),
