--- a/source/simulation/history.hpp
+++ b/source/simulation/history.hpp
@@ -1,7 +1,7 @@
-// What was seen from outside during a simulated run, and the plain checks of
-// what must never happen. Nothing here asks the mesh; it has only the records
-// of the stand-in callers, backends and operators, what went over the wire, and
-// samples of what each node had in force.
+// The external observations of a simulated run, and the checks of its invariants.
+// Nothing here queries the mesh: the input is the records of the simulated callers,
+// backends and operators, the messages on the wire, and samples of the revisions in
+// force at each node.
 #pragma once
 
 #include "protocol/digest.hpp"
@@ -19,16 +19,16 @@
   std::string id, service, key, zone, machine;
   bool repeatable = false;
   Instant sent{}, answered{};
-  Instant received_at{};  // by the node, which may have been frozen for a while
+  Instant received_at{};  // by the node, which may have been frozen
   std::uint16_t status = 0;
-  // answered, not-run, unknown; lost: no answer came; unsent: nobody listened;
-  // hung-up: the caller went away.
+  // answered, not-run, unknown; lost: no answer arrived; unsent: the node was down;
+  // hung-up: the caller disconnected.
   std::string outcome;
   bool correct = false, retry_after = false;
-  bool must_stay = false;        // an undisturbed_for backend of its own cell was known to serve it
-  bool must_serve = false;       // or one in a cell that could be reached
-  bool no_recent_fault = false;  // 15 s after the last fault, with the next one far
-  std::string after_fault;       // the last kind of mishap, within 3 s
+  bool must_stay = false;        // an undisturbed backend of its own zone was able to serve it
+  bool must_serve = false;       // so was one in a reachable zone
+  bool no_recent_fault = false;  // at least 15 s after the last fault and with no fault during the call
+  std::string after_fault;       // the last fault kind, if it was injected within 3 s before
   std::string reason;
 };
 
@@ -38,8 +38,8 @@
   std::uint64_t epoch = 0;
 };
 
-// A try of a call, as it left the machine of its caller's node: over the wire,
-// or straight to a backend there.
+// One attempt of a call as it left a machine, over the wire or directly to a backend
+// on the same machine.
 struct AttemptRecord {
   Instant at{};
   std::string id, machine, instance;
@@ -58,7 +58,7 @@
 struct InForceSample {
   Instant at{};
   std::array<Revision, 2> in_force{};
-  bool excused = false;  // could not have heard of anything by any path
+  bool excused = false;  // no update could have reached it by any path
 };
 
 struct History {
@@ -67,10 +67,10 @@
   std::vector<AttemptRecord> attempts;
   std::vector<RevisionRecord> revisions;
   std::map<std::string, std::vector<InForceSample>> in_force_samples;  // by machine
-  std::vector<std::pair<Instant, std::string>> drains;                 // instance that said it leaves
+  std::vector<std::pair<Instant, std::string>> drains;                 // instances that announced their departure
   std::vector<Instant> extra_attempts;
-  bool planned_only = false;                      // nothing but planned restarts: no answer may be lost
-  std::vector<std::string> immediate_violations;  // seen at once by a stand-in
+  bool planned_only = false;                      // only planned restarts are injected, so no answer may be lost
+  std::vector<std::string> immediate_violations;  // detected during the run
   std::string readback[2];
   bool readback_good[2] = {false, false};
 
@@ -88,7 +88,7 @@
     return out;
   }
 
-  // Calls answered and calls made in the 3 s after each kind of mishap.
+  // By fault kind: the calls answered and made within 3 s after such a fault.
   std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> answered_shares() const {
     std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> out;
     for (auto const& [id, c] : calls) {
@@ -99,7 +99,7 @@
     return out;
   }
 
-  // The tries of each call after its first, as they were seen.
+  // Records the attempts of each call after its first one.
   void count_extra_attempts() {
     std::map<std::string, std::size_t> n;
     for (AttemptRecord const& t : attempts) {
@@ -169,7 +169,7 @@
     for (auto& [key, all] : revisions_by_register) {
       std::stable_sort(all.begin(), all.end(),
                        [](RunRecord const* a, RunRecord const* b) { return a->begin < b->begin; });
-      RunRecord const* last = nullptr;  // the one that ends last
+      RunRecord const* last = nullptr;  // the run that ends last
       std::uint64_t highest = 0;
       std::string highest_instance;
       for (RunRecord const* const r : all) {
@@ -188,7 +188,7 @@
     }
   }
 
-  // Whether a catalogue lets a call run in a cell, read anew from its bytes.
+  // Whether a catalogue permits a call to run in a zone; computed independently from its JSON.
   static bool permits(Json const& catalogue, Json const& routing, CallRecord const& c, std::string const& zone) {
     if (!routing["services"].contains(c.service)) return false;
     for (Json const& name : catalogue.value("closed", Json::array()))
@@ -208,8 +208,8 @@
     return !named;
   }
 
-  // The revisions that may have decided a call: sent before it ran, and not
-  // superseded for 2 s when it was made.
+  // The revisions that may have applied to a call: sent before it ran, and not superseded
+  // for more than 2 s when the call was made.
   std::vector<std::size_t> possible_revisions(
       Register const reg, Instant const made, Instant const ran,
       std::map<Register, std::vector<std::size_t>> const& revisions_by_register) const {
@@ -271,7 +271,7 @@
     for (auto& [reg, all] : acked) {
       std::sort(all.begin(), all.end(),
                 [](RevisionRecord const* a, RevisionRecord const* b) { return a->revision < b->revision; });
-      Instant latest{};  // of the sendings so far: none may come after an acknowledgement of a later revision
+      Instant latest{};  // latest send time so far: no revision may be sent after a later revision was acknowledged
       for (RevisionRecord const* const r : all) {
         if (r->answered < latest)
           out.push_back("revision " + std::to_string(r->revision) + " was acknowledged before an older one was sent");
@@ -287,8 +287,8 @@
         out.push_back("the " + register_name(reg) + " read back is not the newest acknowledged: " +
                       (readback_good[i] ? readback[i].substr(0, 60) : "no reading"));
     }
-    // In force within 2 s of the acknowledgement, or of the moment from which
-    // the machine could hear of it; no step back.
+    // A revision must be in force within 2 s after its acknowledgement, or after the
+    // machine became able to receive it, and must not be replaced by an older one.
     for (auto const& [machine, seen] : in_force_samples)
       for (Register const reg : operator_registers) {
         std::size_t const i = static_cast<std::size_t>(reg);
@@ -373,7 +373,7 @@
     }
   }
 
-  // 15 s after a fault, every call is answered.
+  // From 15 s after a fault on, every call must be answered.
   void check_recovery(std::vector<std::string>& out) const {
     std::size_t bad = 0, all = 0;
     std::string one;
--- a/source/simulation/sim_faults.hpp
+++ b/source/simulation/sim_faults.hpp
@@ -1,6 +1,7 @@
-// Mishaps drawn from the seed, and their doing: machines killed, rolled and
-// frozen, power and disks lost, links cut, backends that die, leave and are
-// replaced, operators that err and storm. Each kind says until when it goes on.
+// Fault injection, driven by the seed: machines are killed, restarted and frozen,
+// lose power and disks, links are cut, backends die, leave and are replaced, and
+// operators make mistakes and send bursts of changes. Each fault extends the time
+// until which faults count as active.
 #pragma once
 
 #include "simulation/sim_traffic.hpp"
@@ -124,7 +125,7 @@
     if (kind == "freeze_registry") freeze(registry_hosts_[core].process, duration);
   }
 
-  // ---- the core machines: voters, their disks and the registries beside them
+  // ---- core machines: voters, their disks and the registries on the same machines
 
   void power_off(std::size_t const k, bool const wipe, Duration const down) {
     if (!voters_[k].process->alive) return;
@@ -136,7 +137,7 @@
     });
   }
 
-  // A lost disk must be back and voting before the next one may go.
+  // The next disk may only be lost once every voter is voting again.
   bool disk_loss_allowed() const {
     return std::all_of(voters_.begin(), voters_.end(),
                        [](Voter const& v) { return v.process->alive && v.acceptor->phase() == Phase::voting; });
@@ -326,7 +327,7 @@
     (void)core;
   }
 
-  // ---- operators that err, race and storm
+  // ---- operators: invalid revisions, races and bursts
 
   void inject_operator_fault(std::string const& kind, std::size_t const core) {
     if (kind == "bad_revision")
@@ -388,13 +389,13 @@
   }
 
   Task<void> put_bad_revision(std::shared_ptr<Registry<SimProcess>> registry, HttpRequest q) {
-    HttpReply const r = co_await registry->operate(q);
+    HttpReply const r = co_await registry->handle_operator_request(q);
     if (r.status != 503 && (r.status < 400 || r.status >= 500))
       history_.immediate_violations.push_back("a bad revision was taken: " + q.body.substr(0, 80) + ": " +
                                               std::to_string(r.status));
   }
 
-  // ---- doing it
+  // ---- actions
 
   void kill_node(std::size_t const i, Duration const down) {
     if (!nodes_[i].process->alive) return;
@@ -405,8 +406,8 @@
     });
   }
 
-  // As the real process does: told to leave, it goes once it is idle and its
-  // leaving has spread, at the latest after 5.5 s.
+  // As in production: a node that is told to leave exits once it is idle and its
+  // departure has propagated, at the latest after 5.5 s.
   void restart_node(std::size_t const i) {
     Node& n = nodes_[i];
     if (!n.process->alive || n.process->frozen || n.rolling) return;
@@ -464,8 +465,8 @@
     });
   }
 
-  // The last fault: nobody repairs it. Operators may answer a lost cell with a
-  // new catalogue; nothing else is done.
+  // The final, permanent fault: nobody repairs it. Operators may respond to a lost zone
+  // with a new catalogue; nothing else is done.
   void inject_permanent_fault(std::string const& kind) {
     ++fault_counts_[kind];
     std::size_t const core = random_core();
--- a/source/simulation/sim_fleet.hpp
+++ b/source/simulation/sim_fleet.hpp
@@ -1,5 +1,5 @@
-// A simulated fleet's run: a day of traffic, revisions and mishaps, then calm.
-// `run` plays a scenario and hands back what was seen.
+// Runs a scenario on a simulated fleet: traffic, revisions and faults, then a period
+// without faults. `run` returns the recorded history.
 #pragma once
 
 #include "simulation/sim_faults.hpp"
@@ -15,7 +15,7 @@
     build();
     add_backend("promo", node_in(deployment_.zones[0], 1));
     add_backend("promo", node_in(deployment_.zones[2], 0));
-    add_backend("intruder", node_in(deployment_.zones[1], 0));  // of a service that no revision allows
+    add_backend("intruder", node_in(deployment_.zones[1], 0));  // of a service that no revision permits
     sim_.run_until(start_ + 6s);
     put(0, Register::routing, deployment_.routing, std::nullopt, true);
     sim_.run_until(sim_.now + 1s);
@@ -49,7 +49,7 @@
   }
 
   std::map<std::string, std::uint64_t> const& mishaps() const { return fault_counts_; }
-  // One key gets half the keyed calls, and its runs are slow.
+  // Sends half of the keyed calls to one key and makes its requests slow.
   void make_hot() { hot_key_active_ = hot_key_slow_ = true; }
 };
 
--- a/source/simulation/sim_machines.hpp
+++ b/source/simulation/sim_machines.hpp
@@ -1,6 +1,6 @@
-// A simulated deployment's machines: the real registry, voter and node code on
-// them, and stand-in backends. What is done to them is known here too: which
-// machine was bothered last and when.
+// The machines of a simulated deployment: they run the production code of registries,
+// voters and nodes, and fake backends. Also records when each machine and service was
+// last disturbed by a fault.
 #pragma once
 
 #include "programs/deployment.hpp"
@@ -16,13 +16,13 @@
   std::string deployment = "kibble";
   Duration faults_for = 30s;
   Duration fault_every = 2500ms;
-  std::set<std::string> only;  // kinds of mishap; empty: all
-  std::string last;            // a fault at the end that nobody repairs
+  std::set<std::string> only;  // fault kinds; empty: all
+  std::string last;            // a final fault that nobody repairs
   std::uint64_t rate_divisor = 10;
   bool verbose = false;
 };
 
-// The node's way to the backends of its simulated machine.
+// A node's connection to the backends on its simulated machine.
 struct SimEdge {
   using Done = std::function<void(Result<HttpReply>)>;
   std::function<void(std::uint16_t, HttpRequest, Instant, Done)> serve;
@@ -54,7 +54,7 @@
 };
 static_assert(BackendEdge<SimEdge>);
 
-// Compiled once, in simulated_programs.cpp.
+// Instantiated in simulated_programs.cpp.
 extern template class Proxy<SimProcess, SimEdge>;
 extern template class Registry<SimProcess>;
 extern template class Acceptor<SimProcess, SimDisk>;
@@ -104,7 +104,7 @@
     std::size_t node = 0;
     std::uint16_t port = 0;
     bool alive = true, leaving = false, frozen = false;
-    bool accepts_misrouted = false;  // runs whatever comes, without a look at whom it is for
+    bool accepts_misrouted = false;  // executes every request without checking the target instance
     std::uint64_t incarnation = 0;
   };
 
@@ -255,11 +255,11 @@
     Backend& b = backends_[i];
     if (!b.alive || b.incarnation != incarnation) return;
     Node& n = nodes_[b.node];
-    if (!b.frozen && n.process->alive && !n.process->frozen) n.proxy->handle_heartbeat(heartbeat_of(b));
+    if (!b.frozen && n.process->alive && !n.process->frozen) n.proxy->on_heartbeat(heartbeat_of(b));
     sim_.after(500ms, [this, i, incarnation] { keep_beating(i, incarnation); });
   }
 
-  // Says that it leaves, and counts as having said so once its node took it.
+  // Announces that the backend leaves; recorded once its node has received the announcement.
   void drain(std::size_t const i) {
     Backend& b = backends_[i];
     b.leaving = true;
@@ -267,7 +267,7 @@
     std::shared_ptr<SimProcess> const p = nodes_[b.node].process;
     std::shared_ptr<Proxy<SimProcess, SimEdge>> const proxy = nodes_[b.node].proxy;
     p->run([this, i, proxy] {
-      proxy->handle_heartbeat(heartbeat_of(backends_[i]));
+      proxy->on_heartbeat(heartbeat_of(backends_[i]));
       history_.drains.emplace_back(sim_.now, backends_[i].instance);
     });
     sim_.after(5s, [this, i] { kill_backend(i); });
@@ -302,7 +302,7 @@
   void run_backend(std::size_t const i, HttpRequest const& q, Instant const deadline,
                    std::function<void(Result<HttpReply>)> const& done) {
     Backend& b = backends_[i];
-    if (b.frozen) return;  // silence until the deadline
+    if (b.frozen) return;  // no answer until the deadline
     bool const right = header_of(q, "banktide-service") == b.service && header_of(q, "banktide-instance") == b.instance;
     if (!right && !b.accepts_misrouted) {
       HttpReply no;
@@ -341,7 +341,7 @@
     });
   }
 
-  // ---- what was done to whom
+  // ---- disturbances
 
   void mark_disturbed(std::string const& machine) { last_disturbed_[machine] = sim_.now; }
   void mark_service_disturbed(std::string const& service, std::string const& zone) {
@@ -375,7 +375,7 @@
     return sim_.open(a, b) && sim_.open(b, a);
   }
 
-  // Whether a registry can have a majority's word now.
+  // Whether a registry can currently get answers from a majority of the voters.
   bool can_reach_majority(std::size_t const k) const {
     RegistryHost const& c = registry_hosts_[k];
     if (!c.process->alive || c.process->frozen) return false;
@@ -385,7 +385,7 @@
            connected_both_ways(c.machine, v.machine);
     return n >= voters_.size() / 2 + 1;
   }
-  // Whether a node could hear of a revision by any path.
+  // Whether a node could receive a new revision by any path.
   bool can_receive_updates(Node const& n) const {
     if (!n.process->alive || n.process->frozen) return false;
     for (std::size_t k = 0; k < registry_hosts_.size(); ++k)
@@ -400,7 +400,8 @@
   Deployment const deployment_;
   History history_;
   std::vector<std::shared_ptr<SimProcess>> retired_processes_;
-  std::vector<std::shared_ptr<void>> retired_objects_;  // after the grave: they go first, and touch it
+  std::vector<std::shared_ptr<void>>
+      retired_objects_;  // declared after the processes: destroyed first, as they refer to them
   std::map<std::string, std::pair<std::int64_t, std::int64_t>> clocks_;
   std::vector<Address> voter_addresses_, registry_addresses_;
   std::vector<Voter> voters_;
@@ -409,7 +410,7 @@
   std::deque<Backend> backends_;
   std::map<std::string, Instant> last_disturbed_;
   std::map<std::pair<std::string, std::string>, Instant> service_last_disturbed_;
-  Instant start_{}, faults_until_{};  // until when the last mishap goes on
+  Instant start_{}, faults_until_{};  // when the last active fault ends
   std::uint64_t runs_ = 0, instances_ = 0, next_port_ = 20000;
   bool hot_key_slow_ = false;
 };
--- a/source/simulation/sim_main.cpp
+++ b/source/simulation/sim_main.cpp
@@ -1,6 +1,7 @@
-// banktide-sim: plays seeds of the simulated fleet and tells which break a
-// rule. The same seed plays the same run, alone or beside others: with --jobs
-// each seed is a forked process of its own, and results come in seed order.
+// banktide-sim: runs the simulated fleet for a range of seeds and reports those that
+// violate an invariant. A seed always reproduces the same run, alone or beside others:
+// with --jobs each seed runs in its own forked process, and results are printed in
+// seed order.
 #include "programs/settings.hpp"
 #include "simulation/sim_fleet.hpp"
 
@@ -78,13 +79,13 @@
   s.number("seed", 1, 0, UINT64_MAX, "first seed");
   s.number("seeds", 1, 1, 1000000, "how many seeds");
   s.number("jobs", 1, 1, 256, "how many seeds at the same time");
-  s.number("seconds", 30, 1, 3600, "virtual seconds with mishaps");
-  s.number("fault-every-ms", 2500, 0, 600000, "mean time between mishaps (0: none)");
+  s.number("seconds", 30, 1, 3600, "virtual seconds with faults");
+  s.number("fault-every-ms", 2500, 0, 600000, "mean time between faults (0: none)");
   s.text("deployment", "kibble", "kibble or nilewise");
-  s.list("only", "a kind of mishap; repeat");
-  s.text("last", "", "a last fault that nobody repairs: core_gone, cell_gone, disk_lost or node_gone");
-  s.text("broken-on-purpose", "", "break the code in one named way, to see a check fail");
-  s.flag("verbose", "tell every mishap and every call not answered");
+  s.list("only", "a fault kind; may be repeated");
+  s.text("last", "", "a final fault that nobody repairs: core_gone, cell_gone, disk_lost or node_gone");
+  s.text("broken-on-purpose", "", "break the code in the named way, to verify that a check fails");
+  s.flag("verbose", "log every fault and every unanswered call");
   if (std::optional<int> const code = s.read(argc, argv)) return *code;
   start_logging(s.flag("verbose") ? "INFO" : "OFF", "banktide-sim", "sim");
   mutant_name = s.text("broken-on-purpose");
--- a/source/simulation/sim_traffic.hpp
+++ b/source/simulation/sim_traffic.hpp
@@ -1,6 +1,6 @@
-// Stand-in callers and operators of the simulated fleet, and the samples taken
-// of it. Callers hit whatever node they like, dying ones too, and some hang up;
-// operators move slices, open and close services, change mappings and race.
+// Simulated callers and operators of the fleet, and periodic samples of its state.
+// Callers use any node, including failing ones, and some hang up. Operators move
+// slices, open and close services, change mappings and write concurrently.
 #pragma once
 
 #include "simulation/sim_machines.hpp"
@@ -108,8 +108,8 @@
                {{"id", id}, {"outcome", c.outcome}, {"cell", c.zone}, {"body", r.body}, {"at_ms", at_ms()}});
   }
 
-  // Whether what the operators last meant is what was acknowledged last. Once
-  // only notes change, an older one in force makes no difference.
+  // Whether the latest revisions that the operators sent are the ones acknowledged last.
+  // Once only notes change, an older routing revision makes no difference.
   bool matches_operator_intent() const {
     for (std::size_t i = layouts_settled_ ? 1 : 0; i < 2; ++i)
       if (latest_put_[i] >= history_.revisions.size() ||
@@ -118,12 +118,12 @@
     return pending_puts_.empty();
   }
 
-  // A call may fail up to 2 s after what hindered it is over, and eject its
-  // target for 4 s.
+  // A call may fail up to 2 s after the fault behind it has ended, and its target may
+  // then be ejected for 4 s.
   static constexpr Duration recovery_time = 7s;
 
-  // What an honest mesh owes this call, by what was done to whom: at its start,
-  // and still at its end.
+  // Determines from the injected faults what a correct mesh must do with this call, once
+  // when the call starts and again when it ends.
   void update_expectations(std::size_t const at, CallRecord& c, bool const begins) {
     Node const& n = nodes_[at];
     bool stay = false, serve = false;
@@ -209,7 +209,7 @@
   }
 
   Task<void> put_once(std::shared_ptr<Registry<SimProcess>> registry, HttpRequest q, std::size_t n, std::size_t at) {
-    HttpReply const reply = co_await registry->operate(std::move(q));
+    HttpReply const reply = co_await registry->handle_operator_request(std::move(q));
     RevisionRecord& r = history_.revisions[n];
     r.answered = sim_.now;
     pending_puts_.erase(n);
@@ -230,8 +230,8 @@
   void put_catalogue() { put(random_core(), Register::catalogue, catalogue_.dump()); }
   void change_note() { routing_["note"] = "revision " + std::to_string(++sent_); }
 
-  // The keyed service's slices: split between its two cells, or in one of
-  // them, or with the catalogue silent.
+  // Assigns the keyed service's slices: split between two zones, all in one of them, or
+  // not listed in the catalogue.
   void place_keyed_slices(std::uint64_t const style) {
     changed_[keyed_service_] = sim_.now;
     std::uint64_t const slices = routing_["services"][keyed_service_]["key"]["slices"],
@@ -322,7 +322,7 @@
     sim_.after(std::chrono::milliseconds(400 + sim_.chance() % 1600), [this] { schedule_revisions(); });
   }
 
-  // From here on only notes change, so that what isn't served is a fault.
+  // From here on only notes change, so that any unserved call is a violation.
   void restore_layouts() {
     layouts_settled_ = true;
     for (auto const& [prefix, service] : path_routes_) changed_[service] = sim_.now;
@@ -331,8 +331,8 @@
     change_note();
     restore_step(0, std::nullopt);
   }
-  // One after the other, each when the last is taken: a second sent before the
-  // first was answered could land before it. What isn't taken begins anew.
+  // Sends the revisions one after another, each after the previous one was acknowledged:
+  // a revision sent earlier could be applied first. Starts again if one isn't accepted.
   void restore_step(std::size_t step, std::optional<std::size_t> const sent) {
     if (!traffic_enabled_) return;
     if (sent && pending_puts_.contains(*sent)) {
@@ -358,7 +358,7 @@
   }
   Task<void> read_once(std::shared_ptr<Registry<SimProcess>> registry, Register reg) {
     HttpRequest const q{"GET", "/" + register_name(reg), {}, ""};
-    HttpReply const r = co_await registry->operate(q);
+    HttpReply const r = co_await registry->handle_operator_request(q);
     history_.readback[static_cast<std::size_t>(reg)] = r.body;
     history_.readback_good[static_cast<std::size_t>(reg)] = r.status == 200;
   }
@@ -389,15 +389,15 @@
 
   std::string at_ms() const { return std::to_string(as_ms(sim_.now.time_since_epoch()) - 3600000); }
 
-  Json routing_, catalogue_;  // as the operators last meant them
+  Json routing_, catalogue_;  // as last intended by the operators
   std::string keyed_service_;
   std::map<std::string, std::string> path_routes_;
-  std::map<std::string, Instant> changed_;  // by service: its last change of more than a note
+  std::map<std::string, Instant> changed_;  // by service: its last change other than a note
   std::array<Revision, 2> acknowledged_revisions_{};
   std::array<std::string, 2> acknowledged_bytes_;
   std::array<std::size_t, 2> latest_put_{};
   std::set<std::size_t> pending_puts_;
-  Instant diverged_at_{};  // when what was in force was last not what operators meant
+  Instant diverged_at_{};  // the last time at which the state differed from the operators' intent
   std::uint64_t calls_ = 0, sent_ = 1;
   std::string fault_kind_;
   Instant fault_at_{};
--- a/source/simulation/sim_world.hpp
+++ b/source/simulation/sim_world.hpp
@@ -1,7 +1,7 @@
-// The simulated surroundings: virtual time in one queue, machines with
-// processes on them, links that delay, cut and hold back, disks that stall and
-// machines that lose power. Everything is drawn from one seed, so a run replays
-// exactly. The coordination and state code above it is the real one.
+// The simulated environment: virtual time with a single event queue, machines that
+// run processes, links that delay, block and hold back messages, disks that stall and
+// machines that lose power. All randomness comes from one seed, so a run can be
+// replayed exactly. The coordination and state code on top is the production code.
 #pragma once
 
 #include "coordination/acceptor.hpp"
@@ -46,7 +46,7 @@
     run_ready_handlers();
   }
 
-  // Cuts are one-way, by machine.
+  // Cuts are one-way links between machines.
   void cut(std::string const& from, std::string const& to) { cuts_.insert({from, to}); }
   void heal() { cuts_.clear(); }
   void heal(std::string const& m) {
@@ -63,7 +63,7 @@
     return gust + std::chrono::microseconds(100 + chance() % 400 + (chance() % 50 == 0 ? chance() % 5000 : 0));
   }
 
-  // Bad weather: messages take long, overtake one another, get lost or doubled.
+  // Messages are delayed, reordered, lost or duplicated.
   bool unreliable_links = false;
 
  private:
@@ -80,7 +80,7 @@
 
 class SimNet;
 
-// One run of a process on a machine.
+// One incarnation of a process on a machine.
 class SimProcess : public std::enable_shared_from_this<SimProcess> {
  public:
   struct Pending {
@@ -147,7 +147,7 @@
       : sim(s), net(n), machine(std::move(m)), address(std::move(a)), incarnation(incarnation), chance_(s.chance()) {}
   ~SimProcess() { kill(); }
 
-  // Each machine's clock has an offset and a speed of its own.
+  // Each machine's clock has its own offset and drift.
   Instant now() const { return local(sim.now); }
   __extension__ typedef __int128 Wide;
   Instant local(Instant const t) const {
@@ -166,7 +166,7 @@
   void tell_raw(Address const& peer, std::uint8_t const kind, SharedBytes const& payload);
   void serve(Dispatcher& d) { dispatcher = &d; }
 
-  // Runs now, later if frozen, never if dead.
+  // Runs `f` now, after thawing if the process is frozen, or never if it is dead.
   void run(std::function<void()> f) {
     if (!alive) return;
     if (frozen)
@@ -184,7 +184,7 @@
   void kill() {
     alive = false;
     deferred_.clear();
-    std::map<std::uint64_t, Pending*> pending;  // in order of making, so that a run replays
+    std::map<std::uint64_t, Pending*> pending;  // in order of creation, so that runs are reproducible
     pending.swap(pending_);
     std::vector<std::function<void(bool)>> drop;
     for (auto const& [id, p] : pending) {
@@ -202,7 +202,7 @@
   bool alive = true, frozen = false;
   Duration clock_offset{};
   std::int64_t clock_ppm = 0;
-  std::map<Address, std::uint64_t> connected;  // peer and the run it was
+  std::map<Address, std::uint64_t> connected;  // by peer: the incarnation that the connection leads to
 
  private:
   std::mt19937_64 chance_;
@@ -211,7 +211,7 @@
   std::vector<std::function<void()>> deferred_;
 };
 
-// Who listens where, and how a message gets there.
+// The network: which process listens at which address, and the delivery of messages.
 class SimNet {
  public:
   explicit SimNet(Sim& s) : sim(s) {}
@@ -219,9 +219,9 @@
   std::map<Address, std::shared_ptr<SimProcess>> at;
   std::map<Address, std::string> machine_of;
   std::set<std::string> dark;  // machines without power
-  // Sees every message as it is sent; and each answer before it leaves: "yes"
-  // means that its machine lost power first.
+  // Called with every message when it is sent.
   std::function<void(SimProcess const&, Address const&, std::uint8_t, Bytes const&)> on_send;
+  // Called before each reply is sent; true means that the machine lost power first.
   std::function<bool(SimProcess&, std::uint8_t)> before_reply;
 
   struct Exchange {
@@ -229,12 +229,12 @@
     Address peer;
     std::uint8_t kind = 0;
     Bytes payload;
-    std::function<void(Result<Bytes>)> done;  // none: one-way
-    SharedCancellation cancellation;          // at the receiver; none: can't be cancelled
+    std::function<void(Result<Bytes>)> done;  // empty: one-way
+    SharedCancellation cancellation;          // at the receiver; null: can't be cancelled
     bool sent = false, withdrawn = false;
   };
 
-  // Word to the receiver that the answer is of no more use; lost where the way is cut.
+  // Tells the receiver that the answer is no longer needed; lost if the link is cut.
   void cancel(std::shared_ptr<Exchange> const& x) {
     sim.after(sim.delay(), [this, x] {
       auto const target = at.find(x->peer);
@@ -287,7 +287,7 @@
     });
   }
 
-  // What is on its way waits out a cut for a while and then arrives late.
+  // A message in transit waits for a cut link until `give_up` and then arrives late.
   void deliver(std::shared_ptr<Exchange> const& x, std::shared_ptr<SimProcess> const target, Instant const give_up) {
     sim.after(sim.delay(), [this, x, target, give_up] {
       if (!target->alive) {
@@ -363,8 +363,8 @@
 
 static_assert(Environment<SimProcess>);
 
-// A disk outlives the processes that use it. Power lost during a sync leaves
-// the old record or the new one.
+// A disk that outlives the processes using it. A power loss during a sync leaves
+// either the old record or the new one.
 struct SimDisk {
   VoterRecord durable, unsynced;
   Instant stalled_until{};
@@ -375,7 +375,7 @@
     SimProcess* const owner = process;
     VoterRecord const next = r;
     Duration wait = std::chrono::microseconds(200 + owner->chance()() % 2000);
-    if (stalled_until > owner->sim.now) wait += stalled_until - own_wait->sim.now;
+    if (stalled_until > owner->sim.now) wait += stalled_until - owner->sim.now;
     if (broken_on_purpose("no_sync")) {
       unsynced = next;
       co_return true;
--- a/source/simulation/simulated_programs.cpp
+++ b/source/simulation/simulated_programs.cpp
@@ -1,5 +1,5 @@
-// The three programs on simulated machines, compiled once for the simulator and
-// for every test that plays with them.
+// Instantiates the three programs for simulated machines, once for the simulator and
+// all tests that use it.
 #include "simulation/sim_machines.hpp"
 
 namespace banktide {
--- a/tests/simulation/sim_fleet_test.cpp
+++ b/tests/simulation/sim_fleet_test.cpp
@@ -1,5 +1,5 @@
-// Whole fleets on virtual time: faults that a rule outlives, and each rule's check
-// on a build that is broken on purpose.
+// Whole fleets on virtual time: the invariants hold under faults, and the check of each
+// invariant detects a build that is broken on purpose.
 #include "simulation/sim_fleet.hpp"
 
 #include <gtest/gtest.h>
@@ -26,7 +26,7 @@
   return all.empty() ? "" : deployment + " seed " + std::to_string(seed) + ": " + all;
 }
 
-TEST(SimFleet, with_no_mishap_every_call_is_answered) {
+TEST(SimFleet, without_faults_every_call_is_answered) {
   for (std::string const name : {"kibble", "nilewise"}) {
     Scenario s;
     s.deployment = name;
@@ -58,11 +58,11 @@
   EXPECT_EQ(digests[0], digests[1]);
 }
 
-TEST(SimFleet, a_frozen_registry_holds_no_revision_back_from_its_cell) {
+TEST(SimFleet, a_frozen_registry_withholds_no_revision_from_its_zone) {
   for (std::uint64_t const seed : {100, 101}) EXPECT_EQ(broken_by("kibble", seed, {"freeze_registry"}), "");
 }
 
-TEST(SimFleet, a_registry_without_a_majority_holds_no_revision_back_from_its_cell) {
+TEST(SimFleet, a_registry_without_a_majority_withholds_no_revision_from_its_zone) {
   for (std::uint64_t const seed : {100, 101}) EXPECT_EQ(broken_by("kibble", seed, {"cut_core_one"}), "");
 }
 
@@ -71,7 +71,7 @@
     EXPECT_EQ(broken_by("kibble", seed, {"reuse_port_naive", "reuse_port_intruder"}), "");
 }
 
-// Seeds that broke: the port changed hands while the node was frozen.
+// Regression: another service took over the port while the node was frozen.
 TEST(SimFleet, nothing_reaches_an_address_that_was_taken_over_while_its_node_was_frozen) {
   for (std::uint64_t const seed : {17, 42, 53}) {
     Scenario s;
@@ -83,19 +83,19 @@
   }
 }
 
-// Seeds that broke: the first call of a sender to a node that had just started
-// waited out a cut, and ran past its deadline.
+// Regression: a sender's first call to a node that had just started was held up by a
+// cut link and ran past its deadline.
 TEST(SimFleet, a_senders_first_call_to_a_new_node_runs_in_time_or_not_at_all) {
   for (std::uint64_t const seed : {7, 31})
     EXPECT_EQ(broken_by("kibble", seed, {"kill_herd", "drain_then_cut"}, 30s), "");
 }
 
-TEST(SimFleet, every_machine_is_rolled_and_no_answer_lost) {
+TEST(SimFleet, rolling_restarts_of_all_machines_lose_no_answer) {
   EXPECT_EQ(broken_by("kibble", 21, {"roll_all"}), "");
   EXPECT_EQ(broken_by("nilewise", 22, {"roll_all"}), "");
 }
 
-TEST(SimFleet, service_is_back_15_s_after_each_fault) {
+TEST(SimFleet, service_recovers_within_15_s_after_each_fault) {
   for (std::uint64_t const seed : {31, 32}) {
     Scenario s;
     s.seed = seed;
@@ -106,12 +106,12 @@
   }
 }
 
-TEST(SimFleet, the_last_fault_needs_nobody_to_repair_it) {
+TEST(SimFleet, the_mesh_recovers_from_a_permanent_fault_without_repair) {
   for (std::string const last : {"core_gone", "cell_gone", "disk_lost", "node_gone"})
     EXPECT_EQ(broken_by("kibble", 41, {"kill_node"}, 5s, last), "") << last;
 }
 
-TEST(SimFleet, one_key_with_half_the_traffic_leaves_the_others_served) {
+TEST(SimFleet, a_hot_key_with_half_the_traffic_does_not_affect_other_keys) {
   Scenario s;
   s.rate_divisor = 1;
   s.fault_every = 0s;
@@ -131,23 +131,23 @@
     EXPECT_NE(c.outcome, "lost") << id;
   }
   EXPECT_GT(hot, others / 2);
-  EXPECT_GT(hot_dropped, hot / 10);  // or it wasn't hot
+  EXPECT_GT(hot_dropped, hot / 10);  // otherwise the key wasn't hot
   EXPECT_EQ(others_dropped, 0u);
 }
 
-TEST(SimFleet, no_rule_breaks_under_all_mishaps) {
+TEST(SimFleet, all_invariants_hold_under_all_faults) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) EXPECT_EQ(broken_by("kibble", seed, {}), "");
   for (std::uint64_t seed = 5; seed <= 7; ++seed) EXPECT_EQ(broken_by("nilewise", seed, {}), "");
 }
 
-// Each check must be able to fail: a build broken on purpose, and the rule that
-// tells.
+// Each check must be able to fail: a build that is broken on purpose, and the violation
+// that must be reported.
 struct Broken {
   char const* mutant;
   char const* rule;
   std::set<std::string> only;
   int fault_every_ms = 2500;
-  bool hot = false;  // one key with half the calls and slow runs
+  bool hot = false;  // one key receives half of the calls, and its requests are slow
 };
 
 inline std::ostream& operator<<(std::ostream& out, Broken const& b) { return out << b.mutant; }
--- a/tests/simulation/sim_world_test.cpp
+++ b/tests/simulation/sim_world_test.cpp
@@ -6,7 +6,7 @@
 namespace banktide {
 namespace {
 
-TEST(SimWorld, an_alarm_rings_at_its_time_is_woken_early_and_dies_with_its_process) {
+TEST(SimWorld, an_alarm_fires_on_time_can_be_woken_early_and_ends_with_its_process) {
   Sim sim(1);
   SimNet net(sim);
   std::shared_ptr<SimProcess> p = std::make_shared<SimProcess>(sim, net, "m", "a:1", 1);
