--- a/source/coordination/call_handler.hpp
+++ b/source/coordination/call_handler.hpp
@@ -13,7 +13,7 @@
 struct Target {
   Address node;
   std::string instance;  // empty: a gateway
-  std::string cell;
+  std::string zone;
   std::string history_key;
 };
 
@@ -40,52 +40,55 @@
 
   Task<HttpReply> call(HttpRequest q) {
     std::uint64_t const id = ++last_call_;
-    CallStateMachine chart;
+    CallStateMachine state_machine;
     Instant const start = env_.now();
     std::shared_ptr<Rules const> const rules = n_.rules;
     if (!n_.ready())
       co_return drop_call(
-          chart, id, *rules, "", 503,
+          state_machine, id, *rules, "", 503,
           Error{"admit", settings_.id, n_.leaving ? "node is leaving" : "node is not ready", Proof::not_run});
     if (calls_in_flight_ >= 4096)
-      co_return drop_call(chart, id, *rules, "", 503, Error{"admit", settings_.id, "backlog full", Proof::not_run});
+      co_return drop_call(state_machine, id, *rules, "", 503,
+                          Error{"admit", settings_.id, "backlog full", Proof::not_run});
     Index const s = rules->layout.service_of_path(q.target);
     if (s == no_index)
-      co_return drop_call(chart, id, *rules, "", 404,
+      co_return drop_call(state_machine, id, *rules, "", 404,
                           Error{"find_way", settings_.id, "no route for this path", Proof::not_run});
     Service const& service = rules->layout.services[s];
-    ForwardCall carry;
-    carry.service = service.name;
-    carry.routing = rules->routing;
+    ForwardCall forwarded;
+    forwarded.service = service.name;
+    forwarded.routing = rules->routing;
     if (service.keyed()) {
       std::string const key = header_of(q, service.key_header);
       if (key.empty())
-        co_return drop_call(chart, id, *rules, service.name, 400,
+        co_return drop_call(state_machine, id, *rules, service.name, 400,
                             Error{"find_key", settings_.id, "no key in header " + service.key_header, Proof::not_run});
-      carry.keyed = true;
-      carry.slice = service.slice_of(key);
+      forwarded.keyed = true;
+      forwarded.slice = service.slice_of(key);
     }
     Duration time_limit = service.timeout;
     std::string const asked = header_of(q, "banktide-timeout-ms");
     if (!asked.empty()) {
       if (asked.size() > 5 || asked.find_first_not_of("0123456789") != std::string::npos || std::stoul(asked) < 1)
         co_return drop_call(
-            chart, id, *rules, service.name, 400,
+            state_machine, id, *rules, service.name, 400,
             Error{"find_deadline", settings_.id, "banktide-timeout-ms must be 1..99999", Proof::not_run});
       time_limit = std::min<Duration>(time_limit, std::chrono::milliseconds(std::stoul(asked)));
     }
-    ZoneChoice const choice = n_.choose(*rules, s, carry.slice);
+    ZoneChoice const choice = n_.choose(*rules, s, forwarded.slice);
     if (broken_on_purpose("drops_all"))
-      co_return drop_call(chart, id, *rules, service.name, 503, Error{"decide", settings_.id, "", Proof::not_run});
+      co_return drop_call(state_machine, id, *rules, service.name, 503,
+                          Error{"decide", settings_.id, "", Proof::not_run});
     if (!choice.refusal.empty())
-      co_return drop_call(chart, id, *rules, service.name, 503,
-                          Error{"decide", settings_.id, choice.refusal, Proof::not_run}, &carry);
+      co_return drop_call(state_machine, id, *rules, service.name, 503,
+                          Error{"decide", settings_.id, choice.refusal, Proof::not_run}, &forwarded);
     bool const repeatable = service.may_repeat(q.method);
-    carry.request = std::move(q);
-    strip_hop(carry.request.headers, true);
-    chart.step(CallState::admitted);
+    forwarded.request = std::move(q);
+    strip_hop(forwarded.request.headers, true);
+    state_machine.step(CallState::admitted);
     ++calls_in_flight_;
-    HttpReply reply = co_await run_tries(chart, id, *rules, choice, std::move(carry), repeatable, start + time_limit);
+    HttpReply reply =
+        co_await run_tries(state_machine, id, *rules, choice, std::move(forwarded), repeatable, start + time_limit);
     --calls_in_flight_;
     co_return reply;
   }
@@ -121,14 +124,14 @@
       if (!targets.empty()) return targets[pick(candidates, env_.chance())];
     }
     if (may_cross) {
-      for (auto const& [name, cell] : n_.view.zones) {
+      for (auto const& [name, zone] : n_.view.zones) {
         if (choice.decided &&
             std::find(choice.other_zones.begin(), choice.other_zones.end(), name) == choice.other_zones.end())
           continue;
-        if (name == settings_.zone || std::find(cell.offers.begin(), cell.offers.end(), service) == cell.offers.end())
+        if (name == settings_.zone || std::find(zone.offers.begin(), zone.offers.end(), service) == zone.offers.end())
           continue;
         if (tried.contains("c:" + name) || histories_.ejected("c:" + name + "/" + service, now)) continue;
-        for (Member const& g : cell.gateways) {
+        for (Member const& g : zone.gateways) {
           Target t{g.address, "", name, "g:" + g.address};
           if (tried.contains(t.history_key)) continue;
           if (histories_.ejected(t.history_key, now) || histories_.ejected("n:" + g.address, now)) {
@@ -177,17 +180,18 @@
     } else if (!c.keyed) {
       bool const refused = r.step == "connect" || r.step == "backend";
       penalize(t.history_key, refused);
-      if (t.instance.empty() && r.step == "pick") penalize("c:" + t.cell + "/" + c.service, true);
+      if (t.instance.empty() && r.step == "pick") penalize("c:" + t.zone + "/" + c.service, true);
     }
     co_return r;
   }
 
  private:
-  HttpReply drop_call(CallStateMachine& chart, std::uint64_t const id, Rules const& rules, std::string const& service,
-                      std::uint16_t const status, Error const& m, ForwardCall const* const c = nullptr) {
-    chart.step(CallState::dropped);
+  HttpReply drop_call(CallStateMachine& state_machine, std::uint64_t const id, Rules const& rules,
+                      std::string const& service, std::uint16_t const status, Error const& m,
+                      ForwardCall const* const c = nullptr) {
+    state_machine.step(CallState::dropped);
     bool const unknown = m.proof == Proof::unknown;
-    record(id, chart, "drop", service, m, rules, c);
+    record(id, state_machine, "drop", service, m, rules, c);
     HttpReply reply = json_reply(
         status,
         {{"error", m.reason}, {"outcome", unknown ? "unknown" : "not-run"}, {"step", m.step}, {"peer", m.peer}});
@@ -197,19 +201,19 @@
     return reply;
   }
 
-  void record(std::uint64_t const id, CallStateMachine const& chart, char const* const decision,
+  void record(std::uint64_t const id, CallStateMachine const& state_machine, char const* const decision,
               std::string const& service, Error const& m, Rules const& rules, ForwardCall const* const c = nullptr,
-              std::string const& cell = "") {
+              std::string const& zone = "") {
     CallEvent e;
     e.at_ms = as_ms(env_.now() - n_.started);
     e.call = id;
-    e.state = state_name(chart.state());
+    e.state = state_name(state_machine.state());
     e.decision = decision;
     e.service = service;
     e.reason = m.reason;
     e.step = m.step;
     e.peer = m.peer;
-    e.zone = cell.empty() ? settings_.zone : cell;
+    e.zone = zone.empty() ? settings_.zone : zone;
     e.keyed = c != nullptr && c->keyed;
     e.slice = e.keyed ? c->slice : 0;
     e.routing = rules.routing;
@@ -217,15 +221,16 @@
     journal_.append(std::move(e));
   }
 
-  Task<HttpReply> run_tries(CallStateMachine& chart, std::uint64_t const id, Rules const& rules,
-                            ZoneChoice const& choice, ForwardCall carry, bool const repeatable,
+  Task<HttpReply> run_tries(CallStateMachine& state_machine, std::uint64_t const id, Rules const& rules,
+                            ZoneChoice const& choice, ForwardCall forwarded, bool const repeatable,
                             Instant const deadline) {
     std::set<std::string> tried;
     Error last{"pick", settings_.zone, "no usable backend", Proof::not_run};
     bool may_have_run = false;
     for (int n = 0; n < 4; ++n) {
-      chart.step(CallState::picking);
-      std::optional<Target> const t = pick_target(carry.service, carry.keyed, carry.slice, choice, tried, true);
+      state_machine.step(CallState::picking);
+      std::optional<Target> const t =
+          pick_target(forwarded.service, forwarded.keyed, forwarded.slice, choice, tried, true);
       std::int64_t const left = as_ms(deadline - env_.now());
       if (!t || left <= 0) {
         if (t) last = Error{"pick", settings_.zone, "deadline", Proof::not_run};
@@ -240,25 +245,25 @@
         ++extra_tries_;
       }
       tried.insert(t->history_key);
-      carry.instance = t->instance;
-      carry.crossed = t->instance.empty();
-      carry.budget_ms = static_cast<std::uint32_t>(left);
-      chart.step(CallState::carrying);
-      record(id, chart, carry.crossed ? "cross" : "stay", carry.service,
+      forwarded.instance = t->instance;
+      forwarded.crossed = t->instance.empty();
+      forwarded.budget_ms = static_cast<std::uint32_t>(left);
+      state_machine.step(CallState::carrying);
+      record(id, state_machine, forwarded.crossed ? "cross" : "stay", forwarded.service,
              Error{"carry", t->node,
-                   n > 0            ? "after a failed try"
-                   : choice.by_home ? "home zone of the slice"
-                   : choice.decided ? "catalogue"
-                   : carry.crossed  ? "no usable backend in this zone"
-                                    : "local first",
+                   n > 0               ? "after a failed try"
+                   : choice.by_home    ? "home zone of the slice"
+                   : choice.decided    ? "catalogue"
+                   : forwarded.crossed ? "no usable backend in this zone"
+                                       : "local first",
                    Proof::unknown},
-             rules, &carry, t->cell);
-      ForwardCallReply r = co_await forward_to(*t, carry, deadline);
-      chart.step(CallState::waiting);
+             rules, &forwarded, t->zone);
+      ForwardCallReply r = co_await forward_to(*t, forwarded, deadline);
+      state_machine.step(CallState::waiting);
       if (r.outcome == Outcome::answered && !(broken_on_purpose("no_budget") && repeatable && n == 0)) {
-        chart.step(CallState::answered);
-        record(id, chart, carry.crossed ? "cross" : "stay", carry.service,
-               Error{"answer", t->node, std::to_string(r.reply.status), Proof::unknown}, rules, &carry, t->cell);
+        state_machine.step(CallState::answered);
+        record(id, state_machine, forwarded.crossed ? "cross" : "stay", forwarded.service,
+               Error{"answer", t->node, std::to_string(r.reply.status), Proof::unknown}, rules, &forwarded, t->zone);
         r.reply.headers.push_back({"banktide-outcome", "answered"});
         if (broken_on_purpose("swaps_answers") && env_.chance()() % 50 == 0) std::swap(r.reply.body, swapped_);
         co_return std::move(r.reply);
@@ -274,7 +279,7 @@
     }
     if (broken_on_purpose("calls_unknown_not_run")) may_have_run = false;
     if (may_have_run) last.proof = Proof::unknown;
-    co_return drop_call(chart, id, rules, carry.service, may_have_run ? 504 : 503, last, &carry);
+    co_return drop_call(state_machine, id, rules, forwarded.service, may_have_run ? 504 : 503, last, &forwarded);
   }
 
   void penalize(std::string const& history_key, bool const at_once) {
--- a/source/coordination/feed_timing.hpp
+++ b/source/coordination/feed_timing.hpp
@@ -20,8 +20,8 @@
   Duration moved_warm_up = 2500ms;  // the same, when the nodes move from another registry
   Duration entry_every = 250ms;     // to other zones, when the entry has changed
   Duration entry_repeat = 1s;       // to other zones, when it hasn't
-  Duration registry_meet_every = 500ms;
-  Duration node_meet_every = 2s;
+  Duration registry_exchange_every = 500ms;
+  Duration node_exchange_every = 2s;
   Duration read_every = 200ms;      // by a registry, from a majority of the voters
   Duration drop_empty_after = 30s;  // for the feed of an adopted zone
 };
--- a/source/coordination/held_values.cpp
+++ b/source/coordination/held_values.cpp
@@ -16,9 +16,9 @@
   return all;
 }
 
-bool HeldValues::is_behind(Revisions const& told) const {
-  for (std::size_t i = 0; i < told.size(); ++i)
-    if (told[i] > held_[i].revision) return true;
+bool HeldValues::is_behind(Revisions const& others) const {
+  for (std::size_t i = 0; i < others.size(); ++i)
+    if (others[i] > held_[i].revision) return true;
   return false;
 }
 
--- a/source/coordination/held_values.hpp
+++ b/source/coordination/held_values.hpp
@@ -11,7 +11,7 @@
   RegisterValue const& of(Register const r) const { return held_.at(static_cast<std::size_t>(r)); }
   Revisions revisions() const;
   /// Whether one of these revisions is newer than the one held here.
-  bool is_behind(Revisions const& told) const;
+  bool is_behind(Revisions const& others) const;
 
   /// Accepts the values that are newer and match their digest; returns their registers.
   std::vector<Register> accept(std::vector<std::pair<Register, RegisterValue>> const& newer);
--- a/source/coordination/key_coordinator.hpp
+++ b/source/coordination/key_coordinator.hpp
@@ -21,10 +21,10 @@
 
   void attach(Dispatcher& dispatcher) {
     dispatcher.on<KeyReport>([this](KeyReport report) -> Task<KeyReportReply> {
-      bool const news = !report.released.empty() || !report.ended.empty() || report.state != KeyHolderState::serving;
+      bool const urgent = !report.released.empty() || !report.ended.empty() || report.state != KeyHolderState::serving;
       newest_reported_ = std::max(newest_reported_, report.table);
       planner_.on_report(env_.now(), std::move(report));
-      if (news && acting_()) alarm_.wake();
+      if (urgent && acting_()) alarm_.wake();
       KeyReportReply reply{planner_.table().revision};
       co_return reply;
     });
--- a/source/coordination/registry_directory.cpp
+++ b/source/coordination/registry_directory.cpp
@@ -19,25 +19,26 @@
   add(own, Instant{});
 }
 
-void RegistryDirectory::learn_answer(std::vector<RegistryEntry> const& told, Instant const asked, Instant const now) {
-  for (RegistryEntry const& e : told) {
+void RegistryDirectory::learn_answer(std::vector<RegistryEntry> const& reported, Instant const asked,
+                                     Instant const now) {
+  for (RegistryEntry const& e : reported) {
     // The age counts from when the request was sent, so it never gets smaller on the way.
     Instant const at = asked - std::chrono::milliseconds(e.age_ms);
     if (now - at < kept_for) add(e, at);
   }
 }
 
-void RegistryDirectory::learn_addresses(std::vector<RegistryEntry> const& told, Instant const now) {
-  for (RegistryEntry const& e : told)
+void RegistryDirectory::learn_addresses(std::vector<RegistryEntry> const& reported, Instant const now) {
+  for (RegistryEntry const& e : reported)
     if (std::chrono::milliseconds(e.age_ms) < kept_for && find(e.address) == nullptr) add(e, now - usable_for);
 }
 
-void RegistryDirectory::heard(Address const& address, Instant const now) {
+void RegistryDirectory::record_contact(Address const& address, Instant const now) {
   auto const it = last_heard_.find(address);
   if (it != last_heard_.end()) it->second = std::max(it->second, now);
 }
 
-void RegistryDirectory::heard(RegistryEntry const& entry, Instant const now) { add(entry, now); }
+void RegistryDirectory::record_contact(RegistryEntry const& entry, Instant const now) { add(entry, now); }
 
 void RegistryDirectory::forget_silent(Instant const now) {
   std::erase_if(entries_, [&](RegistryEntry const& e) {
--- a/source/coordination/registry_directory.hpp
+++ b/source/coordination/registry_directory.hpp
@@ -24,12 +24,12 @@
   /// Sets the entry of the registry that owns this directory; it is always alive.
   void set_own(RegistryEntry own);
   /// Merges the entries of the reply to a request sent at `asked`.
-  void learn_answer(std::vector<RegistryEntry> const& told, Instant asked, Instant now);
+  void learn_answer(std::vector<RegistryEntry> const& reported, Instant asked, Instant now);
   /// Merges entries from an unsolicited message: only the addresses, as the message may have been delayed.
-  void learn_addresses(std::vector<RegistryEntry> const& told, Instant now);
+  void learn_addresses(std::vector<RegistryEntry> const& reported, Instant now);
   /// Records direct contact with a registry.
-  void heard(Address const& address, Instant now);
-  void heard(RegistryEntry const& entry, Instant now);
+  void record_contact(Address const& address, Instant now);
+  void record_contact(RegistryEntry const& entry, Instant now);
   void forget_silent(Instant now);
 
   /// All known registries, including silent ones.
--- a/source/coordination/zone_entries.hpp
+++ b/source/coordination/zone_entries.hpp
@@ -26,10 +26,10 @@
     if (now - out.sent_at < pause) return std::nullopt;
     out.sent_at = now;
     if (out.repeats_left > 0) --out.repeats_left;
-    ZoneAnnouncement told;
-    told.entry = out.entry;
-    told.at = at;
-    return told;
+    ZoneAnnouncement announcement;
+    announcement.entry = out.entry;
+    announcement.at = at;
+    return announcement;
   }
 
   /// The zone is no longer served by this registry.
@@ -37,29 +37,29 @@
 
   /// Takes in another registry's announcement; returns the entry if it was accepted, else null. Two registries may
   /// announce one zone while its nodes move from one to the other: the one with more gateways wins.
-  ZoneEntry const* take(ZoneAnnouncement told, Instant const now) {
-    Incoming& known = incoming_[told.entry.zone];
-    bool const same = told.sender == known.sender;
-    bool const overtaken = same && told.at.epoch == known.at.epoch && told.at.seq < known.at.seq;
-    bool const rivals = !same && now - known.heard < rival_timeout;
-    if (overtaken || (rivals && told.entry.gateways.size() <= known.entry.gateways.size())) return nullptr;
-    known = Incoming{std::move(told.entry), std::move(told.sender), told.at, now};
+  ZoneEntry const* accept(ZoneAnnouncement announcement, Instant const now) {
+    Incoming& known = incoming_[announcement.entry.zone];
+    bool const same = announcement.sender == known.sender;
+    bool const overtaken = same && announcement.at.epoch == known.at.epoch && announcement.at.seq < known.at.seq;
+    bool const rivals = !same && now - known.last_heard < rival_timeout;
+    if (overtaken || (rivals && announcement.entry.gateways.size() <= known.entry.gateways.size())) return nullptr;
+    known = Incoming{std::move(announcement.entry), std::move(announcement.sender), announcement.at, now};
     return &known.entry;
   }
 
   /// Forgets zones that nobody has announced for long; returns an empty entry for each.
   std::vector<ZoneEntry> forget(Instant const now) {
-    std::vector<ZoneEntry> gone;
+    std::vector<ZoneEntry> expired;
     std::erase_if(incoming_, [&](auto const& e) {
-      if (now - e.second.heard < RegistryDirectory::kept_for) return false;
-      gone.push_back(ZoneEntry{e.first, {}, {}, {}});
+      if (now - e.second.last_heard < RegistryDirectory::kept_for) return false;
+      expired.push_back(ZoneEntry{e.first, {}, {}, {}});
       return true;
     });
-    return gone;
+    return expired;
   }
 
   template <class F>
-  void each(F f) const {
+  void for_each(F f) const {
     for (auto const& [zone, in] : incoming_) f(in.entry);
     for (auto const& [zone, out] : outgoing_) f(out.entry);
   }
@@ -78,7 +78,7 @@
     ZoneEntry entry;
     Address sender;
     Position at;
-    Instant heard{};
+    Instant last_heard{};
   };
 
   FeedTiming const& timing_;
--- a/source/coordination/zone_feed.hpp
+++ b/source/coordination/zone_feed.hpp
@@ -21,7 +21,7 @@
 
 /// Registry state that the feed's updates carry besides the zone's changes.
 struct FeedSources {
-  std::function<bool()> vouched;
+  std::function<bool()> has_quorum_reading;
   std::function<Revisions()> revisions;
 };
 
@@ -164,8 +164,8 @@
     for (auto const& [id, m] : view_.members) {
       if (m.role == Role::registry) continue;
       bool const watched = neighbours_.watched().contains(id);
-      Instant const heard = effective_last_heard(id, watched, was_suspended);
-      if (watched && now - heard > timing_.suspect_after && m.liveness == Liveness::alive)
+      Instant const last_heard = effective_last_heard(id, watched, was_suspended);
+      if (watched && now - last_heard > timing_.suspect_after && m.liveness == Liveness::alive)
         silent.push_back(Suspect{id, m.incarnation, settings_.registry_id, settings_.zone});
       if (is_dead(m, watched)) dead.push_back(m);
     }
@@ -183,12 +183,12 @@
     for (auto const& [key, b] : view_.backends) {
       if (b.liveness != Liveness::alive || !view_.usable_node(b.node)) continue;
       if (e.offers.empty() || e.offers.back() != b.service) e.offers.push_back(b.service);
-      Member const& beside = view_.members.at(b.node);
-      if (beside.role != Role::gateway) continue;
+      Member const& host = view_.members.at(b.node);
+      if (host.role != Role::gateway) continue;
       ServiceOffer& o = by_node[{b.service, b.node}];
       o.service = b.service;
       o.node = b.node;
-      o.address = beside.address;
+      o.address = host.address;
       o.slots += b.slots;
       o.running += b.slots > 0 ? b.running : 0;
       o.waiting += b.slots > 0 ? b.waiting : 0;
@@ -228,9 +228,9 @@
     unsent_.clear();
   }
 
-  void update_backends(std::string const& node, std::vector<BackendRecord> told) {
+  void update_backends(std::string const& node, std::vector<BackendRecord> reported) {
     std::set<std::pair<std::string, std::string>> named;
-    for (BackendRecord& b : told) {
+    for (BackendRecord& b : reported) {
       b.node = node;
       named.insert({b.service, b.instance});
       auto const at = view_.backends.find({b.service, b.instance});
@@ -238,10 +238,10 @@
       bool const load_only = at != view_.backends.end() && differ_in_load_only(at->second, b);
       publish(Change{0, std::nullopt, b, std::nullopt}, load_only ? Urgency::with_next_pulse : Urgency::at_once);
     }
-    std::vector<BackendRecord> gone;
+    std::vector<BackendRecord> removed;
     for (auto const& [key, b] : view_.backends)
-      if (b.node == node && !named.contains(key)) gone.push_back(b);
-    for (BackendRecord& b : gone) {
+      if (b.node == node && !named.contains(key)) removed.push_back(b);
+    for (BackendRecord& b : removed) {
       b.liveness = Liveness::dead;
       publish(Change{0, std::nullopt, b, std::nullopt}, Urgency::at_once);
     }
@@ -296,7 +296,7 @@
     n.at = position();
     announced_ = n.at;
     n.pulse = ++pulse_;
-    n.has_quorum_reading = sources_.vouched();
+    n.has_quorum_reading = sources_.has_quorum_reading();
     n.root = settings_.registry_address;
     n.revisions = sources_.revisions();
     return n;
@@ -325,10 +325,10 @@
   // member while this process was suspended, doesn't count as silent.
   Instant effective_last_heard(std::string const& id, bool const watched, bool const was_suspended) {
     Instant const now = env_.now();
-    Instant& heard = last_heard_.try_emplace(id, watched ? now : Instant{}).first->second;
-    if (was_suspended) heard = now;
-    if (!watched) heard = std::max(heard, now - timing_.suspect_after / 2);
-    return heard;
+    Instant& last_heard = last_heard_.try_emplace(id, watched ? now : Instant{}).first->second;
+    if (was_suspended) last_heard = now;
+    if (!watched) last_heard = std::max(last_heard, now - timing_.suspect_after / 2);
+    return last_heard;
   }
 
   bool is_dead(Member const& m, bool const watched) const {
--- a/source/coordination/zone_follower.hpp
+++ b/source/coordination/zone_follower.hpp
@@ -55,11 +55,11 @@
   void set_events(FollowerEvents events) { events_ = std::move(events); }
 
   void start(Dispatcher& dispatcher) {
-    dispatcher.on<RegistryExchange>([this](RegistryExchange q) { return meet(std::move(q)); });
-    dispatcher.on<ZoneUpdate>([this](ZoneUpdate q) { return news(std::move(q)); });
+    dispatcher.on<RegistryExchange>([this](RegistryExchange q) { return on_registry_exchange(std::move(q)); });
+    dispatcher.on<ZoneUpdate>([this](ZoneUpdate q) { return on_update(std::move(q)); });
     dispatcher.on<Follow>([this](Follow q) { return follow(q); });
     dispatcher.on<Heartbeat>([this](Heartbeat q) { return on_heartbeat(std::move(q)); });
-    spawn(env_, meet_loop());
+    spawn(env_, exchange_loop());
     spawn(env_, join_loop());
     spawn(env_, refresh_loop());
     spawn(env_, heartbeat_loop());
@@ -123,9 +123,9 @@
  private:
   // ---- contact and callbacks
 
-  void heard(Address const& registry) {
+  void record_contact(Address const& registry) {
     last_contact_ = env_.now();
-    directory_.heard(registry, env_.now());
+    directory_.record_contact(registry, env_.now());
   }
   void status_changed() {
     if (events_.status_changed) events_.status_changed();
@@ -136,7 +136,7 @@
 
   // ---- the registries
 
-  Task<RegistryExchangeReply> meet(RegistryExchange q) {
+  Task<RegistryExchangeReply> on_registry_exchange(RegistryExchange q) {
     directory_.learn_addresses(q.registries, env_.now());
     status_changed();
     RegistryExchangeReply reply;
@@ -145,19 +145,19 @@
     co_return reply;
   }
 
-  Task<void> meet_one(Address const peer) {
+  Task<void> exchange_with(Address const peer) {
     Instant const asked = env_.now();
     RegistryExchange const request{directory_.entries_with_ages(asked)};
-    Result<RegistryExchangeReply> const r = co_await ask(env_, peer, request, asked + meet_timeout);
+    Result<RegistryExchangeReply> const r = co_await ask(env_, peer, request, asked + exchange_timeout);
     if (!r) co_return;
-    heard(peer);
+    record_contact(peer);
     directory_.learn_answer(r->registries, asked, env_.now());
     registry_count_ = std::max(registry_count_, r->cores);
     status_changed();
   }
 
   // The seeds and one other known registry, in case all seeds are down.
-  std::vector<Address> peers_to_meet() {
+  std::vector<Address> exchange_peers() {
     std::vector<Address> peers = settings_.seeds;
     std::vector<RegistryEntry> const& known = directory_.entries();
     if (known.empty()) return peers;
@@ -166,14 +166,14 @@
     return peers;
   }
 
-  Task<void> meet_loop() {
+  Task<void> exchange_loop() {
     while (true) {
-      std::vector<Address> const peers = peers_to_meet();
-      for (Address const& peer : peers) spawn(env_, meet_one(peer));
+      std::vector<Address> const peers = exchange_peers();
+      for (Address const& peer : peers) spawn(env_, exchange_with(peer));
       directory_.forget_silent(env_.now());
-      bool const starting = env_.now() - started_ < frequent_meet_period;
+      bool const starting = env_.now() - started_ < frequent_exchange_period;
       bool const settled = !starting && !own_registry().empty() && directory_.entries().size() >= 2;
-      co_await sleep_for(env_, settled ? timing_.node_meet_every : Duration(200ms));
+      co_await sleep_for(env_, settled ? timing_.node_exchange_every : Duration(200ms));
     }
   }
 
@@ -210,14 +210,14 @@
   }
 
   void handle_join_reply(Join const& q, JoinReply const& r, Address const& registry) {
-    heard(registry);
+    record_contact(registry);
     if (r.taken && q.self.liveness == Liveness::leaving) leave_acknowledged_ = true;
     if (!r.taken && r.incarnation > incarnation_) {
       incarnation_ = r.incarnation;
       join_due_ = true;
     }
     if (r.taken || r.registry.empty() || directory_.alive(r.registry, env_.now())) return;
-    directory_.heard(RegistryEntry{r.registry_zone, r.registry}, env_.now());
+    directory_.record_contact(RegistryEntry{r.registry_zone, r.registry}, env_.now());
     status_changed();
     if (own_registry() != registry) join_due_ = true;
   }
@@ -243,7 +243,7 @@
 
   // Forwards the update before applying it: parsing a value is slow on a small machine, and the delay would add up
   // over the levels of the tree.
-  Task<NoReply> news(ZoneUpdate q) {
+  Task<NoReply> on_update(ZoneUpdate q) {
     last_contact_ = env_.now();
     bool const current = is_current(q);
     if (current) pass_on(q);
@@ -260,7 +260,7 @@
   bool is_current(ZoneUpdate const& q) {
     Address const own = own_registry();
     if (!own.empty() && q.root != own) return false;
-    directory_.heard(q.root, env_.now() - max_update_delay);
+    directory_.record_contact(q.root, env_.now() - max_update_delay);
     if (q.at.epoch == pulse_epoch_ && q.pulse <= pulse_) return false;
     pulse_epoch_ = q.at.epoch;
     pulse_ = q.pulse;
@@ -307,7 +307,7 @@
     Follow const request{position_, settings_.zone};
     Result<FollowReply> const r = co_await ask(env_, from, request, env_.now() + 250ms);
     if (!r) co_return FollowOutcome::no_answer;
-    heard(from);
+    record_contact(from);
     if (!r->known) co_return FollowOutcome::not_kept_there;
     if (r->snapshot) {
       view_.replace(*r->snapshot);
@@ -354,7 +354,7 @@
     auto const replies =
         co_await ask_all<RegisterValuesRequest>(env_, from, request, asked + values_timeout(), one_confirms);
     for (auto const& [i, r] : replies)
-      if (r) heard(from[i]);
+      if (r) record_contact(from[i]);
     auto const confirming = std::find_if(replies.begin(), replies.end(), confirms);
     if (confirming == replies.end()) co_return false;
     RegisterValuesReply const& reply = *confirming->second;
@@ -386,7 +386,7 @@
                                                         Instant const deadline) {
     Result<RegisterValuesReply> const r = co_await ask(env_, from, request, deadline);
     if (!r) co_return std::nullopt;
-    heard(from);
+    record_contact(from);
     accept_values(r->newer);
     accept_deltas(r->key_deltas, r->routing_deltas);
     co_return *r;
@@ -518,7 +518,7 @@
   // Random jitter, so that nodes that fail together don't retry together.
   Duration jittered(Duration const pause) { return pause * 3 / 4 + Duration(env_.chance()() % (pause.count() / 2)); }
 
-  static constexpr Duration meet_timeout = 500ms;
+  static constexpr Duration exchange_timeout = 500ms;
   static constexpr Duration shortest_ask_pause = 150ms;
   static constexpr Duration longest_ask_pause = 600ms;
   static constexpr Duration own_registry_keys_timeout = 150ms;
@@ -526,7 +526,7 @@
   static constexpr Duration keys_retry_pause = 25ms;
   static constexpr Duration in_transit_allowance = 60ms;
   static constexpr std::size_t first_registries_asked = 3;  // registries, when the own one can't confirm
-  static constexpr Duration frequent_meet_period =
+  static constexpr Duration frequent_exchange_period =
       3s;  // after the start, until all registries had time to become known
   // The transport drops frames long before they are this old.
   static constexpr Duration max_update_delay = 3s;
--- a/source/programs/backend_main.cpp
+++ b/source/programs/backend_main.cpp
@@ -39,20 +39,20 @@
   int const record =
       s.text("record").empty() ? -1 : ::open(s.text("record").c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
   Process process;
-  SocketEnvironment world;
+  SocketEnvironment env;
   std::string const service = s.text("service"), instance = s.text("instance"), node = s.text("node");
   Duration const work = std::chrono::milliseconds(s.number("work-ms")),
                  every = std::chrono::milliseconds(s.number("beat-ms"));
   std::uint32_t running = 0;
   bool leaving = false;
-  Instant told{};
+  Instant leave_reported_at{};
   auto const write = [&](std::string const& what, HttpRequest const& q) {
     std::string const line = what + " " + std::to_string(now_ms()) + " " + header(q, "call-id") + " " + service + " " +
                              instance + " " + header(q, "x-key") + " " + header(q, "banktide-epoch") + " " + q.method +
                              "\n";
     if (record >= 0 && ::write(record, line.data(), line.size()) < 0) log_warn("record_failed", {});
   };
-  HttpListener listener(world.io(), s.text("address"), [&](HttpRequest q) -> Task<HttpReply> {
+  HttpListener listener(env.io(), s.text("address"), [&](HttpRequest q) -> Task<HttpReply> {
     HttpReply reply;
     reply.headers = {{"Content-Type", "application/json"}};
     if (header(q, "banktide-service") != service || header(q, "banktide-instance") != instance) {
@@ -63,7 +63,7 @@
     }
     ++running;
     write("begin", q);
-    co_await sleep_for(world, work);
+    co_await sleep_for(env, work);
     write("end", q);
     --running;
     reply.status = 200;
@@ -78,8 +78,8 @@
     return 1;
   }
   std::uint16_t const port = static_cast<std::uint16_t>(parse_address(s.text("address"))->port());
-  HttpClient<SocketEnvironment> caller(world);
-  auto const keep_beating = [&]() -> Task<void> {
+  HttpClient<SocketEnvironment> caller(env);
+  auto const heartbeat_loop = [&]() -> Task<void> {
     while (true) {
       HttpRequest q{
           "POST",
@@ -87,21 +87,22 @@
           {{"Content-Type", "application/json"}},
           Json{{"service", service}, {"instance", instance}, {"port", port}, {"burden", running}, {"leaving", leaving}}
               .dump()};
-      Result<HttpReply> const r = co_await caller.run_at(node, std::move(q), world.now() + 1s);
+      Result<HttpReply> const r = co_await caller.run_at(node, std::move(q), env.now() + 1s);
       if (!r || r->status != 200)
         log_warn("beat_failed",
                  {{"peer", node}, {"reason", r ? "status " + std::to_string(r->status) : r.error().reason}});
-      else if (leaving && told == Instant{})
-        told = world.now();
-      co_await sleep_for(world, leaving && told == Instant{} ? 20ms : every);
+      else if (leaving && leave_reported_at == Instant{})
+        leave_reported_at = env.now();
+      co_await sleep_for(env, leaving && leave_reported_at == Instant{} ? 20ms : every);
     }
   };
   process.run_on_thread([&]() {
-    spawn(world, keep_beating());
+    spawn(env, heartbeat_loop());
     return true;
   });
   log_info("started", {{"address", s.text("address")}});
-  process.run_until_shutdown([&] { leaving = true; },
-                             [&] { return told != Instant{} && world.now() - told > 2s && running == 0; }, [] {}, 6s);
+  process.run_until_shutdown(
+      [&] { leaving = true; },
+      [&] { return leave_reported_at != Instant{} && env.now() - leave_reported_at > 2s && running == 0; }, [] {}, 6s);
   std::_Exit(0);
 }
--- a/source/programs/caller_main.cpp
+++ b/source/programs/caller_main.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-struct Line {
+struct MixEntry {
   std::string name, method, path;
   std::uint64_t rate = 0;
   std::uint64_t keys = 0;
@@ -26,7 +26,7 @@
   s.require_addresses("node", 1);
   if (std::optional<int> const code = s.read(argc, argv)) return *code;
   start_logging(s.text("log-level"), "banktide-caller", "caller");
-  std::vector<Line> lines;
+  std::vector<MixEntry> mix;
   for (std::string const& m : s.list("mix")) {
     std::vector<std::string> parts;
     std::stringstream in(m);
@@ -35,31 +35,31 @@
       std::cerr << "banktide-caller: settings: mix: " << m << " has not five parts\n";
       return 2;
     }
-    lines.push_back(Line{parts[0], parts[1], parts[2], std::stoull(parts[3]), std::stoull(parts[4])});
+    mix.push_back(MixEntry{parts[0], parts[1], parts[2], std::stoull(parts[3]), std::stoull(parts[4])});
   }
   Process process;
-  SocketEnvironment world;
+  SocketEnvironment env;
   std::ofstream record(s.text("record"), std::ios::app);
   std::vector<std::string> const nodes = s.list("node");
   std::mt19937_64 chance(s.number("seed"));
-  HttpClient<SocketEnvironment> caller(world);
-  std::uint64_t last = 0, open = 0;
+  HttpClient<SocketEnvironment> caller(env);
+  std::uint64_t last = 0, in_flight = 0;
   bool ended = false;
-  Instant const start = world.now(), end = start + std::chrono::seconds(s.number("seconds"));
-  auto const one = [&](Line const line, std::string const id, std::string const node,
-                       std::string const key) -> Task<void> {
-    ++open;
+  Instant const start = env.now(), end = start + std::chrono::seconds(s.number("seconds"));
+  auto const send_call = [&](MixEntry const line, std::string const id, std::string const node,
+                             std::string const key) -> Task<void> {
+    ++in_flight;
     std::string const body = line.method == "POST" ? "{\"id\":\"" + id + "\"}" : "";
     HttpRequest q{line.method, line.path + "/" + id, {{"call-id", id}}, body};
     if (!body.empty()) q.headers.push_back({"Content-Type", "application/json"});
     if (line.keys > 0) q.headers.push_back({"x-key", key});
-    Instant const from = world.now();
+    Instant const from = env.now();
     Result<HttpReply> const r = co_await caller.run_at(node, q, from + 4s);
     std::string outcome = r                                   ? "none"
                           : r.error().proof == Proof::not_run ? "unsent"
                                                               : "lost",
                 reason = r ? "" : r.error().reason;
-    bool retry_after = false, right = false;
+    bool retry_after = false, correct = false;
     if (r) {
       for (Header const& h : r->headers) {
         if (h.name == "banktide-outcome") outcome = h.value;
@@ -67,8 +67,8 @@
       }
       if (r->status == 200) {
         Json const j = Json::parse(r->body, nullptr, false);
-        right = j.is_object() && j.value("call", "") == id && j.value("target", "") == q.target &&
-                j.value("digest", "") == std::to_string(digest_of(body));
+        correct = j.is_object() && j.value("call", "") == id && j.value("target", "") == q.target &&
+                  j.value("digest", "") == std::to_string(digest_of(body));
       } else {
         Json const j = Json::parse(r->body, nullptr, false);
         if (j.is_object()) reason = j.value("step", "") + "/" + j.value("peer", "") + "/" + j.value("error", "");
@@ -78,31 +78,31 @@
       if (c == ' ' || c == '\n') c = '_';
     record << as_ms(from.time_since_epoch()) << " " << id << " " << line.name << " " << line.method << " "
            << (key.empty() ? "-" : key) << " " << (r ? r->status : 0) << " " << outcome << " "
-           << (right ? "right" : "-") << " " << (retry_after ? "retry-after" : "-") << " "
-           << std::chrono::duration_cast<std::chrono::microseconds>(world.now() - from).count() << " " << node << " "
+           << (correct ? "right" : "-") << " " << (retry_after ? "retry-after" : "-") << " "
+           << std::chrono::duration_cast<std::chrono::microseconds>(env.now() - from).count() << " " << node << " "
            << (reason.empty() ? "-" : reason) << "\n";
-    --open;
+    --in_flight;
   };
-  auto const keep_calling = [&](Line const l) -> Task<void> {
+  auto const call_loop = [&](MixEntry const l) -> Task<void> {
     Duration const gap = std::chrono::nanoseconds(1000000000ull / std::max<std::uint64_t>(l.rate, 1));
-    typename SocketEnvironment::Alarm alarm(world);
+    typename SocketEnvironment::Alarm alarm(env);
     for (Instant next = start + std::chrono::nanoseconds(chance() % static_cast<std::uint64_t>(gap.count()));
          next < end; next += gap) {
       co_await alarm.wait(next);
       std::string const id = l.name + "-" + std::to_string(s.number("seed")) + "-" + std::to_string(++last);
       std::string const key = l.keys > 0 ? "k" + std::to_string(chance() % l.keys) : "";
-      spawn(world, one(l, id, nodes[chance() % nodes.size()], key));
+      spawn(env, send_call(l, id, nodes[chance() % nodes.size()], key));
     }
     ended = true;
   };
   process.run_on_thread([&]() {
-    for (Line const& line : lines) spawn(world, keep_calling(line));
+    for (MixEntry const& line : mix) spawn(env, call_loop(line));
     return true;
   });
-  bool over = false;
-  while (!over) {
+  bool done = false;
+  while (!done) {
     std::this_thread::sleep_for(50ms);
-    over = process.run_on_thread([&]() { return ended && world.now() > end && open == 0; });
+    done = process.run_on_thread([&]() { return ended && env.now() > end && in_flight == 0; });
   }
   record.flush();
   std::_Exit(record.good() ? 0 : 1);
--- a/source/programs/fleet_main.cpp
+++ b/source/programs/fleet_main.cpp
@@ -60,7 +60,7 @@
 class Fleet {
  public:
   Fleet(Process& p, SocketEnvironment& env, std::string bin, fs::path folder)
-      : process_(p), world_(env), caller_(env), bin_(std::move(bin)), folder_(std::move(folder)) {}
+      : process_(p), env_(env), caller_(env), bin_(std::move(bin)), folder_(std::move(folder)) {}
   ~Fleet() {
     for (auto& [name, c] : children_) end(c, SIGKILL);
   }
@@ -104,7 +104,7 @@
     std::promise<Result<HttpReply>> p;
     HttpRequest q{method, target, std::move(headers), body};
     process_.run_on_thread([&]() {
-      asio::co_spawn(world_.executor(), caller_.run_at(peer, q, world_.now() + 8s),
+      asio::co_spawn(env_.executor(), caller_.run_at(peer, q, env_.now() + 8s),
                      [&](std::exception_ptr e, Result<HttpReply> r) {
                        p.set_value(e ? Result<HttpReply>(make_error("http", peer, "exception")) : std::move(r));
                      });
@@ -113,7 +113,7 @@
     return p.get_future().get();
   }
 
-  std::int64_t now_ms() const { return as_ms(world_.now().time_since_epoch()); }
+  std::int64_t now_ms() const { return as_ms(env_.now().time_since_epoch()); }
 
   // A node still counts as down for a while after its start, until it is ready again.
   void up(Child& c) {
@@ -185,7 +185,7 @@
 
  private:
   Process& process_;
-  SocketEnvironment& world_;
+  SocketEnvironment& env_;
   HttpClient<SocketEnvironment> caller_;
   std::string const bin_;
   fs::path const folder_;
@@ -242,8 +242,8 @@
   fs::path const folder = fs::absolute(s.text("folder"));
   fs::create_directories(folder);
   Process process;
-  SocketEnvironment world;
-  Fleet fleet(process, world, s.text("bin"), folder);
+  SocketEnvironment env;
+  Fleet fleet(process, env, s.text("bin"), folder);
   Ports ports;
   std::vector<Address> stores, registries, operators;
   for (std::size_t i = 0; i < d.zones.size(); ++i) {
@@ -304,9 +304,9 @@
     for (Address const& a : operators) interfaces_file << "operator " << a << "\n";
     for (Address const& a : caller_addresses) interfaces_file << "caller " << a << "\n";
   }
-  Instant const started = world.now();
+  Instant const started = env.now();
   for (auto& [name, c] : fleet.children_) fleet.start(c);
-  for (Instant const deadline = world.now() + 30s; world.now() < deadline; std::this_thread::sleep_for(100ms)) {
+  for (Instant const deadline = env.now() + 30s; env.now() < deadline; std::this_thread::sleep_for(100ms)) {
     std::size_t ready = 0, of = 0;
     for (auto const& [name, c] : fleet.children_) {
       if (c.http.empty()) continue;
@@ -317,7 +317,7 @@
     if (ready == of) break;
   }
   std::cout << "deployment " << d.name << ": " << fleet.children_.size() << " processes, all ready after "
-            << as_ms(world.now() - started) << " ms" << std::endl;
+            << as_ms(env.now() - started) << " ms" << std::endl;
 
   std::vector<Acknowledged> acks;
   auto const put = [&](Address const& at, std::string const& what, std::string const& body) {
@@ -328,12 +328,12 @@
       return;
     }
     acks.push_back(Acknowledged{what, Json::parse(r->body)["revision"].get<Revision>(),
-                                as_ms(world.now().time_since_epoch()), body});
+                                as_ms(env.now().time_since_epoch()), body});
   };
   put(operators[0], "routing", d.routing);
   put(operators[1], "catalogue", d.catalogue);
   // Registries grant no leases for one lease term after their start.
-  for (Instant const deadline = world.now() + 15s; world.now() < deadline; std::this_thread::sleep_for(100ms)) {
+  for (Instant const deadline = env.now() + 15s; env.now() < deadline; std::this_thread::sleep_for(100ms)) {
     Result<HttpReply> const r = fleet.http(operators[0], "GET", "/moves");
     Json const j = r && r->status == 200 ? Json::parse(r->body, nullptr, false) : Json();
     Json const rows = j.is_object() ? j.value("slices", Json::array()) : Json::array();
@@ -407,7 +407,7 @@
                  "--seed",    std::to_string(s.number("seed"))};
   for (Address const& a : caller_addresses) calls.flags.insert(calls.flags.end(), {"--node", a});
   for (std::string const& m : d.mix) calls.flags.insert(calls.flags.end(), {"--mix", m});
-  Instant const from = world.now();
+  Instant const from = env.now();
   fleet.start(calls);
   std::mt19937_64 chance(s.number("seed"));
   Duration const every = std::chrono::milliseconds(s.number("revision-every-ms"));
@@ -416,7 +416,7 @@
   while (true) {
     int status = 0;
     if (::waitpid(calls.pid, &status, WNOHANG) == calls.pid) break;
-    while (next_event < events.size() && world.now() - from >= std::chrono::seconds(events[next_event].second)) {
+    while (next_event < events.size() && env.now() - from >= std::chrono::seconds(events[next_event].second)) {
       Event const e = events[next_event++];
       std::int64_t const at = fleet.now_ms();
       fleet.actions_.faults.push_back(Stage{e.action + " " + e.name, at, at + 5000});
@@ -427,7 +427,7 @@
       else
         fleet.apply(e);
     }
-    if (every > 0s && world.now() >= next_revision) {
+    if (every > 0s && env.now() >= next_revision) {
       next_revision += every;
       Json layout = Json::parse(d.routing);
       layout["note"] = "revision " + std::to_string(++revision) + " of the run";
--- a/source/programs/hollow_fleet_objects.cpp
+++ b/source/programs/hollow_fleet_objects.cpp
@@ -178,12 +178,12 @@
   BANKTIDE_FIELDS(text)
 };
 
-Task<void> ask_echo(SocketEnvironment& world, Address const peer, std::size_t const size, std::size_t const count,
+Task<void> ask_echo(SocketEnvironment& env, Address const peer, std::size_t const size, std::size_t const count,
                     std::promise<std::size_t>& done) {
   std::size_t answered = 0;
   for (std::size_t i = 0; i < count; ++i) {
     Echo const request{std::string(size, 'x')};
-    Result<Echo::Reply> const reply = co_await ask(world, peer, request, world.now() + 2s);
+    Result<Echo::Reply> const reply = co_await ask(env, peer, request, env.now() + 2s);
     answered += reply.has_value();
   }
   done.set_value(answered);
--- a/source/programs/mesh_proxy.cpp
+++ b/source/programs/mesh_proxy.cpp
@@ -72,25 +72,25 @@
   Result<TimingBounds> const bounds = adapter.read_bounds(s.list("bounds"));
   if (!bounds) return start_failed(bounds.error());
   Process process;
-  SocketEnvironment world(peer_limits(s));
+  SocketEnvironment env(peer_limits(s));
   Dispatcher dispatcher;
-  Result<Address> const bound = world.listen(s.text("address"));
+  Result<Address> const bound = env.listen(s.text("address"));
   if (!bound) return start_failed(bound.error());
-  ConnectionsFactory const factory = [&world](Address const& address, std::size_t const limit) {
-    return std::make_unique<BackendConnections>(world.io(), address, limit);
+  ConnectionsFactory const factory = [&env](Address const& address, std::size_t const limit) {
+    return std::make_unique<BackendConnections>(env.io(), address, limit);
   };
-  MeshNode<SocketEnvironment> node(world, node_settings(s, *bounds), adapter, factory);
+  MeshNode<SocketEnvironment> node(env, node_settings(s, *bounds), adapter, factory);
   HttpServer clients(
-      world.io(),
+      env.io(),
       [&node](HttpRequest q, std::shared_ptr<HttpExchange> x) { return node.request(std::move(q), std::move(x)); }, {});
   HttpHandler const interface = [&node](HttpRequest q, std::shared_ptr<HttpExchange>) {
     return node.handle_interface_request(std::move(q));
   };
-  HttpServer readiness(world.io(), interface, {});
-  HttpServer local(world.io(), interface, {});
+  HttpServer readiness(env.io(), interface, {});
+  HttpServer local(env.io(), interface, {});
   node.on_limits = [&clients](ClientLimits const& limits) { clients.set_limits(limits_of(limits)); };
   Result<Address> const open = process.run_on_thread([&]() -> Result<Address> {
-    world.serve(dispatcher);
+    env.serve(dispatcher);
     node.start(dispatcher);
     Result<Address> listening = readiness.listen(s.text("readiness-address"));
     if (listening) listening = local.listen(s.text("local-address"));
--- a/source/programs/mesh_registry.cpp
+++ b/source/programs/mesh_registry.cpp
@@ -53,19 +53,18 @@
   Result<TimingBounds> const bounds = adapter.read_bounds(s.list("bounds"));
   if (!bounds) return start_failed(bounds.error());
   Process process;
-  SocketEnvironment world;
+  SocketEnvironment env;
   Dispatcher dispatcher;
-  Result<Address> const bound = world.listen(s.text("address"));
+  Result<Address> const bound = env.listen(s.text("address"));
   if (!bound) return start_failed(bound.error());
-  Registry<SocketEnvironment> registry(world, registry_settings(s));
-  MeshRegistry<SocketEnvironment> mesh(world, registry, adapter, key_settings(*bounds),
-                                       maintenance_settings(s, *bounds));
+  Registry<SocketEnvironment> registry(env, registry_settings(s));
+  MeshRegistry<SocketEnvironment> mesh(env, registry, adapter, key_settings(*bounds), maintenance_settings(s, *bounds));
   HttpServer operators(
-      world.io(),
+      env.io(),
       [&mesh](HttpRequest q, std::shared_ptr<HttpExchange>) { return mesh.handle_interface_request(std::move(q)); },
       {});
   Result<Address> const open = process.run_on_thread([&]() -> Result<Address> {
-    world.serve(dispatcher);
+    env.serve(dispatcher);
     registry.start(dispatcher);
     mesh.start(dispatcher);
     return operators.listen(s.text("control-address"));
--- a/source/programs/proxy_main.cpp
+++ b/source/programs/proxy_main.cpp
@@ -40,27 +40,27 @@
   if (std::optional<int> const code = s.read(argc, argv)) return *code;
   start_logging(s.text("log-level"), "banktide-proxy", s.text("id"));
   Process process;
-  SocketEnvironment world;
+  SocketEnvironment env;
   Dispatcher dispatcher;
-  Result<Address> const bound = world.listen(s.text("address"));
+  Result<Address> const bound = env.listen(s.text("address"));
   if (!bound) {
     log_warn("start_failed",
              {{"step", bound.error().step}, {"peer", bound.error().peer}, {"reason", bound.error().reason}});
     return 1;
   }
   using Edge = HttpClient<SocketEnvironment>;
-  Edge edge(world);
+  Edge edge(env);
   ProxySettings settings{s.text("id"), s.text("cell"), *bound, s.flag("gateway"), s.list("seed")};
   settings.heartbeat_expiry = std::chrono::milliseconds(s.number("beat-expiry-ms"));
   settings.backend_limit = static_cast<std::uint32_t>(s.number("backend-limit"));
   settings.slice_limit = static_cast<std::uint32_t>(s.number("slice-limit"));
   settings.decisions_kept = s.number("decisions-kept");
-  Proxy<SocketEnvironment, Edge> proxy(world, edge, settings);
-  HttpListener callers(world.io(), s.text("caller"), [&](HttpRequest q) { return proxy.call(std::move(q)); });
-  HttpListener local(world.io(), s.text("local"),
+  Proxy<SocketEnvironment, Edge> proxy(env, edge, settings);
+  HttpListener callers(env.io(), s.text("caller"), [&](HttpRequest q) { return proxy.call(std::move(q)); });
+  HttpListener local(env.io(), s.text("local"),
                      [&](HttpRequest q) -> Task<HttpReply> { co_return proxy.handle_platform_request(q); });
   process.run_on_thread([&]() {
-    world.serve(dispatcher);
+    env.serve(dispatcher);
     proxy.start(dispatcher);
     return true;
   });
@@ -93,9 +93,9 @@
   Instant left{};
   process.run_until_shutdown(
       [&] {
-        left = world.now();
+        left = env.now();
         proxy.leave();
       },
-      [&] { return proxy.idle() && world.now() - left > 2500ms; }, reload, 5500ms);
+      [&] { return proxy.idle() && env.now() - left > 2500ms; }, reload, 5500ms);
   std::_Exit(0);
 }
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -377,7 +377,7 @@
       if (settings_.voters.empty())
         register_client_.add_contacts(
             colocated_stores(std::vector<Address>(peers.begin(), peers.end()), settings_.store_port));
-      co_await sleep_for(env_, directory_.entries().size() < 2 ? Duration(200ms) : timing_.registry_meet_every);
+      co_await sleep_for(env_, directory_.entries().size() < 2 ? Duration(200ms) : timing_.registry_exchange_every);
     }
   }
 
@@ -408,12 +408,12 @@
   void send_entries() {
     for (auto const& [zone, feed] : feeds_) {
       bool const known = feed->warm() && feed->had_nodes() && serves(zone);
-      std::optional<ZoneAnnouncement> told;
-      if (known) told = entries_.due(zone, feed->position(), env_.now(), [&] { return feed->entry(); });
-      if (!told) continue;
-      told->sender = settings_.address;
-      distribute_entry(told->entry);
-      send_to_registries(*told);
+      std::optional<ZoneAnnouncement> announcement;
+      if (known) announcement = entries_.due(zone, feed->position(), env_.now(), [&] { return feed->entry(); });
+      if (!announcement) continue;
+      announcement->sender = settings_.address;
+      distribute_entry(announcement->entry);
+      send_to_registries(*announcement);
     }
   }
 
--- a/source/programs/registry_main.cpp
+++ b/source/programs/registry_main.cpp
@@ -35,17 +35,17 @@
   if (std::optional<int> const code = s.read(argc, argv)) return *code;
   start_logging(s.text("log-level"), "banktide-registry", s.text("id"));
   Process process;
-  SocketEnvironment world;
+  SocketEnvironment env;
   Dispatcher dispatcher;
-  Result<Address> const bound = world.listen(s.text("address"));
+  Result<Address> const bound = env.listen(s.text("address"));
   if (!bound) {
     log_warn("start_failed",
              {{"step", bound.error().step}, {"peer", bound.error().peer}, {"reason", bound.error().reason}});
     return 1;
   }
   Registry<SocketEnvironment> registry(
-      world, RegistrySettings{s.text("id"), s.text("cell"), *bound, s.list("seed"), s.list("voter")});
-  HttpListener operators(world.io(), s.text("operator"),
+      env, RegistrySettings{s.text("id"), s.text("cell"), *bound, s.list("seed"), s.list("voter")});
+  HttpListener operators(env.io(), s.text("operator"),
                          [&](HttpRequest q) { return registry.handle_operator_request(std::move(q)); });
   OperatorStreams<SocketEnvironment> streams(registry);
   operators.on_line_request("/changes",
@@ -55,7 +55,7 @@
   operators.on_line_response("/decisions",
                              [&](HttpRequest q, LineWriter& out) { return streams.decisions(std::move(q), out); });
   process.run_on_thread([&]() {
-    world.serve(dispatcher);
+    env.serve(dispatcher);
     registry.start(dispatcher);
     return true;
   });
--- a/source/programs/shell_main.cpp
+++ b/source/programs/shell_main.cpp
@@ -106,7 +106,7 @@
 class Shell {
  public:
   Shell(Process& p, SocketEnvironment& env, std::vector<Address> registries, bool const json)
-      : process_(p), world_(env), caller_(env), registries_(std::move(registries)), json_(json) {}
+      : process_(p), env_(env), caller_(env), registries_(std::move(registries)), json_(json) {}
 
   int run(std::vector<std::string> const& words) {
     if (words.empty()) return 0;
@@ -117,8 +117,8 @@
     if (words[0] == "place") return place(words);
     if (words[0] == "maintenance") return maintenance(words);
     for (Query const& q : queries)
-      if (words[0] == q.name) return words.size() > 1 ? wrong(words[0] + " takes nothing more") : ask(q);
-    return wrong("no such question: " + words[0] + "; try help");
+      if (words[0] == q.name) return words.size() > 1 ? usage_error(words[0] + " takes nothing more") : ask(q);
+    return usage_error("no such question: " + words[0] + "; try help");
   }
 
  private:
@@ -135,11 +135,11 @@
     return 0;
   }
 
-  int wrong(std::string const& why) {
+  int usage_error(std::string const& why) {
     std::cerr << "banktide-shell: " << why << "\n";
     return 2;
   }
-  int failed(std::string const& step, std::string const& peer, std::string const& why) {
+  int report_error(std::string const& step, std::string const& peer, std::string const& why) {
     std::cerr << "banktide-shell: " << log_line("mishap", {{"step", step}, {"peer", peer}, {"reason", why}}) << "\n";
     return 1;
   }
@@ -150,7 +150,7 @@
     for (Address const& registry : registries_) {
       std::promise<Result<HttpReply>> p;
       process_.run_on_thread([&]() {
-        asio::co_spawn(world_.executor(), caller_.run_at(registry, q, world_.now() + 8s),
+        asio::co_spawn(env_.executor(), caller_.run_at(registry, q, env_.now() + 8s),
                        [&](std::exception_ptr e, Result<HttpReply> got) {
                          p.set_value(e ? Result<HttpReply>(make_error("http", registry, "exception")) : std::move(got));
                        });
@@ -166,15 +166,15 @@
   int ask(Query const& query) {
     HttpRequest const q{"GET", query.target, {}, ""};
     Result<HttpReply> const r = http(q);
-    if (!r) return failed(r.error().step, r.error().peer, r.error().reason);
-    if (r->status != 200) return failed("answer", answering_registry_, std::to_string(r->status) + " " + r->body);
+    if (!r) return report_error(r.error().step, r.error().peer, r.error().reason);
+    if (r->status != 200) return report_error("answer", answering_registry_, std::to_string(r->status) + " " + r->body);
     std::string const rows = query.rows;
     if (rows.empty()) {
       std::cout << r->body << "\n";
       return 0;
     }
     Json const answer = Json::parse(r->body, nullptr, false);
-    if (!answer.is_object()) return failed("read_answer", answering_registry_, "not an object");
+    if (!answer.is_object()) return report_error("read_answer", answering_registry_, "not an object");
     Json const found = rows_of(answer, rows);
     if (json_)
       std::cout << found.dump(1) << "\n";
@@ -189,22 +189,22 @@
 
   int put(std::vector<std::string> const& words) {
     if (words.size() != 3 || (words[1] != "routing" && words[1] != "catalogue"))
-      return wrong("put routing|catalogue FILE");
+      return usage_error("put routing|catalogue FILE");
     std::optional<std::string> const bytes = file_bytes(words[2]);
-    if (!bytes) return failed("read_file", words[2], "can't be read");
+    if (!bytes) return report_error("read_file", words[2], "can't be read");
     HttpRequest const q{"PUT", "/" + words[1], {{"Content-Type", "application/json"}}, *bytes};
     Result<HttpReply> const r = http(q);
-    if (!r) return failed(r.error().step, r.error().peer, r.error().reason);
+    if (!r) return report_error(r.error().step, r.error().peer, r.error().reason);
     std::cout << r->body;
     return r->status == 200 ? 0 : 1;
   }
 
   int maintenance(std::vector<std::string> const& words) {
     tl::expected<MaintenanceCommand, std::string> const command = parse_maintenance_command(words);
-    if (!command) return wrong(command.error());
+    if (!command) return usage_error(command.error());
     Result<HttpReply> const r = http(command->request);
-    if (!r) return failed(r.error().step, r.error().peer, r.error().reason);
-    if (r->status != 200) return failed("answer", answering_registry_, std::to_string(r->status) + " " + r->body);
+    if (!r) return report_error(r.error().step, r.error().peer, r.error().reason);
+    if (r->status != 200) return report_error("answer", answering_registry_, std::to_string(r->status) + " " + r->body);
     Json const windows = windows_in_reply(*command, *r);
     if (json_)
       std::cout << windows.dump(1) << "\n";
@@ -223,23 +223,23 @@
 
   // Prints a catalogue only; `put` applies it.
   int place(std::vector<std::string> const& words) {
-    if (words.size() != 2) return wrong("place FILE");
+    if (words.size() != 2) return usage_error("place FILE");
     std::optional<std::string> const constraints = file_bytes(words[1]);
-    if (!constraints) return failed("read_file", words[1], "can't be read");
+    if (!constraints) return report_error("read_file", words[1], "can't be read");
     HttpRequest const q{"GET", "/routing", {}, ""}, c{"GET", "/catalogue", {}, ""};
     Result<HttpReply> const routing = http(q);
-    if (!routing) return failed(routing.error().step, routing.error().peer, routing.error().reason);
+    if (!routing) return report_error(routing.error().step, routing.error().peer, routing.error().reason);
     if (routing->status != 200)
-      return failed("answer", answering_registry_, std::to_string(routing->status) + " " + routing->body);
+      return report_error("answer", answering_registry_, std::to_string(routing->status) + " " + routing->body);
     Result<HttpReply> const catalogue = http(c);
-    if (!catalogue) return failed(catalogue.error().step, catalogue.error().peer, catalogue.error().reason);
+    if (!catalogue) return report_error(catalogue.error().step, catalogue.error().peer, catalogue.error().reason);
     if (catalogue->status != 200 && catalogue->status != 404)
-      return failed("answer", answering_registry_, std::to_string(catalogue->status) + " " + catalogue->body);
+      return report_error("answer", answering_registry_, std::to_string(catalogue->status) + " " + catalogue->body);
     Result<Layout> const layout = Layout::read(routing->body);
-    if (!layout) return failed(layout.error().step, answering_registry_, layout.error().reason);
+    if (!layout) return report_error(layout.error().step, answering_registry_, layout.error().reason);
     Result<std::string> const placed =
         Placement::solve(*constraints, *layout, catalogue->status == 200 ? catalogue->body : "");
-    if (!placed) return failed(placed.error().step, placed.error().peer, placed.error().reason);
+    if (!placed) return report_error(placed.error().step, placed.error().peer, placed.error().reason);
     std::cout << *placed << "\n";
     return 0;
   }
@@ -253,8 +253,8 @@
       web::http::client::http_client client(web::uri("http://" + registries_.front()), config);
       web::http::http_response r = client.request(web::http::methods::GET, target).get();
       if (r.status_code() != 200)
-        return failed("answer", registries_.front(),
-                      std::to_string(r.status_code()) + " " + r.extract_utf8string(true).get());
+        return report_error("answer", registries_.front(),
+                            std::to_string(r.status_code()) + " " + r.extract_utf8string(true).get());
       concurrency::streams::streambuf<unsigned char> in = r.body().streambuf();
       std::string buffer;
       while (in.getc().get() >= 0) {
@@ -266,7 +266,7 @@
       }
       return 0;
     } catch (std::exception const& e) {
-      return failed("read_lines", registries_.front(), e.what());
+      return report_error("read_lines", registries_.front(), e.what());
     }
   }
 
@@ -276,7 +276,7 @@
     for (std::size_t i = 1; i < words.size(); ++i) {
       std::size_t const at = words[i].find('=');
       std::string const name = words[i].substr(0, at);
-      if (at == std::string::npos) return wrong("decisions takes name=value");
+      if (at == std::string::npos) return usage_error("decisions takes name=value");
       if (name == "lines")
         left = std::strtoull(words[i].c_str() + at + 1, nullptr, 10);
       else
@@ -306,11 +306,11 @@
   // The HTTP library answers a request only after its body has ended, so the verdicts
   // are read with a second request.
   int send(std::vector<std::string> const& words) {
-    if (words.size() != 2) return wrong("send FILE, or send - for standard input");
+    if (words.size() != 2) return usage_error("send FILE, or send - for standard input");
     std::ifstream file;
     if (words[1] != "-") {
       file.open(words[1]);
-      if (!file) return failed("read_file", words[1], "can't be read");
+      if (!file) return report_error("read_file", words[1], "can't be read");
     }
     std::istream& in = words[1] == "-" ? std::cin : file;
     std::string const name = "shell-" + std::to_string(std::random_device{}()) + std::to_string(::getpid());
@@ -343,10 +343,10 @@
       body.close(std::ios_base::out).wait();
       web::http::http_response r = sent.get();
       if (r.status_code() != 200)
-        code = failed("send", registries_.front(),
-                      std::to_string(r.status_code()) + " " + r.extract_utf8string(true).get());
+        code = report_error("send", registries_.front(),
+                            std::to_string(r.status_code()) + " " + r.extract_utf8string(true).get());
     } catch (std::exception const& e) {
-      code = failed("send", registries_.front(), e.what());
+      code = report_error("send", registries_.front(), e.what());
     }
     if (code != 0) std::_Exit(code);
     verdicts.join();
@@ -354,7 +354,7 @@
   }
 
   Process& process_;
-  SocketEnvironment& world_;
+  SocketEnvironment& env_;
   HttpClient<SocketEnvironment> caller_;
   std::vector<Address> const registries_;
   Address answering_registry_;
@@ -418,8 +418,8 @@
   if (std::optional<int> const code = s.read(argc, argv)) return *code;
   start_logging("OFF", "banktide-shell", "shell");
   Process process;
-  SocketEnvironment world;
-  Shell shell(process, world, s.list("registry"), s.flag("json"));
+  SocketEnvironment env;
+  Shell shell(process, env, s.list("registry"), s.flag("json"));
   int code = 0;
   if (!s.list("ask").empty()) {
     code = shell.run(command_words(s));
--- a/source/programs/store_main.cpp
+++ b/source/programs/store_main.cpp
@@ -60,24 +60,24 @@
     return 1;
   }
   Process process;
-  SocketEnvironment world;
+  SocketEnvironment env;
   Dispatcher dispatcher;
   std::vector<std::string> const voters = s.list("voter");
   std::size_t const own =
       static_cast<std::size_t>(std::find(voters.begin(), voters.end(), s.text("address")) - voters.begin());
   bool const fixed = !voters.empty();
   using Voter = Acceptor<SocketEnvironment, SqliteDisk>;
-  std::unique_ptr<Voter> const owned = fixed ? std::make_unique<Voter>(world, **disk, voters, own)
-                                             : std::make_unique<Voter>(world, **disk, s.text("address"));
+  std::unique_ptr<Voter> const owned = fixed ? std::make_unique<Voter>(env, **disk, voters, own)
+                                             : std::make_unique<Voter>(env, **disk, s.text("address"));
   Voter& acceptor = *owned;
   Result<bool> loaded = acceptor.load();
   MembershipSettings membership_settings;
   membership_settings.seeds = s.list("seed-control").empty() ? s.list("seed-voter") : seed_peers(s);
   membership_settings.initial_start = s.flag("initial-start");
   membership_settings.losses = static_cast<std::uint32_t>(s.number("losses"));
-  Membership<SocketEnvironment, SqliteDisk> membership(world, acceptor, membership_settings);
+  Membership<SocketEnvironment, SqliteDisk> membership(env, acceptor, membership_settings);
   Result<Address> bound =
-      loaded ? world.listen(s.text("address")) : Result<Address>(tl::unexpected<Error>(loaded.error()));
+      loaded ? env.listen(s.text("address")) : Result<Address>(tl::unexpected<Error>(loaded.error()));
   if (!bound) {
     log_warn("start_failed",
              {{"step", bound.error().step}, {"peer", bound.error().peer}, {"reason", bound.error().reason}});
@@ -85,9 +85,9 @@
   }
   acceptor.attach(dispatcher);
   process.run_on_thread([&]() {
-    world.serve(dispatcher);
+    env.serve(dispatcher);
     if (!fixed) membership.attach(dispatcher);
-    spawn(world, fixed ? acceptor.run_until_voting() : membership.run());
+    spawn(env, fixed ? acceptor.run_until_voting() : membership.run());
     return true;
   });
   log_info("started", {{"address", *bound}});
@@ -95,7 +95,7 @@
     Process::reload(s, define, line.count(), line.words(), [](std::string const&, Settings const&) { return false; });
   };
   auto const leave = [&] {
-    if (!fixed) spawn(world, membership.leave(removal_patience));
+    if (!fixed) spawn(env, membership.leave(removal_patience));
   };
   process.run_until_shutdown(
       leave, [&] { return fixed || membership.left(); }, reload, removal_patience + 500ms);
--- a/source/transport/backend_connections.cpp
+++ b/source/transport/backend_connections.cpp
@@ -25,8 +25,8 @@
 using ErrorCode = boost::system::error_code;
 
 constexpr Duration connect_timeout = 500ms;
-constexpr int unacknowledged_ms = 2000;           // TCP_USER_TIMEOUT
-constexpr std::size_t surplus_limit = 4;          // answers to other requests before ours
+constexpr int user_timeout_ms = 2000;             // TCP_USER_TIMEOUT
+constexpr std::size_t max_unmatched_answers = 4;  // answers to other requests before ours
 constexpr std::size_t reads_per_event = 16;       // then others get their turn
 constexpr std::size_t pending_limit = 96u << 10;  // unparsed bytes of an answer
 
@@ -34,10 +34,10 @@
   return error == asio::error::would_block || error == asio::error::try_again;
 }
 
-bool has_length_anyway(std::string const& method) { return method == "POST" || method == "PUT" || method == "PATCH"; }
+bool always_has_length(std::string const& method) { return method == "POST" || method == "PUT" || method == "PATCH"; }
 
 // The request's head as it is written, or why it can't be.
-Result<std::string> head_of(HttpRequest request, std::size_t const body_bytes, Address const& peer) {
+Result<std::string> format_request_head(HttpRequest request, std::size_t const body_bytes, Address const& peer) {
   bool const method_safe = is_safe(Header{request.method, ""});
   bool const target_safe = !request.target.empty() && std::all_of(request.target.begin(), request.target.end(),
                                                                   [](char const c) { return c > ' ' && c != '\x7f'; });
@@ -50,14 +50,14 @@
     if (!is_safe(header)) return make_error("request", peer, "unsafe header", Proof::not_run);
     append_header(head, header.name, header.value);
   }
-  if (body_bytes > 0 || has_length_anyway(request.method))
+  if (body_bytes > 0 || always_has_length(request.method))
     append_header(head, "Content-Length", std::to_string(body_bytes));
   head.append("\r\n");
   return head;
 }
 
 // What a call sends, the same for each connection that it tries.
-struct Sending {
+struct OutgoingCall {
   std::string head;
   std::string body;
   std::string attempt_header;
@@ -76,7 +76,7 @@
   BackendPool(asio::io_context& context, Address a, std::size_t const most)
       : io(context), address(std::move(a)), limit(most) {}
 
-  std::shared_ptr<BackendConnection> take_idle(bool repeatable);
+  std::shared_ptr<BackendConnection> acquire_idle(bool repeatable);
   void drop_expired(Instant now);
   void close();
 
@@ -100,44 +100,44 @@
   ~BackendConnection() { close(); }
 
   Task<Result<void>> connect(Instant deadline);
-  Task<Result<HttpReply>> exchange(std::shared_ptr<Sending const> sending);
+  Task<Result<HttpReply>> exchange(std::shared_ptr<OutgoingCall const> outgoing_call);
   void close();
-  bool is_silent();
-  bool may_rest_at(Instant now) const { return now < rests_until_; }
+  bool has_no_pending_input();
+  bool is_reusable_at(Instant now) const { return now < reusable_until_; }
   Instant last_used() const { return last_used_; }
   /// The last exchange ended with the connection, before any byte of an answer.
-  bool died_silently() const { return died_ && !heard_; }
+  bool lost_without_answer() const { return connection_lost_ && !received_anything_; }
 
  private:
   void wait_to_read();
   void wait_to_write();
   void on_readable(ErrorCode const& error);
   bool read_once();
-  void take_bytes(std::string_view bytes);
+  void consume_bytes(std::string_view bytes);
   std::size_t parse(std::string_view bytes);
-  bool take_answer();
+  bool accept_answer();
   void write();
   bool write_once();
   void fail(std::string step, std::string reason);
   void finish(Result<HttpReply> outcome);
-  void lost(std::string const& step, ErrorCode const& error);
-  void keep_or_close(bool reusable, Duration rest);
+  void on_connection_lost(std::string const& step, ErrorCode const& error);
+  void keep_or_close(bool reusable, Duration idle_time);
 
   std::shared_ptr<BackendPool> pool_;
   tcp::socket socket_;
   asio::steady_timer alarm_;
   boost::beast::flat_buffer pending_;
   std::unique_ptr<ReplyParser> parser_;
-  std::shared_ptr<Sending const> sending_;
+  std::shared_ptr<OutgoingCall const> current_call_;
   std::optional<Result<HttpReply>> outcome_;
   std::size_t written_ = 0;
-  std::size_t surplus_ = 0;
+  std::size_t unmatched_answers_ = 0;
   Instant last_used_{};
-  Instant rests_until_{};
-  Duration rest_{};
+  Instant reusable_until_{};
+  Duration idle_time_{};
   bool reusable_ = false;
-  bool heard_ = false;
-  bool died_ = false;
+  bool received_anything_ = false;
+  bool connection_lost_ = false;
   bool waits_to_write_ = false;
   bool closed_ = false;
 };
@@ -166,7 +166,7 @@
   if (!error) socket_.non_blocking(true, error);
   if (!error) socket_.set_option(tcp::no_delay(true), error);
   if (error) co_return make_error("connect", peer, error.message(), Proof::not_run);
-  ::setsockopt(socket_.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &unacknowledged_ms, sizeof unacknowledged_ms);
+  ::setsockopt(socket_.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &user_timeout_ms, sizeof user_timeout_ms);
   wait_to_read();
   co_return Result<void>();
 }
@@ -182,7 +182,7 @@
 
 // Whether an idle connection has neither bytes nor an end waiting that its wait
 // hasn't reported yet.
-bool BackendConnection::is_silent() {
+bool BackendConnection::has_no_pending_input() {
   if (closed_) return false;
   char byte = 0;
   ssize_t const got = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -191,15 +191,15 @@
 
 // ---- an exchange
 
-Task<Result<HttpReply>> BackendConnection::exchange(std::shared_ptr<Sending const> sending) {
+Task<Result<HttpReply>> BackendConnection::exchange(std::shared_ptr<OutgoingCall const> outgoing_call) {
   std::shared_ptr<BackendConnection> const self = shared_from_this();
-  sending_ = std::move(sending);
+  current_call_ = std::move(outgoing_call);
   outcome_.reset();
   written_ = 0;
-  surplus_ = 0;
-  heard_ = died_ = false;
-  alarm_.expires_at(sending_->deadline);
-  CancellationListener const listener(sending_->cancellation, [this] {
+  unmatched_answers_ = 0;
+  received_anything_ = connection_lost_ = false;
+  alarm_.expires_at(current_call_->deadline);
+  CancellationListener const listener(current_call_->cancellation, [this] {
     if (!outcome_) fail("cancelled", "nobody waits for it");
   });
   write();
@@ -210,12 +210,12 @@
   if (!outcome_) fail("deadline", "deadline");
   Result<HttpReply> outcome = std::move(*outcome_);
   outcome_.reset();
-  sending_.reset();
-  keep_or_close(outcome.has_value() && reusable_, rest_);
+  current_call_.reset();
+  keep_or_close(outcome.has_value() && reusable_, idle_time_);
   co_return outcome;
 }
 
-void BackendConnection::keep_or_close(bool const reusable, Duration const rest) {
+void BackendConnection::keep_or_close(bool const reusable, Duration const idle_time) {
   parser_.reset();
   if (!reusable || pool_->closed || closed_) {
     close();
@@ -223,7 +223,7 @@
   }
   if (pending_.capacity() > 0) pending_.shrink_to_fit();
   last_used_ = std::chrono::steady_clock::now();
-  rests_until_ = last_used_ + rest;
+  reusable_until_ = last_used_ + idle_time;
   pool_->idle.push_back(shared_from_this());
 }
 
@@ -239,28 +239,28 @@
   close();
 }
 
-void BackendConnection::lost(std::string const& step, ErrorCode const& error) {
-  if (!sending_ || outcome_) {
+void BackendConnection::on_connection_lost(std::string const& step, ErrorCode const& error) {
+  if (!current_call_ || outcome_) {
     close();
     return;
   }
-  died_ = true;
+  connection_lost_ = true;
   fail(step, error == asio::error::eof ? "closed" : error.message());
 }
 
 // ---- writing
 
 void BackendConnection::write() {
-  while (!closed_ && written_ < sending_->head.size() + sending_->body.size())
+  while (!closed_ && written_ < current_call_->head.size() + current_call_->body.size())
     if (!write_once()) return;
 }
 
 // Whether more may be written at once.
 bool BackendConnection::write_once() {
-  std::size_t const of_head = std::min(written_, sending_->head.size());
+  std::size_t const of_head = std::min(written_, current_call_->head.size());
   std::size_t const of_body = written_ - of_head;
-  std::array<asio::const_buffer, 2> const buffers{asio::buffer(sending_->head) + of_head,
-                                                  asio::buffer(sending_->body) + of_body};
+  std::array<asio::const_buffer, 2> const buffers{asio::buffer(current_call_->head) + of_head,
+                                                  asio::buffer(current_call_->body) + of_body};
   ErrorCode error;
   written_ += socket_.write_some(buffers, error);
   if (would_block(error)) {
@@ -268,7 +268,7 @@
     return false;
   }
   if (error) {
-    lost("write", error);
+    on_connection_lost("write", error);
     return false;
   }
   return true;
@@ -279,7 +279,7 @@
   waits_to_write_ = true;
   socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this()](ErrorCode const& error) {
     self->waits_to_write_ = false;
-    if (!error && self->sending_ && !self->outcome_) self->write();
+    if (!error && self->current_call_ && !self->outcome_) self->write();
   });
 }
 
@@ -293,7 +293,7 @@
 
 void BackendConnection::on_readable(ErrorCode const& error) {
   if (error) {
-    lost("read", error);
+    on_connection_lost("read", error);
     return;
   }
   for (std::size_t i = 0; i < reads_per_event && !closed_; ++i)
@@ -308,10 +308,10 @@
   std::size_t const bytes = socket_.read_some(asio::buffer(scratch.data(), scratch.size()), error);
   if (would_block(error)) return false;
   if (error) {
-    lost("read", error);
+    on_connection_lost("read", error);
     return false;
   }
-  if (!sending_) {  // bytes that answer nothing
+  if (!current_call_) {  // bytes that answer nothing
     close();
     return false;
   }
@@ -319,12 +319,12 @@
     reusable_ = false;
     return false;
   }
-  heard_ = true;
-  take_bytes(std::string_view(scratch.data(), bytes));
+  received_anything_ = true;
+  consume_bytes(std::string_view(scratch.data(), bytes));
   return bytes == scratch.size();
 }
 
-void BackendConnection::take_bytes(std::string_view bytes) {
+void BackendConnection::consume_bytes(std::string_view bytes) {
   if (pending_.size() == 0) bytes.remove_prefix(parse(bytes));
   if (bytes.empty() || closed_) return;
   bool const was_empty = pending_.size() == 0;
@@ -345,7 +345,7 @@
   while (used < bytes.size() && !outcome_) {
     if (!parser_) {
       parser_ = std::make_unique<ReplyParser>(default_header_bytes * 2, default_body_bytes);
-      parser_->skip(sending_->is_head);
+      parser_->skip(current_call_->is_head);
     }
     bool const had_header = parser_->is_header_done();
     ErrorCode error;
@@ -360,7 +360,7 @@
       return bytes.size();
     }
     if (parser_->is_done()) {
-      if (!take_answer()) return bytes.size();
+      if (!accept_answer()) return bytes.size();
     } else if (had_header) {
       break;
     }
@@ -369,23 +369,23 @@
 }
 
 // Whether the connection is still good.
-bool BackendConnection::take_answer() {
+bool BackendConnection::accept_answer() {
   std::unique_ptr<ReplyParser> const answer = std::move(parser_);
   if (answer->status == 101) {
     fail("garbled", "protocol switched unasked");
     return false;
   }
   if (answer->status / 100 == 1) return true;
-  std::string const* const id = find_header(answer->headers, sending_->attempt_header);
-  bool const is_ours = sending_->attempt_header.empty() || (id && *id == sending_->attempt_id);
-  if (!is_ours) {
-    if (++surplus_ <= surplus_limit) return true;
+  std::string const* const id = find_header(answer->headers, current_call_->attempt_header);
+  bool const is_matching = current_call_->attempt_header.empty() || (id && *id == current_call_->attempt_id);
+  if (!is_matching) {
+    if (++unmatched_answers_ <= max_unmatched_answers) return true;
     fail("garbled", "too many surplus answers");
     return false;
   }
-  bool const whole_request_sent = written_ == sending_->head.size() + sending_->body.size();
+  bool const whole_request_sent = written_ == current_call_->head.size() + current_call_->body.size();
   reusable_ = answer->keep_alive() && whole_request_sent;
-  rest_ = usable_idle_time(answer->headers);
+  idle_time_ = usable_idle_time(answer->headers);
   HttpReply reply;
   reply.status = answer->status;
   reply.headers = std::move(answer->headers);
@@ -399,24 +399,25 @@
 
 void BackendPool::drop_expired(Instant const now) {
   std::vector<std::shared_ptr<BackendConnection>> expired;
-  Duration const longest_rest = idle_limit.allowed(now, true);
+  Duration const max_idle_time = idle_limit.allowed(now, true);
   for (std::shared_ptr<BackendConnection> const& connection : idle)
-    if (!connection->may_rest_at(now) || now - connection->last_used() > longest_rest) expired.push_back(connection);
+    if (!connection->is_reusable_at(now) || now - connection->last_used() > max_idle_time)
+      expired.push_back(connection);
   for (std::shared_ptr<BackendConnection> const& connection : expired) connection->close();
 }
 
 // The one used last that may carry the call, or nullptr.
-std::shared_ptr<BackendConnection> BackendPool::take_idle(bool const repeatable) {
+std::shared_ptr<BackendConnection> BackendPool::acquire_idle(bool const repeatable) {
   Instant const now = std::chrono::steady_clock::now();
   drop_expired(now);
   while (!idle.empty()) {
-    std::shared_ptr<BackendConnection> const last = idle.back();
-    if (now - last->last_used() > idle_limit.allowed(now, repeatable)) return nullptr;
-    if (last->is_silent()) {
+    std::shared_ptr<BackendConnection> const most_recent = idle.back();
+    if (now - most_recent->last_used() > idle_limit.allowed(now, repeatable)) return nullptr;
+    if (most_recent->has_no_pending_input()) {
       idle.pop_back();
-      return last;
+      return most_recent;
     }
-    last->close();
+    most_recent->close();
   }
   return nullptr;
 }
@@ -440,29 +441,29 @@
 
 // A kept connection first; if that dies before it answers, a new one, when it is sure
 // that nothing went out or the call may be repeated.
-Task<Result<HttpReply>> run_call(std::shared_ptr<BackendPool> pool, std::shared_ptr<Sending const> sending) {
+Task<Result<HttpReply>> run_call(std::shared_ptr<BackendPool> pool, std::shared_ptr<OutgoingCall const> outgoing_call) {
   Proof proof = Proof::not_run;
-  std::shared_ptr<BackendConnection> connection = pool->take_idle(sending->repeatable);
+  std::shared_ptr<BackendConnection> connection = pool->acquire_idle(outgoing_call->repeatable);
   if (connection) {
     Instant const sent = std::chrono::steady_clock::now();
-    Duration const rested = sent - connection->last_used();
-    Result<HttpReply> first = co_await connection->exchange(sending);
+    Duration const idle_for = sent - connection->last_used();
+    Result<HttpReply> first = co_await connection->exchange(outgoing_call);
     if (first) co_return first;
     Instant const ended = std::chrono::steady_clock::now();
-    if (connection->died_silently()) pool->idle_limit.on_silent_end(ended, rested, ended - sent);
-    bool const may_repeat = first.error().proof == Proof::not_run || sending->repeatable;
-    bool const again = may_repeat && !is_cancelled(sending->cancellation);
-    if (!connection->died_silently() || !again) co_return first;
+    if (connection->lost_without_answer()) pool->idle_limit.on_silent_end(ended, idle_for, ended - sent);
+    bool const may_repeat = first.error().proof == Proof::not_run || outgoing_call->repeatable;
+    bool const may_retry = may_repeat && !is_cancelled(outgoing_call->cancellation);
+    if (!connection->lost_without_answer() || !may_retry) co_return first;
     proof = first.error().proof;
   }
-  Result<std::shared_ptr<BackendConnection>> fresh = co_await open_new(pool, sending->deadline);
-  if (!fresh) {
-    Error error = fresh.error();
+  Result<std::shared_ptr<BackendConnection>> opened_connection = co_await open_new(pool, outgoing_call->deadline);
+  if (!opened_connection) {
+    Error error = opened_connection.error();
     if (proof == Proof::unknown) error.proof = Proof::unknown;
     co_return tl::unexpected<Error>(error);
   }
-  connection = *fresh;
-  Result<HttpReply> outcome = co_await connection->exchange(sending);
+  connection = *opened_connection;
+  Result<HttpReply> outcome = co_await connection->exchange(outgoing_call);
   if (!outcome && proof == Proof::unknown) outcome.error().proof = Proof::unknown;
   co_return outcome;
 }
@@ -478,19 +479,19 @@
   std::shared_ptr<BackendPool> const pool = pool_;
   if (call.deadline <= std::chrono::steady_clock::now())
     co_return make_error("deadline", pool->address, "deadline", Proof::not_run);
-  std::shared_ptr<Sending> const sending = std::make_shared<Sending>();
-  sending->body = std::move(call.request.body);
+  std::shared_ptr<OutgoingCall> const outgoing_call = std::make_shared<OutgoingCall>();
+  outgoing_call->body = std::move(call.request.body);
   call.request.body.clear();
-  sending->is_head = call.request.method == "HEAD";
-  sending->attempt_header = std::move(call.attempt_header);
-  sending->attempt_id = std::move(call.attempt_id);
-  sending->deadline = call.deadline;
-  sending->repeatable = call.repeatable;
-  sending->cancellation = std::move(call.cancellation);
-  Result<std::string> head = head_of(std::move(call.request), sending->body.size(), pool->address);
+  outgoing_call->is_head = call.request.method == "HEAD";
+  outgoing_call->attempt_header = std::move(call.attempt_header);
+  outgoing_call->attempt_id = std::move(call.attempt_id);
+  outgoing_call->deadline = call.deadline;
+  outgoing_call->repeatable = call.repeatable;
+  outgoing_call->cancellation = std::move(call.cancellation);
+  Result<std::string> head = format_request_head(std::move(call.request), outgoing_call->body.size(), pool->address);
   if (!head) co_return tl::unexpected<Error>(head.error());
-  sending->head = std::move(*head);
-  co_return co_await run_call(pool, sending);
+  outgoing_call->head = std::move(*head);
+  co_return co_await run_call(pool, outgoing_call);
 }
 
 void BackendConnections::close() { pool_->close(); }
--- a/tests/coordination/registry_directory_test.cpp
+++ b/tests/coordination/registry_directory_test.cpp
@@ -17,8 +17,8 @@
 
 TEST(RegistryDirectory, a_registry_is_used_for_8_s_and_kept_for_60_unless_its_address_is_a_seeds) {
   RegistryDirectory directory({"seed:1"});
-  directory.heard(entry_of("a", "seed:1"), start);
-  directory.heard(entry_of("a", "other:1"), start);
+  directory.record_contact(entry_of("a", "seed:1"), start);
+  directory.record_contact(entry_of("a", "other:1"), start);
   EXPECT_TRUE(directory.alive("other:1", start + 7999ms));
   EXPECT_FALSE(directory.alive("other:1", start + 8s));
   directory.forget_silent(start + 59s);
@@ -31,7 +31,7 @@
 
 TEST(RegistryDirectory, ages_are_passed_on_and_never_decrease) {
   RegistryDirectory first({}), second({});
-  first.heard(entry_of("a", "x:1"), start);
+  first.record_contact(entry_of("a", "x:1"), start);
   Instant const asked = start + 5s, answered = start + 5400ms;
   second.learn_answer(first.entries_with_ages(asked + 200ms), asked, answered);
   EXPECT_TRUE(second.alive("x:1", start + 7799ms));
@@ -57,13 +57,13 @@
 TEST(RegistryDirectory, a_zone_is_served_by_its_first_live_registry) {
   RegistryDirectory directory({});
   std::vector<Address> own{"a1:1", "a2:1", "a3:1"};
-  for (Address const& a : own) directory.heard(entry_of("a", a), start);
-  directory.heard(entry_of("b", "b1:1"), start);
+  for (Address const& a : own) directory.record_contact(entry_of("a", a), start);
+  directory.record_contact(entry_of("b", "b1:1"), start);
   std::sort(own.begin(), own.end(), [](Address const& x, Address const& y) { return digest_of(x) < digest_of(y); });
   EXPECT_EQ(directory.registry_of("a", start), own[0]);
-  for (Address const& a : {own[1], own[2], Address("b1:1")}) directory.heard(a, start + 9s);
+  for (Address const& a : {own[1], own[2], Address("b1:1")}) directory.record_contact(a, start + 9s);
   EXPECT_EQ(directory.registry_of("a", start + 9s), own[1]);
-  directory.heard(own[0], start + 10s);
+  directory.record_contact(own[0], start + 10s);
   EXPECT_EQ(directory.registry_of("a", start + 10s), own[0]);
 }
 
@@ -73,8 +73,8 @@
   for (int n = 0; n < 300; ++n) {
     std::string const zone = "zone-" + std::to_string(n);
     RegistryDirectory forward({}), backward({}), registry({});
-    for (std::size_t i = 0; i < all.size(); ++i) forward.heard(all[i], start);
-    for (std::size_t i = all.size(); i-- > 0;) backward.heard(all[i], start);
+    for (std::size_t i = 0; i < all.size(); ++i) forward.record_contact(all[i], start);
+    for (std::size_t i = all.size(); i-- > 0;) backward.record_contact(all[i], start);
     registry.set_own(all[0]);
     registry.learn_answer({all[1], all[2]}, start, start);
     Address const chosen = forward.registry_of(zone, start);
@@ -89,8 +89,8 @@
 TEST(RegistryDirectory, without_live_registries_the_zones_own_one_is_returned) {
   RegistryDirectory directory({});
   EXPECT_EQ(directory.registry_of("a", start), "");
-  directory.heard(entry_of("a", "x:1"), start);
-  directory.heard(entry_of("b", "y:1"), start);
+  directory.record_contact(entry_of("a", "x:1"), start);
+  directory.record_contact(entry_of("b", "y:1"), start);
   EXPECT_EQ(directory.registry_of("a", start + 20s), "x:1");
   EXPECT_TRUE(directory.live(start + 20s).empty());
 }
--- a/tests/platform/platform_interface_test.cpp
+++ b/tests/platform/platform_interface_test.cpp
@@ -39,8 +39,9 @@
   tl::expected<InterfaceOperation, InterfaceReply> const leave =
       interpret({"DELETE", "/api/instances/i-7?why=end", ""});
   EXPECT_EQ(std::get<LeaveOperation>(*leave).id, "i-7");
-  tl::expected<InterfaceOperation, InterfaceReply> const beat = interpret({"PUT", "/api/instances/i-8", heartbeat});
-  EXPECT_EQ(std::get<HeartbeatOperation>(*beat).heartbeat.id, "i-8");
+  tl::expected<InterfaceOperation, InterfaceReply> const heartbeat_operation =
+      interpret({"PUT", "/api/instances/i-8", heartbeat});
+  EXPECT_EQ(std::get<HeartbeatOperation>(*heartbeat_operation).heartbeat.id, "i-8");
 }
 
 TEST(PlatformInterface, KeepsTheExactBytesOfAConfiguration) {
--- a/tests/programs/client_disconnect_trial.hpp
+++ b/tests/programs/client_disconnect_trial.hpp
@@ -112,7 +112,7 @@
 class TestNode {
  public:
   TestNode(std::string const& id, std::string const& zone, TestNodeOptions const& options = {})
-      : peers_(*world_.listen("127.0.0.1:0")) {
+      : peers_(*env_.listen("127.0.0.1:0")) {
     make_adapter(options.headers);
     MeshNodeSettings settings;
     settings.follower.id = id;
@@ -120,15 +120,15 @@
     settings.follower.address = peers_;
     settings.service = "orders";
     ConnectionsFactory const factory = [this](Address const& address, std::size_t const limit) {
-      return std::make_unique<BackendConnections>(world_.io(), address, limit);
+      return std::make_unique<BackendConnections>(env_.io(), address, limit);
     };
-    node_ = std::make_unique<MeshNode<SocketEnvironment>>(world_, settings, adapter_, factory);
+    node_ = std::make_unique<MeshNode<SocketEnvironment>>(env_, settings, adapter_, factory);
     HttpHandler const handler = [this](HttpRequest q, std::shared_ptr<HttpExchange> x) {
       return node_->request(std::move(q), std::move(x));
     };
-    server_ = std::make_unique<HttpServer>(world_.io(), handler, HttpServerLimits{});
+    server_ = std::make_unique<HttpServer>(env_.io(), handler, HttpServerLimits{});
     clients_ = *server_->listen("127.0.0.1:0");
-    world_.serve(dispatcher_);
+    env_.serve(dispatcher_);
     node_->start(dispatcher_);
     node_->path().set_router(std::make_shared<Router const>(options.configuration));
   }
@@ -171,7 +171,7 @@
     adapter_.heartbeat_reply = [](HeartbeatAnswer const&) { return InterfaceReply{200, "", "", "", ""}; };
   }
 
-  SocketEnvironment world_;
+  SocketEnvironment env_;
   Address const peers_;
   Address clients_;
   Dispatcher dispatcher_;
