--- a/source/programs/operator_interface.hpp
+++ b/source/programs/operator_interface.hpp
@@ -45,7 +45,7 @@
 class OperatorInterface {
  public:
   explicit OperatorInterface(Registry<Env>& registry)
-      : registry_(registry), register_client_(registry.registers()), env_(registry.world()) {}
+      : registry_(registry), register_client_(registry.registers()), env_(registry.environment()) {}
 
   // Handles a proposal from any interface: the complete bytes of a register, or a
   // change to the newest catalogue.
--- a/source/programs/operator_streams.hpp
+++ b/source/programs/operator_streams.hpp
@@ -84,7 +84,7 @@
 template <Environment Env>
 class OperatorStreams {
  public:
-  explicit OperatorStreams(Registry<Env>& r) : registry_(r), env_(r.world()) {}
+  explicit OperatorStreams(Registry<Env>& r) : registry_(r), env_(r.environment()) {}
 
   static constexpr std::size_t max_streams = 64, max_readers = 32, line_limit = 2 * layout_limit;
 
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -85,7 +85,7 @@
   }
 
   RegistrySettings const& settings() const { return settings_; }
-  Env& world() { return env_; }
+  Env& environment() { return env_; }
   Address const& address() const { return settings_.address; }
   RegisterClient<Env>& registers() { return register_client_; }
   RegisterValue const& held(Register const r) const { return held_.at(static_cast<std::size_t>(r)); }
--- a/tests/programs/control_trial_test.cpp
+++ b/tests/programs/control_trial_test.cpp
@@ -181,7 +181,7 @@
 
   /// All members vote again, and each registry returns the newest confirmed version.
   void expect_recovery(std::uint64_t const seed) {
-    ASSERT_TRUE(t.stores.run_until([&] { return all_vote(); }, 15s)) << "seed " << seed << "\n" << t.stores.described();
+    ASSERT_TRUE(t.stores.run_until([&] { return all_vote(); }, 15s)) << "seed " << seed << "\n" << t.stores.describe();
     t.stores.run_for(2s);
     for (std::size_t const i : members_) {
       HttpReply const seen = finished(t, t.read(i));
