--- a/tests/programs/access_keys_test.cpp
+++ b/tests/programs/access_keys_test.cpp
@@ -77,7 +77,7 @@
                                            RoutingPath::through_gateway));
 
 // Guards against UNASKED: requests executed for no tenant, or for a tenant that the client claims to be.
-TEST_P(AccessKeysOnEachPath, the_backend_is_told_whose_key_it_was_and_never_the_key) {
+TEST_P(AccessKeysOnEachPath, the_backend_gets_the_tenant_and_never_the_key) {
   run_script(GetParam(), [](RoutingPathTrial& trial) -> Task<void> {
     std::string const request = co_await seen_by_backend(
         trial, "read.test", "Authorization: Bearer key-f2\r\nBanktide-Subscriber: mill\r\nbanktide-subscriber: x\r\n");
@@ -86,7 +86,7 @@
 }
 
 // Guards against UNASKED: on a route without keys, a client claims to be a tenant.
-TEST_P(AccessKeysOnEachPath, a_route_without_keys_tells_no_tenant) {
+TEST_P(AccessKeysOnEachPath, a_route_without_keys_passes_no_tenant) {
   run_script(GetParam(), [](RoutingPathTrial& trial) -> Task<void> {
     std::string const request = co_await seen_by_backend(trial, "open.test", "Banktide-Subscriber: mill\r\n");
     EXPECT_EQ(count_of(request, "Subscriber"), 0u) << request;
@@ -94,7 +94,7 @@
 }
 
 // Guards against ROUTE: requests executed for an unknown key.
-TEST_P(AccessKeysOnEachPath, without_a_known_key_nothing_runs) {
+TEST_P(AccessKeysOnEachPath, without_a_known_key_nothing_is_executed) {
   run_script(GetParam(), [](RoutingPathTrial& trial) -> Task<void> {
     for (std::string const headers :
          {"", "Authorization: Bearer key-m3\r\n", "Authorization: Bearer \r\n", "Authorization: Bearer\r\n",
--- a/tests/programs/graceful_shutdown_test.cpp
+++ b/tests/programs/graceful_shutdown_test.cpp
@@ -73,7 +73,7 @@
                                            RoutingPath::through_gateway));
 
 // Guards against LOST: a node that was shutting down accepted requests that it couldn't finish.
-TEST_P(GracefulShutdownOnEachPath, what_may_outlast_the_node_that_takes_it_is_refused_and_what_fits_runs) {
+TEST_P(GracefulShutdownOnEachPath, requests_that_may_outlast_the_node_are_refused_and_others_run) {
   run_script(GetParam(), [](RoutingPathTrial& trial) -> Task<void> {
     trial.ingress().node().leave();
     TestClient client(pool_io());
@@ -93,7 +93,7 @@
 }
 
 // Guards against LOST: a gateway that was shutting down didn't count the requests it had forwarded.
-TEST(GracefulShutdown, a_gateway_owes_what_it_has_passed_on) {
+TEST(GracefulShutdown, a_gateway_counts_forwarded_requests_as_pending) {
   run_script(RoutingPath::through_gateway, [](RoutingPathTrial& trial) -> Task<void> {
     TestClient client(pool_io());
     co_await client.connect(trial.ingress().clients());
@@ -101,7 +101,8 @@
     std::shared_ptr<Peer> const run = co_await trial.backend().accept();
     co_await run->next();
     EXPECT_EQ(trial.gateway().node().pending_work().requests, 1u);
-    EXPECT_EQ(trial.backend_node().node().pending_work().requests, 2u) << "taken from the gateway, and at the backend";
+    EXPECT_EQ(trial.backend_node().node().pending_work().requests, 2u)
+        << "accepted from the gateway, and in flight at the backend";
     co_await run->send(answer("a-1", "done"));
     HttpReply const reply = co_await client.next();
     EXPECT_EQ(reply.status, 200);
@@ -110,7 +111,7 @@
 }
 
 // Guards against LOST: a node exited before it had written complete responses of its backend.
-TEST_P(GracefulShutdownOnEachPath, an_answer_is_owed_until_its_last_byte_is_written) {
+TEST_P(GracefulShutdownOnEachPath, an_answer_is_pending_until_its_last_byte_is_written) {
   run_script(GetParam(), [](RoutingPathTrial& trial) -> Task<void> {
     constexpr std::size_t more_than_sockets_buffer = 24u << 20;
     TestClient client(pool_io());
