--- a/source/data_path/endpoint_selector.cpp
+++ b/source/data_path/endpoint_selector.cpp
@@ -156,10 +156,11 @@
     return select_from(
         all, tried, now, chance, [](Endpoint const&) { return true; }, is_last_resort);
   double const draw = std::uniform_real_distribution<double>(0, 1)(chance);
-  bool const other_load = std::any_of(all.begin(), all.end(),
-                                      [&](Endpoint const& e) { return !is_withheld(e, draw) && is_reachable(e, now); });
+  bool const has_alternative = std::any_of(
+      all.begin(), all.end(), [&](Endpoint const& e) { return !is_withheld(e, draw) && is_reachable(e, now); });
   return select_from(
-      all, tried, now, chance, [&](Endpoint const& e) { return !other_load || !is_withheld(e, draw); }, is_last_resort);
+      all, tried, now, chance, [&](Endpoint const& e) { return !has_alternative || !is_withheld(e, draw); },
+      is_last_resort);
 }
 
 // Two are drawn, the abler ones more often, and the better of them is taken. To take
--- a/source/data_path/local_backend.hpp
+++ b/source/data_path/local_backend.hpp
@@ -64,23 +64,23 @@
         events_(std::move(events)) {}
 
   /** Takes a heartbeat up. False: it is older than one already seen, or of an instance that doesn't count here. */
-  bool heartbeat(BackendHeartbeat const& last_beat) {
+  bool heartbeat(BackendHeartbeat const& heartbeat) {
     Instant const now = env_.now();
-    if (ended_.contains(last_beat.id) || !is_newest_heartbeat(last_beat)) return false;
+    if (ended_.contains(heartbeat.id) || !is_newest_heartbeat(heartbeat)) return false;
     bool changed = false;
-    if (!instance_ || instance_->last_beat.id != last_beat.id) {
-      if (instance_ && !replaces_current(last_beat.id, now)) return false;
+    if (!instance_ || instance_->heartbeat.id != heartbeat.id) {
+      if (instance_ && !replaces_current(heartbeat.id, now)) return false;
       if (instance_) retire("another instance beats here");
-      start(last_beat);
+      start(heartbeat);
       changed = true;
     }
     Instance& i = *instance_;
-    changed = changed || i.last_beat.slots != last_beat.slots || i.refused || (last_beat.leaving && !i.draining_since);
-    if (last_beat.leaving && !i.draining_since) i.draining_since = now;
-    i.last_beat = last_beat;
+    changed = changed || i.heartbeat.slots != heartbeat.slots || i.refused || (heartbeat.leaving && !i.draining_since);
+    if (heartbeat.leaving && !i.draining_since) i.draining_since = now;
+    i.heartbeat = heartbeat;
     i.last_heartbeat = now;
     i.refused = false;
-    i.queue.set_slots(last_beat.slots);
+    i.queue.set_slots(heartbeat.slots);
     apply_queue_decisions();
     if (changed) events_.record_changed();
     return true;
@@ -88,10 +88,10 @@
 
   /** The backend signs off. */
   void leave(std::string const& id) {
-    if (!instance_ || instance_->last_beat.id != id) return;
-    bool const drained = instance_->last_beat.leaving;
+    if (!instance_ || instance_->heartbeat.id != id) return;
+    bool const drained = instance_->heartbeat.leaving;
     if (!drained) events_.left_undrained(id);
-    std::string const service = instance_->last_beat.service;
+    std::string const service = instance_->heartbeat.service;
     ended_.insert(id);
     retire("it signed off");
     if (drained) events_.ended(service, id, "it signed off");
@@ -104,13 +104,13 @@
     Instance const& i = *instance_;
     if (i.refused || env_.now() - i.last_heartbeat > settings_.silent_after) return {};
     BackendRecord r;
-    r.service = i.last_beat.service;
-    r.instance = i.last_beat.id;
+    r.service = i.heartbeat.service;
+    r.instance = i.heartbeat.id;
     r.node = settings_.node;
     r.running = announced_running_;
     r.waiting = announced_waiting_;
-    r.slots = i.last_beat.slots;
-    r.warming = i.last_beat.warm_left > Duration::zero();
+    r.slots = i.heartbeat.slots;
+    r.warming = i.heartbeat.warm_left > Duration::zero();
     r.liveness = i.draining_since ? Liveness::leaving : Liveness::alive;
     return {r};
   }
@@ -125,7 +125,7 @@
     if (!instance_) return l;
     l.running = instance_->queue.running();
     l.waiting = instance_->queue.waiting();
-    l.slots = instance_->last_beat.slots;
+    l.slots = instance_->heartbeat.slots;
     l.run_us = static_cast<std::uint32_t>(
         std::chrono::duration_cast<std::chrono::microseconds>(instance_->queue.estimate().overall()).count());
     l.failed_percent = instance_->failures.percent(env_.now());
@@ -172,7 +172,7 @@
     }
     if (now - instance_->last_heartbeat > settings_.silent_after && !instance_->silent) {
       instance_->silent = true;
-      log_info("backend_silent", {{"instance", instance_->last_beat.id}});
+      log_info("backend_silent", {{"instance", instance_->heartbeat.id}});
       events_.record_changed();
     }
   }
@@ -189,7 +189,7 @@
 
   /** One life of the backend. */
   struct Instance {
-    BackendHeartbeat last_beat;
+    BackendHeartbeat heartbeat;
     std::shared_ptr<BackendCaller> connections;
     BackendQueue queue;
     FailureShare failures;
@@ -204,19 +204,19 @@
     OneShot<Env, bool> turn;
   };
 
-  void start(BackendHeartbeat const& last_beat) {
+  void start(BackendHeartbeat const& heartbeat) {
     ++incarnation_;
     instance_.emplace();
-    instance_->connections = factory_(last_beat.address, events_.connection_limit(last_beat.service));
-    instance_->queue.set_slots(last_beat.slots);
+    instance_->connections = factory_(heartbeat.address, events_.connection_limit(heartbeat.service));
+    instance_->queue.set_slots(heartbeat.slots);
     log_info("backend_up",
-             {{"service", last_beat.service}, {"instance", last_beat.id}, {"address", last_beat.address}});
+             {{"service", heartbeat.service}, {"instance", heartbeat.id}, {"address", heartbeat.address}});
   }
 
-  bool is_newest_heartbeat(BackendHeartbeat const& last_beat) {
-    std::uint64_t& newest = newest_sequences_.try_emplace(last_beat.id, last_beat.sequence).first->second;
-    if (last_beat.sequence < newest) return false;
-    newest = last_beat.sequence;
+  bool is_newest_heartbeat(BackendHeartbeat const& heartbeat) {
+    std::uint64_t& newest = newest_sequences_.try_emplace(heartbeat.id, heartbeat.sequence).first->second;
+    if (heartbeat.sequence < newest) return false;
+    newest = heartbeat.sequence;
     return true;
   }
 
@@ -232,7 +232,7 @@
   }
 
   void retire(std::string const& reason) {
-    log_info("backend_ended", {{"instance", instance_->last_beat.id}, {"reason", reason}});
+    log_info("backend_ended", {{"instance", instance_->heartbeat.id}, {"reason", reason}});
     instance_->queue.refuse_all();
     apply_queue_decisions();
     wake_awaiting_keys();
@@ -258,7 +258,7 @@
   }
 
   ForwardReply check(Forward const& forward, Instant const now) const {
-    if (!instance_ || instance_->last_beat.service != forward.service)
+    if (!instance_ || instance_->heartbeat.service != forward.service)
       return refuse(Refusal::no_backend, "no backend of the service here", 100ms);
     Instance const& i = *instance_;
     if (i.refused || now - i.last_heartbeat > settings_.silent_after)
@@ -280,7 +280,7 @@
 
   // The table gives the key to the backend, which learns of it by its next heartbeat.
   bool is_key_pending(Forward const& forward, Instant const now) const {
-    if (!forward.keyed || !instance_ || keys_ == nullptr || instance_->last_beat.service != forward.service)
+    if (!forward.keyed || !instance_ || keys_ == nullptr || instance_->heartbeat.service != forward.service)
       return false;
     bool const stays = !instance_->draining_since && !instance_->refused;
     return stays && !key_held(forward, now) && keys_->is_assigned(forward.key) &&
@@ -351,7 +351,7 @@
     });
     std::int64_t const left = std::max<std::int64_t>(as_ms(deadline - env_.now()), 1);
     call.request.headers.push_back({std::string(headers_.remaining_ms), std::to_string(left)});
-    call.request.headers.push_back({std::string(headers_.target_instance), instance_->last_beat.id});
+    call.request.headers.push_back({std::string(headers_.target_instance), instance_->heartbeat.id});
     call.request.headers.push_back({std::string(headers_.calling_service), forward.calling_service});
     if (!forward.tenant.empty()) call.request.headers.push_back({std::string(headers_.tenant), forward.tenant});
     return call;
@@ -374,7 +374,7 @@
                        "not sendable any more", 50ms);
     }
     std::shared_ptr<BackendCaller> const connections = instance_->connections;
-    std::string const instance = instance_->last_beat.id;
+    std::string const instance = instance_->heartbeat.id;
     BackendCall call = call_of(forward, deadline);
     if (forward.repeatable) call.cancellation = cancellation;
     Result<HttpReply> got = co_await connections->call(std::move(call));
@@ -402,8 +402,8 @@
   }
 
   ForwardReply classify_reply(HttpReply http, std::string const& instance) {
-    bool const marked = has_header(http.headers, headers_.not_executed) || http.status == 421;
-    if (marked) {
+    bool const said_not_executed = has_header(http.headers, headers_.not_executed) || http.status == 421;
+    if (said_not_executed) {
       log_refusal(instance, http.status);
       return refuse(Refusal::by_backend, "backend did not run it", 50ms);
     }
@@ -434,12 +434,12 @@
 
   ForwardReply classify_failure(Error const& error, std::string const& instance) {
     bool const nobody_listens = error.step == "connect" && error.reason == "refused";
-    if (nobody_listens && instance_ && instance_->last_beat.id == instance) {
+    if (nobody_listens && instance_ && instance_->heartbeat.id == instance) {
       instance_->refused = true;
       instance_->queue.refuse_all();
       apply_queue_decisions();
       log_info("backend_refuses", {{"instance", instance}});
-      events_.ended(instance_->last_beat.service, instance, "nobody listens at its port");
+      events_.ended(instance_->heartbeat.service, instance, "nobody listens at its port");
       events_.record_changed();
     }
     if (error.proof == Proof::not_run) return refuse(Refusal::no_backend, error.step + ": " + error.reason, 100ms);
