--- a/tests/sources/source_rules_test.cpp
+++ b/tests/sources/source_rules_test.cpp
@@ -45,7 +45,7 @@
 
 TEST(IncludeRules, a_folder_includes_itself_and_those_below) {
   EXPECT_FALSE(goes_upwards("source/state/pick.hpp", "state/layout.hpp"));
-  EXPECT_FALSE(goes_upwards("source/data_path/request_path.hpp", "coordination/key_granter.hpp"));
+  EXPECT_FALSE(goes_upwards("source/data_path/request_path.hpp", "coordination/key_holder.hpp"));
   EXPECT_FALSE(goes_upwards("source/transport/surroundings.hpp", "protocol/archive.hpp"));
   EXPECT_FALSE(goes_upwards("source/protocol/archive.hpp", "transport/result.hpp"));
 }
