--- a/source/coordination/backend_handler.hpp
+++ b/source/coordination/backend_handler.hpp
@@ -46,7 +46,7 @@
     Result<Json> j = parse_json(body, 4096);
     Result<bool> const fits = j ? check_schema(*j, heartbeat_schema) : Result<bool>(tl::unexpected<Error>(j.error()));
     if (!fits) {
-      n_.note("bad_beat", fits.error());
+      n_.record_error("bad_beat", fits.error());
       return json_reply(fits.error().step == "parse_json" || fits.error().step == "check_size" ? 400 : 422,
                         {{"error", fits.error().reason}, {"step", fits.error().step}, {"pointer", fits.error().peer}});
     }
--- a/source/coordination/call_handler.hpp
+++ b/source/coordination/call_handler.hpp
@@ -270,7 +270,7 @@
       }
       last = Error{r.step, r.peer.empty() ? t->node : r.peer, r.reason,
                    r.outcome == Outcome::not_run ? Proof::not_run : Proof::unknown};
-      n_.note("carry", last);
+      n_.record_error("carry", last);
       if (r.outcome == Outcome::unknown) {
         may_have_run = true;
         if (!repeatable && !broken_on_purpose("tries_unknown_again")) break;
--- a/source/coordination/node_state.hpp
+++ b/source/coordination/node_state.hpp
@@ -111,7 +111,7 @@
       follower.rejoin();
   }
 
-  void note(std::string const& what, Error const& m) { mishaps.note(env.now() - started, what, m); }
+  void record_error(std::string const& what, Error const& m) { recent_errors.note(env.now() - started, what, m); }
 
   Env& env;
   ProxySettings settings;
@@ -126,7 +126,7 @@
   // As the zone's follower last reported.
   std::vector<RegistryEntry> directory;
   std::uint32_t registry_count = 0;
-  RecentErrors mishaps;
+  RecentErrors recent_errors;
   Instant left_at{};
   bool has_confirmed_values = false, has_view = false, leaving = false;
 };
--- a/source/coordination/proxy_zone_follower.hpp
+++ b/source/coordination/proxy_zone_follower.hpp
@@ -52,7 +52,7 @@
     if (routing.revision > 0) {
       Result<Layout> l = Layout::read(routing.bytes);
       if (!l) {
-        n_.note("layout", l.error());
+        n_.record_error("layout", l.error());
         return;
       }
       next->layout = std::move(*l);
@@ -63,7 +63,7 @@
       if (c)
         next->catalogue = std::move(*c);
       else
-        n_.note("catalogue", c.error());
+        n_.record_error("catalogue", c.error());
       next->catalogue_revision = catalogue.revision;
     }
     put_in_force(std::move(next));
--- a/source/programs/proxy.hpp
+++ b/source/programs/proxy.hpp
@@ -65,7 +65,7 @@
                                               {"viewed", node_.has_view},
                                               {"leaving", node_.leaving}});
     if (path == "/state") return json_reply(200, state());
-    if (path == "/mishaps") return json_reply(200, node_.mishaps.json());
+    if (path == "/mishaps") return json_reply(200, node_.recent_errors.json());
     return json_reply(404, {{"error", "no such resource"}, {"path", path}});
   }
 
@@ -84,7 +84,7 @@
     j["calls"]["carried_in_flight"] = carried_side_.in_flight();
     j["leases"] = backend_side_.leases_json();
     j["local"] = backend_side_.json();
-    j["mishaps"] = node_.mishaps.last();
+    j["mishaps"] = node_.recent_errors.last();
     return j;
   }
 
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -361,7 +361,7 @@
     RegistryExchange const question{directory_.entries_with_ages(asked)};
     Result<RegistryExchangeReply> const r = co_await ask(env_, peer, question, asked + meet_timeout);
     if (!r) co_return;
-    directory_.heard(peer, env_.now());
+    directory_.record_contact(peer, env_.now());
     directory_.learn_answer(r->registries, asked, env_.now());
   }
 
@@ -393,10 +393,10 @@
   bool serves(std::string const& zone) const { return directory_.registry_of(zone, env_.now()) == settings_.address; }
 
   Task<NoReply> receive_announcement(ZoneAnnouncement q) {
-    directory_.heard(q.sender, env_.now() - max_message_delay);
+    directory_.record_contact(q.sender, env_.now() - max_message_delay);
     auto const feed = feeds_.find(q.entry.zone);
     bool const kept_here = feed != feeds_.end() && feed->second->has_nodes() && serves(q.entry.zone);
-    ZoneEntry const* const newer = kept_here ? nullptr : entries_.take(std::move(q), env_.now());
+    ZoneEntry const* const newer = kept_here ? nullptr : entries_.accept(std::move(q), env_.now());
     if (newer != nullptr) distribute_entry(*newer);
     co_return NoReply{};
   }
@@ -424,7 +424,7 @@
     FeedSources sources{[this] { return has_quorum_reading(); }, [this] { return revisions(); }};
     std::shared_ptr<ZoneFeed<Env>> const feed =
         std::make_shared<ZoneFeed<Env>>(env_, std::move(settings), std::move(sources));
-    entries_.each([&](ZoneEntry const& entry) { feed->update_zone_entry(entry); });
+    entries_.for_each([&](ZoneEntry const& entry) { feed->update_zone_entry(entry); });
     return feed;
   }
 
--- a/tests/coordination/zone_feed_test.cpp
+++ b/tests/coordination/zone_feed_test.cpp
@@ -117,12 +117,12 @@
   Position const seen = t.feed->position();
   for (std::size_t i = 0; i < entry.services.size(); i += 3) entry.services[i].running = 5;
   t.feed->update_zone_entry(entry);
-  FollowReply const told = t.feed->follow(Follow{seen, "a"});
-  ASSERT_EQ(told.changes.size(), 1u);
-  EXPECT_LT(pack(told).size(), 250u);
+  FollowReply const reply = t.feed->follow(Follow{seen, "a"});
+  ASSERT_EQ(reply.changes.size(), 1u);
+  EXPECT_LT(pack(reply).size(), 250u);
   ZoneView follower;
   follower.apply(Change{0, std::nullopt, std::nullopt, entry});
-  follower.apply(told.changes[0]);
+  follower.apply(reply.changes[0]);
   EXPECT_EQ(t.feed->view().zones.at("b"), entry);
 }
 
@@ -273,9 +273,9 @@
 
 TEST(ZoneFeed, its_heartbeats_carry_no_position_that_was_not_published) {
   FeedTrial t;
-  std::vector<Position> told;
+  std::vector<Position> positions;
   t.net.on_send = [&](SimProcess const&, Address const&, std::uint8_t const kind, Bytes const& raw) {
-    if (kind == Heartbeat::kind) told.push_back(unpack<Heartbeat>(raw)->at);
+    if (kind == Heartbeat::kind) positions.push_back(unpack<Heartbeat>(raw)->at);
   };
   t.join("n1", {backend("s", "i", 8, 0)});
   t.run_for(2s);
@@ -284,9 +284,9 @@
   t.join("n1", {backend("s", "i", 8, 5)});
   t.feed->watch();
   t.run_for(5ms);
-  ASSERT_EQ(told.size(), 1u);
-  EXPECT_EQ(told[0], sent);
-  EXPECT_NE(told[0], t.feed->position());
+  ASSERT_EQ(positions.size(), 1u);
+  EXPECT_EQ(positions[0], sent);
+  EXPECT_NE(positions[0], t.feed->position());
 }
 
 // ---- entries exchanged between zones
@@ -305,33 +305,34 @@
   FeedTiming const timing;
   ZoneEntries entries(timing);
   Instant const start{std::chrono::hours(1)};
-  std::size_t told = 0, made = 0;
+  std::size_t sent = 0, made = 0;
   for (Duration at = 0ms; at < 10s; at += 50ms)
-    told += entries.due("a", Position{1, 1}, start + at, [&] { return ++made, entry_with(2); }).has_value();
+    sent += entries.due("a", Position{1, 1}, start + at, [&] { return ++made, entry_with(2); }).has_value();
   EXPECT_EQ(made, 1u);
-  EXPECT_EQ(told, 3u + 9u);
-  told = 0;
+  EXPECT_EQ(sent, 3u + 9u);
+  sent = 0;
   for (Duration at = 10s; at < 11s; at += 50ms) {
     Position const moved{1, 2 + static_cast<std::uint64_t>(at / 50ms)};
     std::size_t const gateways = static_cast<std::size_t>(at / 50ms) % 5;
-    told += entries.due("a", moved, start + at, [&] { return entry_with(gateways); }).has_value();
+    sent += entries.due("a", moved, start + at, [&] { return entry_with(gateways); }).has_value();
   }
-  EXPECT_LE(told, 4u) << "changes come at most every 250 ms";
-  EXPECT_GE(told, 3u);
+  EXPECT_LE(sent, 4u) << "changes come at most every 250 ms";
+  EXPECT_GE(sent, 3u);
 }
 
 TEST(ZoneEntries, of_two_announcers_the_one_with_more_gateways_wins_until_it_is_silent) {
   FeedTiming const timing;
   ZoneEntries entries(timing);
   Instant const start{std::chrono::hours(1)};
-  EXPECT_NE(entries.take(ZoneAnnouncement{entry_with(2), "x", {1, 5}}, start), nullptr);
-  EXPECT_EQ(entries.take(ZoneAnnouncement{entry_with(2), "x", {1, 4}}, start), nullptr)
+  EXPECT_NE(entries.accept(ZoneAnnouncement{entry_with(2), "x", {1, 5}}, start), nullptr);
+  EXPECT_EQ(entries.accept(ZoneAnnouncement{entry_with(2), "x", {1, 4}}, start), nullptr)
       << "overtaken by a newer announcement";
-  EXPECT_NE(entries.take(ZoneAnnouncement{entry_with(1), "x", {2, 1}}, start), nullptr) << "the registry was restarted";
-  EXPECT_EQ(entries.take(ZoneAnnouncement{entry_with(1), "y", {9, 1}}, start + 1s), nullptr);
-  EXPECT_NE(entries.take(ZoneAnnouncement{entry_with(2), "y", {9, 2}}, start + 1s), nullptr);
-  EXPECT_EQ(entries.take(ZoneAnnouncement{entry_with(0), "x", {2, 3}}, start + 2s), nullptr);
-  EXPECT_NE(entries.take(ZoneAnnouncement{entry_with(1), "x", {2, 4}}, start + 5s), nullptr);
+  EXPECT_NE(entries.accept(ZoneAnnouncement{entry_with(1), "x", {2, 1}}, start), nullptr)
+      << "the registry was restarted";
+  EXPECT_EQ(entries.accept(ZoneAnnouncement{entry_with(1), "y", {9, 1}}, start + 1s), nullptr);
+  EXPECT_NE(entries.accept(ZoneAnnouncement{entry_with(2), "y", {9, 2}}, start + 1s), nullptr);
+  EXPECT_EQ(entries.accept(ZoneAnnouncement{entry_with(0), "x", {2, 3}}, start + 2s), nullptr);
+  EXPECT_NE(entries.accept(ZoneAnnouncement{entry_with(1), "x", {2, 4}}, start + 5s), nullptr);
   EXPECT_TRUE(entries.forget(start + 30s).empty());
   std::vector<ZoneEntry> const gone = entries.forget(start + 66s);
   ASSERT_EQ(gone.size(), 1u);
