--- a/source/data_path/client_departure.hpp
+++ b/source/data_path/client_departure.hpp
@@ -39,7 +39,7 @@
  private:
   static constexpr Duration outlive_threshold = 500ms;
   std::optional<Instant> at_;
-  ClientState last_state_ = ClientState::here;
+  ClientState last_state_ = ClientState::connected;
 };
 
 }  // namespace banktide
--- a/source/programs/fleet_main.cpp
+++ b/source/programs/fleet_main.cpp
@@ -185,7 +185,7 @@
 
  private:
   Process& process_;
-  SocketEnvironment& env_;
+  SocketEnvironment& world_;
   HttpClient<SocketEnvironment> caller_;
   std::string const bin_;
   fs::path const folder_;
--- a/source/transport/backend_connections.cpp
+++ b/source/transport/backend_connections.cpp
@@ -73,8 +73,8 @@
 class BackendConnection;
 
 struct BackendPool : std::enable_shared_from_this<BackendPool> {
-  BackendPool(asio::io_context& context, Address a, std::size_t const most)
-      : io(context), address(std::move(a)), limit(most) {}
+  BackendPool(asio::io_context& context, Address a, std::size_t const max_open)
+      : io(context), address(std::move(a)), limit(max_open) {}
 
   std::shared_ptr<BackendConnection> acquire_idle(bool repeatable);
   void drop_expired(Instant now);
--- a/source/transport/http_edge.hpp
+++ b/source/transport/http_edge.hpp
@@ -71,7 +71,7 @@
 
 inline bool is_cookie(std::string const& name) {
   std::string const expected = "set-cookie";
-  return name.size() == expected.size() && std::equal(name.start(), name.end(), expected.start(), [](char a, char b) {
+  return name.size() == expected.size() && std::equal(name.begin(), name.end(), expected.begin(), [](char a, char b) {
            return std::tolower(static_cast<unsigned char>(a)) == b;
          });
 }
@@ -103,7 +103,7 @@
         if (ended_) continue;
         std::vector<unsigned char> raw(std::min<std::size_t>(n, 64u << 10));
         std::size_t const got = co_await await_task(in_.getn(raw.data(), raw.size()));
-        unread_.append(raw.start(), raw.start() + static_cast<std::ptrdiff_t>(got));
+        unread_.append(raw.begin(), raw.begin() + static_cast<std::ptrdiff_t>(got));
       } catch (std::exception const& e) {
         log_warn("caller_gone", {{"step", "read_lines"}, {"reason", e.what()}});
         unread_.clear();
--- a/source/transport/http_server.hpp
+++ b/source/transport/http_server.hpp
@@ -26,7 +26,7 @@
 /// What is known of the client of a request. A FIN may come from a client that has closed or from
 /// one that only has nothing more to say: TCP tells them apart only when something is sent.
 enum class ClientState : std::uint8_t {
-  here,
+  connected,
   finished_sending,  ///< a FIN came; the answer is still written, and lost if the client had closed
   gone,              ///< reset: nobody will read the answer, and it is dropped
 };
@@ -34,11 +34,11 @@
 /// A request on its way, as its handler sees it beside the request's content.
 struct HttpExchange {
   Instant arrival{};  ///< when the request's first bytes were read
-  ClientState client = ClientState::here;
+  ClientState client = ClientState::connected;
   std::function<void(ClientState)> on_hang_up;  ///< called when `client` changes while the handler runs
 
   bool client_gone() const { return client == ClientState::gone; }
-  bool client_hung_up() const { return client != ClientState::here; }
+  bool client_hung_up() const { return client != ClientState::connected; }
 };
 
 using HttpHandler = std::function<Task<HttpReply>(HttpRequest, std::shared_ptr<HttpExchange>)>;
--- a/tests/transport/http_server_test.cpp
+++ b/tests/transport/http_server_test.cpp
@@ -506,7 +506,7 @@
 
 TEST_F(HttpServerTest, a_client_that_has_ended_its_side_is_noticed_and_still_answered) {
   Gate gate(io);
-  ClientState told = ClientState::here;
+  ClientState told = ClientState::connected;
   serve([&](HttpRequest, std::shared_ptr<HttpExchange> exchange) -> Task<HttpReply> {
     exchange->on_hang_up = [&](ClientState const state) {
       told = state;
