--- a/source/programs/backend_main.cpp
+++ b/source/programs/backend_main.cpp
@@ -78,8 +78,8 @@
     return 1;
   }
   std::uint16_t const port = static_cast<std::uint16_t>(parse_address(s.text("address"))->port());
-  HttpClient<SocketEnvironment> caller(world);
-  auto const keep_beating = [&]() -> Task<void> {
+  HttpClient<SocketEnvironment> caller(env);
+  auto const heartbeat_loop = [&]() -> Task<void> {
     while (true) {
       HttpRequest q{
           "POST",
--- a/source/programs/caller_main.cpp
+++ b/source/programs/caller_main.cpp
@@ -42,8 +42,8 @@
   std::ofstream record(s.text("record"), std::ios::app);
   std::vector<std::string> const nodes = s.list("node");
   std::mt19937_64 chance(s.number("seed"));
-  HttpClient<SocketEnvironment> caller(world);
-  std::uint64_t last = 0, open = 0;
+  HttpClient<SocketEnvironment> caller(env);
+  std::uint64_t last = 0, in_flight = 0;
   bool ended = false;
   Instant const start = env.now(), end = start + std::chrono::seconds(s.number("seconds"));
   auto const send_call = [&](MixEntry const line, std::string const id, std::string const node,
--- a/source/programs/fleet_main.cpp
+++ b/source/programs/fleet_main.cpp
@@ -185,7 +185,7 @@
 
  private:
   Process& process_;
-  SocketEnvironment& world_;
+  SocketEnvironment& env_;
   HttpClient<SocketEnvironment> caller_;
   std::string const bin_;
   fs::path const folder_;
--- a/source/programs/proxy_main.cpp
+++ b/source/programs/proxy_main.cpp
@@ -49,7 +49,7 @@
     return 1;
   }
   using Edge = HttpClient<SocketEnvironment>;
-  Edge edge(world);
+  Edge edge(env);
   ProxySettings settings{s.text("id"), s.text("cell"), *bound, s.flag("gateway"), s.list("seed")};
   settings.heartbeat_expiry = std::chrono::milliseconds(s.number("beat-expiry-ms"));
   settings.backend_limit = static_cast<std::uint32_t>(s.number("backend-limit"));
--- a/source/programs/shell_main.cpp
+++ b/source/programs/shell_main.cpp
@@ -354,7 +354,7 @@
   }
 
   Process& process_;
-  SocketEnvironment& world_;
+  SocketEnvironment& env_;
   HttpClient<SocketEnvironment> caller_;
   std::vector<Address> const registries_;
   Address answering_registry_;
