--- a/source/simulation/sim_faults.hpp
+++ b/source/simulation/sim_faults.hpp
@@ -221,12 +221,12 @@
     if (kind == "cut_core") {
       for (std::size_t i = 0; i < registry_hosts_.size(); ++i)
         for (std::size_t j = 0; j < registry_hosts_.size(); ++j)
-          if ((i < 2) != (j < 2)) sim_.truncated(registry_hosts_[i].machine, registry_hosts_[j].machine);
+          if ((i < 2) != (j < 2)) sim_.cut(registry_hosts_[i].machine, registry_hosts_[j].machine);
     } else if (kind == "cut_core_one") {
       for (std::size_t j = 0; j < registry_hosts_.size(); ++j) {
         if (j == core) continue;
-        sim_.truncated(registry_hosts_[core].machine, registry_hosts_[j].machine);
-        sim_.truncated(registry_hosts_[j].machine, registry_hosts_[core].machine);
+        sim_.cut(registry_hosts_[core].machine, registry_hosts_[j].machine);
+        sim_.cut(registry_hosts_[j].machine, registry_hosts_[core].machine);
       }
     } else if (kind == "cut_cell") {
       std::string const zone = registry_hosts_[core].zone;
@@ -235,7 +235,7 @@
         if (n.zone == zone) inside.insert(n.machine);
       for (std::string const& a : machines)
         for (std::string const& b : machines)
-          if (inside.contains(a) != inside.contains(b)) sim_.truncated(a, b);
+          if (inside.contains(a) != inside.contains(b)) sim_.cut(a, b);
     } else if (kind == "isolate" || kind == "isolate_one_way") {
       isolate_machine(machines[sim_.chance() % machines.size()], machines, kind == "isolate", sim_.chance() % 2 == 0);
     } else {
@@ -255,8 +255,8 @@
                        bool const out) {
     for (std::string const& other : machines) {
       if (other == m) continue;
-      if (both || out) sim_.truncated(m, other);
-      if (both || !out) sim_.truncated(other, m);
+      if (both || out) sim_.cut(m, other);
+      if (both || !out) sim_.cut(other, m);
     }
   }
 
--- a/source/simulation/sim_machines.hpp
+++ b/source/simulation/sim_machines.hpp
@@ -255,7 +255,7 @@
     Backend& b = backends_[i];
     if (!b.alive || b.incarnation != incarnation) return;
     Node& n = nodes_[b.node];
-    if (!b.frozen && n.process->alive && !n.process->frozen) n.proxy->on_heartbeat(heartbeat_of(b));
+    if (!b.frozen && n.process->alive && !n.process->frozen) n.proxy->handle_heartbeat(heartbeat_of(b));
     sim_.after(500ms, [this, i, incarnation] { keep_beating(i, incarnation); });
   }
 
@@ -267,7 +267,7 @@
     std::shared_ptr<SimProcess> const p = nodes_[b.node].process;
     std::shared_ptr<Proxy<SimProcess, SimEdge>> const proxy = nodes_[b.node].proxy;
     p->run([this, i, proxy] {
-      proxy->on_heartbeat(heartbeat_of(backends_[i]));
+      proxy->handle_heartbeat(heartbeat_of(backends_[i]));
       history_.drains.emplace_back(sim_.now, backends_[i].instance);
     });
     sim_.after(5s, [this, i] { kill_backend(i); });
