--- a/source/programs/mesh_node.hpp
+++ b/source/programs/mesh_node.hpp
@@ -42,7 +42,7 @@
         grant_alarm_(env),
         report_alarm_(env),
         configuration_alarm_(env) {
-    // Only a real network pings its peers.
+    // The simulated network has no pings.
     if constexpr (requires { env.silence_of(Address{}); })
       path_.selector().set_silence_check([&env](Address const& peer) { return env.silence_of(peer) > silent_after; });
   }
@@ -495,7 +495,7 @@
                               {"reset", std::to_string(d.reset)},
                               {"outlived", std::to_string(d.outlived)},
                               {"outlived_ms", std::to_string(d.outlived_ms)}});
-    // Only a real network has queues to peers.
+    // The simulated network has no send queues.
     if constexpr (requires { env_.queued(); }) log_sent(env_.queued().sent);
   }
 
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -451,7 +451,7 @@
       co_return reply;
     }
     std::shared_ptr<ZoneFeed<Env>> feed = feed_of(zone);
-    // The zone's own registry may have started a moment later than this one.
+    // Right after this registry's start the zone's own registry may still be starting.
     if (!feed && env_.now() - started_ < adopt_after) co_return reply;
     if (!feed) {
       feed = make_feed(zone);
--- a/tests/programs/maintenance_interface_test.cpp
+++ b/tests/programs/maintenance_interface_test.cpp
@@ -120,7 +120,7 @@
   }
 }
 
-/** What the interface asks of a registry. */
+/** A fake registry with the members that the interface uses. */
 struct FakeRegistry {
   struct Voters {
     VoterSet voters = initial_set({"10.0.0.1:2", "10.0.0.2:2", "10.0.0.3:2"}, 1);
--- a/tests/programs/maintenance_window_run_test.cpp
+++ b/tests/programs/maintenance_window_run_test.cpp
@@ -12,10 +12,10 @@
 constexpr Duration lead = 25s;
 constexpr Duration settle = 15s;  // for traffic and keys to leave the zone, from the start of the drain
 
-/** What the morning shows. */
+/** The results of a run. */
 struct RunResults {
-  std::size_t twice = 0;  // runs of what may not be repeated, beyond the first
-  std::size_t lost = 0;   // done for the client, but not in the ledger
+  std::size_t twice = 0;  // executions of a non-repeatable request after the first
+  std::size_t lost = 0;   // reported as done to the client, but not in the ledger
   std::size_t ran_though_refused = 0;
   std::size_t unknown = 0;            // requests of live clients without a known outcome
   std::size_t repeatable_harmed = 0;  // failed, refused, or later than the aim
@@ -102,7 +102,7 @@
     return j["windows"][window];
   }
 
-  // Till and charge records: each run against what its client was told.
+  // Compares each execution in the ledger with the outcome that its client was told.
   void compare(RunResults& m, Instant const dark_at) {
     std::map<std::string, std::size_t> by_attempt, by_request;
     for (LedgerEntry const& e : mesh.ledger) {
@@ -140,7 +140,7 @@
 TEST_P(MaintenanceWindowRun, leaves_ledger_and_clients_in_agreement_and_nobody_waits) {
   std::uint64_t const seed = GetParam();
   MaintenanceRun run(seed);
-  // Machines come back before the window closes, or after it.
+  // The machines come back before the window closes, or after it, by seed.
   RunResults const m = run.execute(true, seed % 2 == 0 ? 45s : 70s);
   EXPECT_GT(m.records, 3000u);
   EXPECT_EQ(m.twice, 0u);
--- a/tests/programs/operator_streams_test.cpp
+++ b/tests/programs/operator_streams_test.cpp
@@ -8,7 +8,7 @@
 namespace banktide {
 namespace {
 
-// A reader that takes as many lines as it is told to.
+// A reader that is full after a given number of lines.
 struct SlowReader {
   std::vector<std::string> lines;
   std::size_t room = static_cast<std::size_t>(-1);
