--- a/source/coordination/key_granter.cpp
+++ b/source/coordination/key_granter.cpp
@@ -345,8 +345,8 @@
   return key > row.grant.to ? nullptr : &row;
 }
 
-std::optional<std::uint32_t> KeyGranter::may_run(std::uint16_t const key, Instant const now,
-                                                 Duration const expected) const {
+std::optional<std::uint32_t> KeyGranter::fence_to_run(std::uint16_t const key, Instant const now,
+                                                      Duration const expected) const {
   if (now + expected >= hold_end_) return std::nullopt;
   ServedRow const* const row = served_row(key);
   return row == nullptr ? std::nullopt : std::optional<std::uint32_t>(row->grant.fence);
--- a/source/coordination/key_granter.hpp
+++ b/source/coordination/key_granter.hpp
@@ -81,7 +81,7 @@
 
   /// The fence of the key's row if a request may be sent to the backend now, that is, if work of the expected length
   /// ends within the hold; else none.
-  std::optional<std::uint32_t> may_run(std::uint16_t key, Instant now, Duration expected) const;
+  std::optional<std::uint32_t> fence_to_run(std::uint16_t key, Instant now, Duration expected) const;
   /// Whether the newest table assigns the key to this backend, without a move or revocation; if a request may not run
   /// yet, it will be allowed soon.
   bool is_assigned(std::uint16_t key) const;
--- a/source/coordination/zone_feed.hpp
+++ b/source/coordination/zone_feed.hpp
@@ -151,11 +151,11 @@
     publish(std::move(change), loads_only ? Urgency::with_next_pulse : Urgency::at_once);
   }
 
-  /// To be called every `beat_every`: sends heartbeats to the registry's own watchers, and detects silent members.
+  /// To be called every `heartbeat_every`: sends heartbeats to the registry's own watchers, and detects silent members.
   void watch() {
     Instant const now = env_.now();
     bool const was_suspended =
-        now - watched_at_ > 4 * timing_.beat_every;  // this process was suspended, the others were not silent
+        now - watched_at_ > 4 * timing_.heartbeat_every;  // this process was suspended, the others were not silent
     watched_at_ = now;
     neighbours_.follow(view_);
     send_heartbeats();
--- a/source/coordination/zone_follower.hpp
+++ b/source/coordination/zone_follower.hpp
@@ -418,7 +418,7 @@
   Task<void> refresh_loop() {
     while (true) {
       if (!is_behind_) co_await refresh_alarm_.wait(env_.now() + timing_.pulse_every);
-      bool const unconfirmed = env_.now() - confirmed_at_ > timing_.pulse_missed;
+      bool const unconfirmed = env_.now() - confirmed_at_ > timing_.pulse_timeout;
       if (!is_behind_ && !unconfirmed && has_confirmed_values_ && has_view_) continue;
       is_behind_ = false;
       Address const own = own_registry();
@@ -482,10 +482,10 @@
   Task<void> heartbeat_loop() {
     Instant last = env_.now();
     while (true) {
-      co_await sleep_for(env_, timing_.beat_every);
+      co_await sleep_for(env_, timing_.heartbeat_every);
       Instant const now = env_.now();
       bool const was_suspended =
-          now - last > 4 * timing_.beat_every;  // this process was suspended, the others were not silent
+          now - last > 4 * timing_.heartbeat_every;  // this process was suspended, the others were not silent
       last = now;
       neighbours_.follow(view_);
       send_heartbeats();
--- a/source/data_path/local_backend.hpp
+++ b/source/data_path/local_backend.hpp
@@ -275,7 +275,7 @@
   bool key_held(Forward const& forward, Instant const now) const {
     if (keys_ == nullptr) return false;
     Duration const expected = instance_->queue.estimate().expected(forward.work_class);
-    return keys_->may_run(forward.key, now, expected).has_value();
+    return keys_->fence_to_run(forward.key, now, expected).has_value();
   }
 
   // The table gives the key to the backend, which learns of it by its next heartbeat.
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -493,7 +493,7 @@
 
   Task<void> watch_loop() {
     while (true) {
-      co_await sleep_for(env_, timing_.beat_every);
+      co_await sleep_for(env_, timing_.heartbeat_every);
       for (auto const& [zone, feed] : feeds_)
         if (feed == own_feed_ || serves(zone)) feed->watch();
       drop_empty_feeds();
--- a/tests/coordination/key_granter_test.cpp
+++ b/tests/coordination/key_granter_test.cpp
@@ -248,7 +248,7 @@
   t.granter.take_heartbeat(t.now + 50ms, unanswered);
   t.granter.on_instance_signed_off("i-1", t.now + 100ms);
   EXPECT_FALSE(t.granter.reply(t.now + 110ms, "i-1", unanswered.sequence).renews);
-  EXPECT_FALSE(t.granter.may_run(50, t.now + 200ms, 1ms));
+  EXPECT_FALSE(t.granter.fence_to_run(50, t.now + 200ms, 1ms));
   EXPECT_FALSE(t.granter.handle_heartbeat(t.now + 300ms, t.heartbeat()).renews);
   KeyReport const before = t.granter.report(end_of_hold - 10ms, 0);
   EXPECT_TRUE(before.ended.empty());
@@ -325,15 +325,15 @@
 TEST(KeyGranter, runs_requests_on_held_keys_that_end_within_the_hold) {
   GranterTrial t;
   t.confirm_table();
-  EXPECT_FALSE(t.granter.may_run(7, t.now, 1ms));
+  EXPECT_FALSE(t.granter.fence_to_run(7, t.now, 1ms));
   Duration const hold = t.granter.handle_heartbeat(t.now, t.heartbeat()).hold;
-  EXPECT_EQ(t.granter.may_run(7, t.now, 1ms), 5u);
-  EXPECT_EQ(t.granter.may_run(99, t.now, 1ms), 5u);
-  EXPECT_FALSE(t.granter.may_run(100, t.now, 1ms));
-  EXPECT_FALSE(t.granter.may_run(7, t.now, hold));
-  EXPECT_FALSE(t.granter.may_run(7, t.now + hold, 0ms));
+  EXPECT_EQ(t.granter.fence_to_run(7, t.now, 1ms), 5u);
+  EXPECT_EQ(t.granter.fence_to_run(99, t.now, 1ms), 5u);
+  EXPECT_FALSE(t.granter.fence_to_run(100, t.now, 1ms));
+  EXPECT_FALSE(t.granter.fence_to_run(7, t.now, hold));
+  EXPECT_FALSE(t.granter.fence_to_run(7, t.now + hold, 0ms));
   EXPECT_FALSE(t.granter.handle_heartbeat(t.now + 20s, t.heartbeat()).renews);
-  EXPECT_FALSE(t.granter.may_run(7, t.now + 20s, 1ms));
+  EXPECT_FALSE(t.granter.fence_to_run(7, t.now + 20s, 1ms));
 }
 
 TEST(KeyGranter, merges_adjacent_rows_with_one_fence_when_a_reply_would_be_too_long) {
--- a/tests/coordination/zone_feed_test.cpp
+++ b/tests/coordination/zone_feed_test.cpp
@@ -536,7 +536,7 @@
           return n.first == first[0] || n.second.values.contains(Register::routing);
         });
       },
-      FeedTiming{}.pulse_missed - 100ms));
+      FeedTiming{}.pulse_timeout - 100ms));
 }
 
 TEST(Zones, one_live_registry_is_the_first_and_another_one_after_its_failure) {
--- a/tests/programs/hollow_fleet_test.cpp
+++ b/tests/programs/hollow_fleet_test.cpp
@@ -82,7 +82,7 @@
   HollowMeasurements const all = fleet.measurements();
   FeedTiming const timing;
   double const pulses = std::chrono::duration<double>(1s) / timing.pulse_every;
-  double const heartbeats = 3 * (std::chrono::duration<double>(1s) / timing.beat_every);
+  double const heartbeats = 3 * (std::chrono::duration<double>(1s) / timing.heartbeat_every);
   EXPECT_NEAR(find(all, "proxy", "received_news_messages").mean, pulses, 0.1);
   EXPECT_NEAR(find(all, "proxy", "received_news_messages").highest, pulses, 0.2);
   EXPECT_NEAR(find(all, "proxy", "sent_beat_messages").mean, heartbeats, 0.2);
