--- a/source/coordination/acceptor.hpp
+++ b/source/coordination/acceptor.hpp
@@ -89,16 +89,16 @@
     Bootstrap request{Phase::blank, record_.bootstrap_id};
     auto const replies =
         co_await ask_all<Bootstrap>(env_, others, request, env_.now() + 1s, [](auto const&) { return false; });
-    std::size_t heard = 0, voting = 0, same = 0;
+    std::size_t answered = 0, voting = 0, same_bootstrap = 0;
     for (auto const& [i, r] : replies) {
       if (!r) continue;
-      ++heard;
+      ++answered;
       if (r->phase == Phase::voting) {
         ++voting;
-        same += record_.phase == Phase::prepared && r->bootstrap_id == record_.bootstrap_id;
+        same_bootstrap += record_.phase == Phase::prepared && r->bootstrap_id == record_.bootstrap_id;
       }
     }
-    if (same > 0) {
+    if (same_bootstrap > 0) {
       co_await change([](VoterRecord& r) {
         if (r.phase != Phase::prepared) return false;
         r.phase = Phase::voting;
@@ -108,7 +108,7 @@
       record_.phase = Phase::voting;
     } else if (voting > 0) {
       co_await rejoin(record_.set);
-    } else if (initiates_bootstrap() && heard == others.size()) {
+    } else if (initiates_bootstrap() && answered == others.size()) {
       co_await bootstrap_all(others);
     }
   }
@@ -142,14 +142,14 @@
   // one would delay it. Returns the newer set if a voter reports one.
   Task<std::optional<VoterSet>> rejoin(VoterSet const set) {
     std::vector<Address> const others = other_voters(set);
-    std::size_t const enough = recovery_quorum_size(set);
+    std::size_t const needed = recovery_quorum_size(set);
     std::uint64_t const nonce = env_.chance()();
     VoterRecord next;
-    next.bootstrap_id = co_await agreed_bootstrap_id(others, enough);
+    next.bootstrap_id = co_await agreed_bootstrap_id(others, needed);
     if (next.bootstrap_id == 0) co_return std::nullopt;
     std::optional<VoterSet> newer;
     for (Register const reg : stored_registers) {
-      std::optional<RegisterSlot> const recovered = co_await recover(reg, set, others, enough, nonce, newer);
+      std::optional<RegisterSlot> const recovered = co_await recover(reg, set, others, needed, nonce, newer);
       if (!recovered) co_return newer;
       next.slots[static_cast<std::size_t>(reg)] = *recovered;
     }
@@ -182,12 +182,12 @@
     VoterRecord next = record_;
     bool saved = true;
     if (f(next)) {
-      Result<bool> kept = co_await disk_.save(next);
-      saved = kept.has_value();
+      Result<bool> stored = co_await disk_.save(next);
+      saved = stored.has_value();
       if (saved)
         record_ = std::move(next);
       else
-        log_disk_error(kept.error());
+        log_disk_error(stored.error());
     }
     turn_.unlock();
     co_return saved;
@@ -224,20 +224,20 @@
     PrepareReply reply;
     if (!is_known_register(request.reg) || !may_vote(request.ballot.epoch, reply.newer)) co_return reply;
     bool ok = false, votes_in_epoch = false;
-    RegisterSlot seen;
-    bool const kept = co_await change([&](VoterRecord& r) {
+    RegisterSlot updated_slot;
+    bool const stored = co_await change([&](VoterRecord& r) {
       votes_in_epoch = votes(r) && r.set.epoch == request.ballot.epoch;
       if (!votes_in_epoch) return false;
       RegisterSlot& s = slot_of(r, request.reg);
       ok = request.ballot.may_follow(s.promised);
       if (ok) s.promised = request.ballot;
-      seen = s;
+      updated_slot = s;
       return ok;
     });
-    if (!kept || !votes_in_epoch) co_return reply;
+    if (!stored || !votes_in_epoch) co_return reply;
     reply.voting = true;
     reply.promised = ok;
-    reply.slot = std::move(seen);
+    reply.slot = std::move(updated_slot);
     co_return reply;
   }
 
@@ -245,7 +245,7 @@
     AcceptReply reply;
     if (!is_known_register(request.reg) || !may_vote(request.ballot.epoch, reply.newer)) co_return reply;
     bool ok = false, votes_in_epoch = false;
-    bool const kept = co_await change([&](VoterRecord& r) {
+    bool const stored = co_await change([&](VoterRecord& r) {
       votes_in_epoch = votes(r) && r.set.epoch == request.ballot.epoch;
       if (!votes_in_epoch) return false;
       RegisterSlot& s = slot_of(r, request.reg);
@@ -258,7 +258,7 @@
       reply.promised = s.promised;
       return ok;
     });
-    if (!kept || !votes_in_epoch) co_return AcceptReply{};
+    if (!stored || !votes_in_epoch) co_return AcceptReply{};
     reply.voting = true;
     reply.accepted = ok;
     co_return reply;
@@ -296,7 +296,7 @@
   // never voted in them, so no value acknowledged there depends on it.
   Task<SealReply> seal(Seal request) {
     SealReply reply;
-    bool const kept = co_await change([&](VoterRecord& r) {
+    bool const stored = co_await change([&](VoterRecord& r) {
       if (r.phase != Phase::voting) return false;
       if (r.set.epoch > request.set.epoch) reply.newer = r.set;
       bool const from_before = r.set.epoch < request.set.epoch;
@@ -310,14 +310,14 @@
       return from_before;
     });
     SealReply const none;
-    co_return kept ? reply : none;
+    co_return stored ? reply : none;
   }
 
   // A voter of an earlier set continues with its own slots. An empty disk is accepted
   // only if it is the one that was added, because that disk has never voted.
   Task<ActivateReply> activate(Activate request) {
     ActivateReply reply;
-    bool const kept = co_await change([&](VoterRecord& r) {
+    bool const stored = co_await change([&](VoterRecord& r) {
       VoterEntry const* const own_entry = find_entry(request.set, own_address_);
       if (r.phase == Phase::voting && r.set.epoch > request.set.epoch) reply.newer = r.set;
       reply.active = votes(r) && r.set.epoch == request.set.epoch;
@@ -334,7 +334,7 @@
       reply.active = true;
       return true;
     });
-    if (!kept) co_return ActivateReply{};
+    if (!stored) co_return ActivateReply{};
     co_return reply;
   }
 
@@ -381,37 +381,37 @@
   }
 
   /// The bootstrap identifier that at least `enough` of these voters report; 0 if there is none.
-  Task<std::uint64_t> agreed_bootstrap_id(std::vector<Address> const others, std::size_t const enough) {
+  Task<std::uint64_t> agreed_bootstrap_id(std::vector<Address> const others, std::size_t const needed) {
     auto const most_frequent = [](auto const& replies) {
       std::map<std::uint64_t, std::size_t> named;
-      std::pair<std::uint64_t, std::size_t> most{0, 0};
+      std::pair<std::uint64_t, std::size_t> best_count{0, 0};
       for (auto const& [i, r] : replies) {
         if (!r || r->phase != Phase::voting) continue;
         std::size_t const n = ++named[r->bootstrap_id];
-        if (n > most.second) most = {r->bootstrap_id, n};
+        if (n > best_count.second) best_count = {r->bootstrap_id, n};
       }
-      return most;
+      return best_count;
     };
     Bootstrap const request{};
     auto const replies = co_await ask_all<Bootstrap>(
         env_, others, request, env_.now() + 1s,
-        [enough, most_frequent](auto const& heard) { return most_frequent(heard).second >= enough; });
-    std::pair<std::uint64_t, std::size_t> const most = most_frequent(replies);
-    co_return most.second >= enough ? most.first : 0;
+        [needed, most_frequent](auto const& answered) { return most_frequent(answered).second >= needed; });
+    std::pair<std::uint64_t, std::size_t> const best_count = most_frequent(replies);
+    co_return best_count.second >= needed ? best_count.first : 0;
   }
 
   // Recovers one register for `rejoin` and returns the slot to store.
   Task<std::optional<RegisterSlot>> recover(Register const reg, VoterSet const& set, std::vector<Address> const& others,
-                                            std::size_t const enough, std::uint64_t const nonce,
+                                            std::size_t const needed, std::uint64_t const nonce,
                                             std::optional<VoterSet>& newer) {
     Ballot ballot{set.epoch, 1, nonce};
     for (int attempt = 0; attempt < recovery_attempts; ++attempt) {
-      Prepare const asked{reg, ballot};
+      Prepare const prepare_request{reg, ballot};
       auto const promises =
-          co_await ask_all<Prepare>(env_, others, asked, env_.now() + 1s, [enough](auto const& replies) {
+          co_await ask_all<Prepare>(env_, others, prepare_request, env_.now() + 1s, [needed](auto const& replies) {
             std::size_t n = 0;
             for (auto const& [i, r] : replies) n += r && r->voting && r->promised;
-            return n >= enough || std::any_of(replies.begin(), replies.end(),
+            return n >= needed || std::any_of(replies.begin(), replies.end(),
                                               [](auto const& reply) { return reply.second && reply.second->newer; });
           });
       std::size_t promised = 0;
@@ -431,17 +431,17 @@
           held = r->slot.held;
         }
       }
-      if (promised >= enough) {
+      if (promised >= needed) {
         Accept const request{reg, ballot, held};
         auto const acceptances =
-            co_await ask_all<Accept>(env_, others, request, env_.now() + 1s, [enough](auto const& replies) {
+            co_await ask_all<Accept>(env_, others, request, env_.now() + 1s, [needed](auto const& replies) {
               std::size_t n = 0;
               for (auto const& [i, r] : replies) n += r && r->accepted;
-              return n >= enough;
+              return n >= needed;
             });
         std::size_t accepted = 0;
         for (auto const& [i, r] : acceptances) accepted += r && r->accepted;
-        if (accepted >= enough) co_return RegisterSlot{ballot, ballot, held};
+        if (accepted >= needed) co_return RegisterSlot{ballot, ballot, held};
       }
       ballot.round = top_round + 1;
       co_await sleep_for(env_, std::chrono::milliseconds(5 + env_.chance()() % 50));
--- a/source/coordination/membership.hpp
+++ b/source/coordination/membership.hpp
@@ -236,13 +236,13 @@
         co_await request_addition(newest);
       co_return;
     }
-    std::uint64_t const most = static_cast<std::uint64_t>(settings_.remove_after / probe_interval);
+    std::uint64_t const max_missed = static_cast<std::uint64_t>(settings_.remove_after / probe_interval);
     std::optional<Address> const silent = monitor_.least_responsive();
-    if (!silent || monitor_.missed(*silent) < most || !can_remove_voter(now)) co_return;
-    RemoveVoter gone;
-    gone.address = *silent;
-    VoterSetReply const reply = co_await remove(gone);
-    if (reply.done) log_info("removed", {{"voter", gone.address}, {"epoch", std::to_string(reply.set.epoch)}});
+    if (!silent || monitor_.missed(*silent) < max_missed || !can_remove_voter(now)) co_return;
+    RemoveVoter removal;
+    removal.address = *silent;
+    VoterSetReply const reply = co_await remove(removal);
+    if (reply.done) log_info("removed", {{"voter", removal.address}, {"epoch", std::to_string(reply.set.epoch)}});
   }
 
   // Returns the newest set that any of the other voters reports.
@@ -274,14 +274,14 @@
     co_return newest;
   }
 
-  void report_health(VoterSetHealth const& seen) {
-    if (seen == health_) return;
-    health_ = seen;
-    bool const below_target = seen.tolerable_losses < settings_.losses;
-    std::string const epoch = std::to_string(seen.epoch);
-    std::string const voters = std::to_string(seen.voters);
-    std::string const voting = std::to_string(seen.voting);
-    std::string const losses = std::to_string(seen.tolerable_losses);
+  void report_health(VoterSetHealth const& current) {
+    if (current == health_) return;
+    health_ = current;
+    bool const below_target = current.tolerable_losses < settings_.losses;
+    std::string const epoch = std::to_string(current.epoch);
+    std::string const voters = std::to_string(current.voters);
+    std::string const voting = std::to_string(current.voting);
+    std::string const losses = std::to_string(current.tolerable_losses);
     if (below_target)
       log_warn("voter_set_weak",
                {{"epoch", epoch}, {"voters", voters}, {"voting", voting}, {"losses_to_bear", losses}});
--- a/source/coordination/register_client.hpp
+++ b/source/coordination/register_client.hpp
@@ -84,12 +84,13 @@
     for (VoterEntry const& e : set_.voters)
       if (std::find(peers.begin(), peers.end(), e.address) == peers.end()) peers.push_back(e.address);
     VotersRequest const query{};
-    auto const replies = co_await ask_all<VotersRequest>(
-        env_, peers, query, std::min(deadline, env_.now() + round_timeout), [stop_at_first_voter](auto const& heard) {
-          bool reported = false;
-          for (auto const& [at, r] : heard) reported = reported || (r && r->member);
-          return stop_at_first_voter && reported;
-        });
+    auto const replies =
+        co_await ask_all<VotersRequest>(env_, peers, query, std::min(deadline, env_.now() + round_timeout),
+                                        [stop_at_first_voter](auto const& answered) {
+                                          bool reported = false;
+                                          for (auto const& [at, r] : answered) reported = reported || (r && r->member);
+                                          return stop_at_first_voter && reported;
+                                        });
     for (auto const& [i, r] : replies)
       if (r && r->member) adopt_if_newer(r->set);
     co_return set_known_;
@@ -184,7 +185,7 @@
     ReadRevisions const query{set_.epoch};
     auto const replies = co_await ask_all<ReadRevisions>(
         env_, addresses_of(set_), query, std::min(deadline, env_.now() + round_timeout),
-        [needed](auto const& heard) { return voting(heard) >= needed || newer_set_reported(heard); });
+        [needed](auto const& answered) { return voting(answered) >= needed || newer_set_reported(answered); });
     adopt_newer_sets(replies);
     if (voting(replies) < needed) co_return std::nullopt;
     std::array<Revision, register_count> newest{};
@@ -229,7 +230,7 @@
   // Returns a number greater than every number that any client has received from this register.
   Task<Result<std::uint64_t>> next_number(Register const reg, Instant const deadline) {
     bool const ready = co_await find_voters(0, deadline);
-    std::size_t heard = 0;
+    std::size_t answered = 0;
     if (ready) {
       ReadRegister const query{reg, std::numeric_limits<Revision>::max(), set_.epoch};
       auto const replies = co_await ask_all<ReadRegister>(env_, addresses_of(set_), query,
@@ -238,11 +239,11 @@
       adopt_newer_sets(replies);
       for (auto const& [i, r] : replies) {
         if (!r || !r->voting) continue;
-        ++heard;
+        ++answered;
         round_ = std::max(round_, r->accepted.round);
       }
     }
-    if (!ready || heard < majority())
+    if (!ready || answered < majority())
       co_return make_error("register", register_name(reg), "no majority", Proof::not_run);
     std::uint64_t round = 0;
     Result<RegisterValue> const done = co_await change(
--- a/source/programs/mesh_node.hpp
+++ b/source/programs/mesh_node.hpp
@@ -390,8 +390,8 @@
       confirm_soon_ = false;
       registers_.add_contacts(colocated_stores(registry_addresses(), settings_.store_port));
       // Until the voters are known, a read waits for all stores, including those that are down.
-      Duration const patience = registers_.knows_voters() ? confirm_timeout : first_confirm_timeout;
-      bool const confirmed = co_await confirm_table(env_.now() + patience);
+      Duration const timeout = registers_.knows_voters() ? confirm_timeout : first_confirm_timeout;
+      bool const confirmed = co_await confirm_table(env_.now() + timeout);
       back_off_confirming(confirmed);
     }
   }
--- a/source/programs/store_main.cpp
+++ b/source/programs/store_main.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 /// How long a store that shuts down waits to be removed from the set of voters.
-constexpr Duration removal_patience = 2s;
+constexpr Duration removal_timeout = 2s;
 
 void define(Settings& s) {
   s.text("id", "", "name of this store");
@@ -95,9 +95,9 @@
     Process::reload(s, define, line.count(), line.words(), [](std::string const&, Settings const&) { return false; });
   };
   auto const leave = [&] {
-    if (!fixed) spawn(env, membership.leave(removal_patience));
+    if (!fixed) spawn(env, membership.leave(removal_timeout));
   };
   process.run_until_shutdown(
-      leave, [&] { return fixed || membership.left(); }, reload, removal_patience + 500ms);
+      leave, [&] { return fixed || membership.left(); }, reload, removal_timeout + 500ms);
   std::_Exit(0);
 }
--- a/source/simulation/sim_fleet.hpp
+++ b/source/simulation/sim_fleet.hpp
@@ -48,7 +48,7 @@
     return history_;
   }
 
-  std::map<std::string, std::uint64_t> const& mishaps() const { return fault_counts_; }
+  std::map<std::string, std::uint64_t> const& fault_counts() const { return fault_counts_; }
   // Sends half of the keyed calls to one key and makes its requests slow.
   void make_hot() { hot_key_active_ = hot_key_slow_ = true; }
 };
--- a/source/simulation/sim_machines.hpp
+++ b/source/simulation/sim_machines.hpp
@@ -26,12 +26,12 @@
 struct SimEdge {
   using Done = std::function<void(Result<HttpReply>)>;
   std::function<void(std::uint16_t, HttpRequest, Instant, Done)> serve;
-  std::function<bool(std::uint16_t)> taken;
+  std::function<bool(std::uint16_t)> is_listening;
   SimProcess* process = nullptr;
 
   Task<bool> listens(std::uint16_t const port) {
     co_await sleep_for(*process, 200us);
-    co_return taken(port);
+    co_return is_listening(port);
   }
 
   Task<Result<HttpReply>> run(std::uint16_t const port, HttpRequest q, Instant const deadline) {
@@ -40,9 +40,9 @@
     std::weak_ptr<Shot> weak = shot;
     std::weak_ptr<SimProcess> alive = process->weak_from_this();
     Done const done = [weak, alive](Result<HttpReply> r) {
-      std::shared_ptr<SimProcess> const mine = alive.lock();
-      if (mine)
-        mine->run([weak, r = std::move(r)] {
+      std::shared_ptr<SimProcess> const owner = alive.lock();
+      if (owner)
+        owner->run([weak, r = std::move(r)] {
           if (std::shared_ptr<Shot> const s = weak.lock()) s->give(r);
         });
     };
@@ -207,7 +207,7 @@
     n.edge->serve = [this, i](std::uint16_t const port, HttpRequest q, Instant const deadline, SimEdge::Done done) {
       serve(i, port, std::move(q), deadline, std::move(done));
     };
-    n.edge->taken = [this, i](std::uint16_t const port) {
+    n.edge->is_listening = [this, i](std::uint16_t const port) {
       return std::any_of(backends_.begin(), backends_.end(),
                          [&](Backend const& b) { return b.node == i && b.port == port && b.alive; });
     };
--- a/source/simulation/sim_main.cpp
+++ b/source/simulation/sim_main.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-Json play(Scenario const& scenario) {
+Json run_scenario(Scenario const& scenario) {
   SimFleet fleet(scenario);
   History const h = fleet.run();
   Json j = {{"seed", scenario.seed},
             {"broken", h.violations()},
             {"outcomes", Json::object()},
-            {"mishaps", fleet.mishaps()},
+            {"mishaps", fleet.fault_counts()},
             {"after", Json::object()}};
   std::map<std::string, std::uint64_t> outcomes;
   for (auto const& [id, c] : h.calls) ++outcomes[c.outcome];
@@ -30,8 +30,8 @@
 
 struct Job {
   pid_t pid = 0;
-  int from = -1;
-  std::string said;
+  int read_end = -1;
+  std::string output;
 };
 
 Job begin(Scenario const& scenario) {
@@ -42,7 +42,7 @@
   if (job.pid < 0) std::abort();
   if (job.pid == 0) {
     ::close(ends[0]);
-    std::string const text = play(scenario).dump(-1, ' ', false, Json::error_handler_t::replace);
+    std::string const text = run_scenario(scenario).dump(-1, ' ', false, Json::error_handler_t::replace);
     for (std::size_t at = 0; at < text.size();) {
       ssize_t const n = ::write(ends[1], text.data() + at, text.size() - at);
       if (n <= 0) std::_Exit(3);
@@ -51,17 +51,18 @@
     std::_Exit(0);
   }
   ::close(ends[1]);
-  job.from = ends[0];
+  job.read_end = ends[0];
   return job;
 }
 
 Json finish(Job& job, std::uint64_t const seed) {
   char raw[4096];
-  for (ssize_t n = 0; (n = ::read(job.from, raw, sizeof raw)) > 0;) job.said.append(raw, static_cast<std::size_t>(n));
-  ::close(job.from);
+  for (ssize_t n = 0; (n = ::read(job.read_end, raw, sizeof raw)) > 0;)
+    job.output.append(raw, static_cast<std::size_t>(n));
+  ::close(job.read_end);
   int status = 0;
   ::waitpid(job.pid, &status, 0);
-  Json j = Json::parse(job.said, nullptr, false);
+  Json j = Json::parse(job.output, nullptr, false);
   if (status != 0 || !j.is_object())
     j = {{"seed", seed},
          {"broken", {"the run ended with status " + std::to_string(status)}},
@@ -101,18 +102,18 @@
     for (std::string const& kind : s.list("only")) scenario.only.insert(kind);
     return scenario;
   };
-  std::uint64_t bad = 0, extras = 0, calls = 0;
-  std::map<std::string, std::uint64_t> outcomes, mishaps;
+  std::uint64_t failed_seeds = 0, extras = 0, calls = 0;
+  std::map<std::string, std::uint64_t> outcomes, fault_counts;
   std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> after_fault;
-  auto const take = [&](Json const& j) {
+  auto const add_result = [&](Json const& j) {
     std::vector<std::string> const violations = j["broken"];
-    bad += !violations.empty();
+    failed_seeds += !violations.empty();
     for (std::size_t k = 0; k < violations.size() && k < 5; ++k)
       std::cout << "seed " << j["seed"] << ": " << violations[k] << "\n";
     if (violations.size() > 5) std::cout << "seed " << j["seed"] << ": and " << violations.size() - 5 << " more\n";
     for (auto const& [what, n] : j["outcomes"].items())
       outcomes[what] += n.get<std::uint64_t>(), calls += n.get<std::uint64_t>();
-    for (auto const& [kind, n] : j["mishaps"].items()) mishaps[kind] += n.get<std::uint64_t>();
+    for (auto const& [kind, n] : j["mishaps"].items()) fault_counts[kind] += n.get<std::uint64_t>();
     for (auto const& [kind, n] : j["after"].items())
       after_fault[kind].first += n[0].get<std::uint64_t>(), after_fault[kind].second += n[1].get<std::uint64_t>();
     extras += j["extras"].get<std::uint64_t>();
@@ -121,24 +122,24 @@
   std::deque<std::pair<std::uint64_t, Job>> running;
   for (std::uint64_t i = 0; i < seeds; ++i) {
     if (jobs == 1) {
-      take(play(scenario_of(i)));
+      add_result(run_scenario(scenario_of(i)));
       continue;
     }
     if (running.size() == jobs) {
-      take(finish(running.front().second, s.number("seed") + running.front().first));
+      add_result(finish(running.front().second, s.number("seed") + running.front().first));
       running.pop_front();
     }
     running.emplace_back(i, begin(scenario_of(i)));
   }
-  for (auto& [i, job] : running) take(finish(job, s.number("seed") + i));
-  std::cout << seeds << " seeds, " << bad << " broken; " << calls << " calls, " << extras << " extra tries;";
+  for (auto& [i, job] : running) add_result(finish(job, s.number("seed") + i));
+  std::cout << seeds << " seeds, " << failed_seeds << " broken; " << calls << " calls, " << extras << " extra tries;";
   for (auto const& [what, n] : outcomes) std::cout << " " << what << "=" << n;
   std::cout << "\nmishaps, and the share answered of calls in the 3 s after:";
-  for (auto const& [kind, n] : mishaps) {
+  for (auto const& [kind, n] : fault_counts) {
     std::cout << " " << kind << "=" << n;
     if (after_fault[kind].second > 0)
       std::cout << "(" << 100 * after_fault[kind].first / after_fault[kind].second << "%)";
   }
   std::cout << "\n";
-  return bad ? 1 : 0;
+  return failed_seeds ? 1 : 0;
 }
--- a/source/simulation/sim_world.hpp
+++ b/source/simulation/sim_world.hpp
@@ -218,7 +218,7 @@
   Sim& sim;
   std::map<Address, std::shared_ptr<SimProcess>> at;
   std::map<Address, std::string> machine_of;
-  std::set<std::string> dark;  // machines without power
+  std::set<std::string> unpowered;  // machines without power
   // Called with every message when it is sent.
   std::function<void(SimProcess const&, Address const&, std::uint8_t, Bytes const&)> on_send;
   // Called before each reply is sent; true means that the machine lost power first.
@@ -265,7 +265,7 @@
         return;
       }
       x->from->connected.erase(x->peer);
-      if (!reach || dark.contains(machine) || (up && target->second->frozen && sim.chance() % 2 == 0)) {
+      if (!reach || unpowered.contains(machine) || (up && target->second->frozen && sim.chance() % 2 == 0)) {
         fail(x, 500ms, "connect", "timed out", Proof::not_run);
       } else if (!up) {
         fail(x, sim.delay(), "connect", "refused", Proof::not_run);
@@ -292,7 +292,8 @@
     sim.after(sim.delay(), [this, x, target, give_up] {
       if (!target->alive) {
         x->from->connected.erase(x->peer);
-        if (!dark.contains(target->machine)) fail(x, sim.delay(), "wait_for_reply", "connection lost", Proof::unknown);
+        if (!unpowered.contains(target->machine))
+          fail(x, sim.delay(), "wait_for_reply", "connection lost", Proof::unknown);
         return;
       }
       if (!sim.open(x->from->machine, target->machine)) {
--- a/tests/coordination/maintenance_keeper_test.cpp
+++ b/tests/coordination/maintenance_keeper_test.cpp
@@ -37,8 +37,8 @@
     r.store = std::make_shared<FakeRegisterClient>(*r.process, shared);
     r.keeper = std::make_shared<Keeper>(*r.process, *r.store, [&r] { return r.acting; });
     r.keeper->known = [this] { return shared.held; };
-    kept.push_back(r.store);
-    kept.push_back(r.keeper);
+    retained.push_back(r.store);
+    retained.push_back(r.keeper);
     spawn(*r.process, r.keeper->run());
   }
   void run_for(Duration const d) { sim.run_until(sim.now + d); }
@@ -71,7 +71,7 @@
   SimNet net;
   SharedRegister shared;
   std::vector<std::shared_ptr<SimProcess>> processes;
-  std::vector<std::shared_ptr<void>> kept;
+  std::vector<std::shared_ptr<void>> retained;
   std::vector<Registry> registries;
 };
 
--- a/tests/coordination/voter_replacement_test.cpp
+++ b/tests/coordination/voter_replacement_test.cpp
@@ -72,7 +72,7 @@
     for (std::size_t round = 0; round < 2; ++round) {
       for (std::size_t const failed : {2 * round, 2 * round + 1}) {
         t.power_off(failed);
-        t.net.dark.insert("core-" + std::to_string(failed));
+        t.net.unpowered.insert("core-" + std::to_string(failed));
       }
       t.run_for(1s);
       t.seeds = {t.addresses[4], t.addresses[voters], t.addresses[voters + 1]};
@@ -92,14 +92,14 @@
   ASSERT_TRUE(t.run_until([&] { return t.all_vote(4); }, 20s));
   ASSERT_TRUE(t.put(0, Register::routing, 1, "one"));
   t.power_off(1);
-  t.net.dark.insert("core-1");
+  t.net.unpowered.insert("core-1");
   t.run_for(1s);
   t.start(4, false);
   ASSERT_TRUE(t.run_until([&] { return t.acceptors[4]->voting(); }, 4s));
   EXPECT_EQ(find_entry(t.acceptors[4]->set(), "store-1:1"), nullptr);
   ASSERT_TRUE(t.put(0, Register::routing, 2, "two"));
   std::uint64_t const old_disk = t.disks[1].durable.disk;
-  t.net.dark.erase("core-1");
+  t.net.unpowered.erase("core-1");
   t.start(1, false);
   ASSERT_TRUE(t.run_until([&] { return t.all_vote(5); }, 4s));
   EXPECT_NE(t.disks[1].durable.disk, old_disk);
@@ -115,10 +115,10 @@
   ASSERT_TRUE(t.put(0, Register::routing, 1, "old"));
   auto const cut_power = [&t](std::size_t const i) {
     t.power_off(i);
-    t.net.dark.insert("core-" + std::to_string(i));
+    t.net.unpowered.insert("core-" + std::to_string(i));
   };
   auto const restore_power = [&t](std::size_t const i) {
-    t.net.dark.erase("core-" + std::to_string(i));
+    t.net.unpowered.erase("core-" + std::to_string(i));
     t.start(i, false);
   };
   cut_power(0);
@@ -148,7 +148,7 @@
   ASSERT_TRUE(t.run_until([&] { return t.all_vote(5); }, 20s));
   ASSERT_TRUE(t.put(0, Register::routing, 1, "one"));
   t.power_off(4);
-  t.net.dark.insert("core-4");
+  t.net.unpowered.insert("core-4");
   t.power_off(0);
   t.wipe(0);
   t.run_for(300ms);
--- a/tests/coordination/voter_replacement_trial.hpp
+++ b/tests/coordination/voter_replacement_trial.hpp
@@ -156,10 +156,10 @@
 
   void cut_power(std::size_t const i) {
     stores_.power_off(i);
-    stores_.net.dark.insert("core-" + std::to_string(i));
+    stores_.net.unpowered.insert("core-" + std::to_string(i));
   }
   void restore_power(std::size_t const i) {
-    stores_.net.dark.erase("core-" + std::to_string(i));
+    stores_.net.unpowered.erase("core-" + std::to_string(i));
     stores_.start(i, false);
   }
   // The operators' list of seeds follows the replacements with a delay of one.
--- a/tests/coordination/voter_set_test.cpp
+++ b/tests/coordination/voter_set_test.cpp
@@ -23,13 +23,13 @@
       for (unsigned lost = 0; lost < subsets; ++lost) {
         if (static_cast<std::size_t>(__builtin_popcount(lost)) > core.losses) continue;
         EXPECT_NE(held & ~lost, 0u);
-        for (unsigned heard = 0; heard < subsets; ++heard) {
-          if ((heard & lost) != 0) continue;
-          std::size_t const n = static_cast<std::size_t>(__builtin_popcount(heard));
+        for (unsigned answered = 0; answered < subsets; ++answered) {
+          if ((answered & lost) != 0) continue;
+          std::size_t const n = static_cast<std::size_t>(__builtin_popcount(answered));
           if (n == enough) {
-            EXPECT_NE(heard & held, 0u);
+            EXPECT_NE(answered & held, 0u);
           }
-          if (n + 1 == enough) fewer_would_miss = fewer_would_miss || (heard & held) == 0;
+          if (n + 1 == enough) fewer_would_miss = fewer_would_miss || (answered & held) == 0;
         }
       }
     }
@@ -39,7 +39,7 @@
 
 // Single voters that are sent requests directly.
 struct SingleVoters {
-  SingleVoters() : trial(1, 3, 1), asker(*trial.clients[0]) {
+  SingleVoters() : trial(1, 3, 1), client(*trial.clients[0]) {
     before = initial_set({"store-0:1", "a:1", "b:1"}, 1);
     after = with_voter_added(before, VoterEntry{"store-1:1", 77});
     trial.disks[0].durable.phase = Phase::voting;
@@ -70,7 +70,7 @@
   template <class Q>
   typename Q::Reply reply_to(std::size_t const store, Q const q) {
     std::optional<typename Q::Reply> out;
-    spawn(asker, ask_one<Q>(asker, trial.addresses[store], q, out));
+    spawn(client, ask_one<Q>(client, trial.addresses[store], q, out));
     trial.run_for(2s);
     EXPECT_TRUE(out);
     return out.value_or(typename Q::Reply{});
@@ -99,7 +99,7 @@
   }
 
   StoreTrial trial;
-  SimProcess& asker;
+  SimProcess& client;
   VoterSet before, after;
 };
 
@@ -223,12 +223,12 @@
   }
   Task<void> write_continuously(std::size_t const c) {
     while (!over) {
-      Revision const mine = ++last_write * 3 + c;
-      auto const newer = [mine](RegisterValue const& now) -> Result<RegisterValue> {
+      Revision const revision_to_write = ++last_write * 3 + c;
+      auto const newer = [revision_to_write](RegisterValue const& now) -> Result<RegisterValue> {
         RegisterValue next = now;
-        if (mine <= now.revision) return next;
-        next.revision = mine;
-        next.bytes = std::to_string(mine);
+        if (revision_to_write <= now.revision) return next;
+        next.revision = revision_to_write;
+        next.bytes = std::to_string(revision_to_write);
         return next;
       };
       Result<RegisterValue> const r =
--- a/tests/data_path/local_backend_model_test.cpp
+++ b/tests/data_path/local_backend_model_test.cpp
@@ -18,26 +18,26 @@
 using Runs = std::map<std::string, unsigned>;
 
 /// Refuses with a mark or without, runs and answers, fails, or never tells.
-class FickleBackend : public BackendCaller {
+class FaultyBackend : public BackendCaller {
  public:
-  FickleBackend(SimProcess& process, Runs& runs) : process_(process), runs_(runs) {}
+  FaultyBackend(SimProcess& process, Runs& runs) : process_(process), runs_(runs) {}
 
   Task<Result<HttpReply>> call(BackendCall const call) override {
     std::string const id = call.attempt_id;
-    std::uint64_t const lot = process_.chance()() % 10;
+    std::uint64_t const choice = process_.chance()() % 10;
     HttpReply reply;
     reply.status = 503;
-    if (lot == 0) co_return make_error("connect", "backend", "refused", Proof::not_run);
-    if (lot == 1) {
+    if (choice == 0) co_return make_error("connect", "backend", "refused", Proof::not_run);
+    if (choice == 1) {
       reply.headers.push_back({std::string(header_names.not_executed), "1"});
       co_return reply;
     }
     ++runs_[id];
     if (!co_await work(std::chrono::milliseconds(1 + process_.chance()() % 120), call.cancellation))
       co_return make_error("cancelled", "backend", "nobody waits for it", Proof::unknown);
-    if (lot == 2) co_return reply;  // without the mark it may have run
-    if (lot == 3) co_return make_error("read", "backend", "reset", Proof::unknown);
-    reply.status = lot == 4 ? 500 : 200;
+    if (choice == 2) co_return reply;  // without the mark it may have run
+    if (choice == 3) co_return make_error("read", "backend", "reset", Proof::unknown);
+    reply.status = choice == 4 ? 500 : 200;
     reply.body = id;
     co_return reply;
   }
@@ -55,10 +55,11 @@
   Runs& runs_;
 };
 
-class LocalDay {
+class LocalBackendTrial {
  public:
   /// With leavers every second request is cancelled, early or late.
-  explicit LocalDay(std::uint64_t const seed, bool const leavers = false) : sim_(seed), net_(sim_), leavers_(leavers) {
+  explicit LocalBackendTrial(std::uint64_t const seed, bool const cancels = false)
+      : sim_(seed), net_(sim_), cancels_(cancels) {
     process_ = std::make_shared<SimProcess>(sim_, net_, "node", "node:1", 1);
     net_.at["node:1"] = process_;
     net_.machine_of["node:1"] = process_->machine;
@@ -70,21 +71,21 @@
     events.left_undrained = [](std::string const&) {};
     events.connection_limit = [](std::string const&) { return std::size_t{10}; };
     ConnectionsFactory factory = [this](Address const&, std::size_t) {
-      return std::make_unique<FickleBackend>(*process_, runs_);
+      return std::make_unique<FaultyBackend>(*process_, runs_);
     };
     backend_ = std::make_unique<LocalBackend<SimProcess>>(*process_, settings, header_names, factory, events);
-    beat(false);
+    send_heartbeat(false);
   }
-  ~LocalDay() {
+  ~LocalBackendTrial() {
     process_->kill();
     sim_.clear();
   }
-  LocalDay(LocalDay const&) = delete;
+  LocalBackendTrial(LocalBackendTrial const&) = delete;
 
-  void play(unsigned const steps) {
+  void run_steps(unsigned const steps) {
     for (unsigned n = 0; n < steps; ++n) {
       spawn(*process_, send("r-" + std::to_string(n)));
-      happen();
+      inject_event();
       sim_.run_until(sim_.now + std::chrono::milliseconds(sim_.chance() % 30));
     }
     if (process_->frozen) process_->thaw();
@@ -123,7 +124,7 @@
     forward.attempt_id = id;
     forward.request.headers = {{"Host", "orders.test"}};
     SharedCancellation const cancellation = std::make_shared<Cancellation>();
-    if (leavers_) {
+    if (cancels_) {
       forward.repeatable = sim_.chance() % 2 == 0;
       if (sim_.chance() % 2 == 0) cancel_soon(cancellation);
     }
@@ -137,31 +138,31 @@
                [process, cancellation] { process->run([cancellation] { cancellation->request(); }); });
   }
 
-  void happen() {
-    std::uint64_t const lot = sim_.chance() % 40;
-    if (lot == 0) {
+  void inject_event() {
+    std::uint64_t const choice = sim_.chance() % 40;
+    if (choice == 0) {
       backend_->leave(instance());
-    } else if (lot == 1) {
-      ++life_;
-      beat(false);
-    } else if (lot == 2 && !process_->frozen) {
+    } else if (choice == 1) {
+      ++incarnation_;
+      send_heartbeat(false);
+    } else if (choice == 2 && !process_->frozen) {
       process_->freeze();
       std::shared_ptr<SimProcess> const frozen = process_;
       sim_.after(std::chrono::milliseconds(10 + sim_.chance() % 400), [frozen] { frozen->thaw(); });
-    } else if (lot < 8) {
-      beat(lot == 3);
+    } else if (choice < 8) {
+      send_heartbeat(choice == 3);
     }
   }
 
-  std::string instance() const { return "i-" + std::to_string(life_); }
-  void beat(bool const leaving) {
+  std::string instance() const { return "i-" + std::to_string(incarnation_); }
+  void send_heartbeat(bool const leaving) {
     BackendHeartbeat heartbeat;
     heartbeat.id = instance();
     heartbeat.service = "orders";
     heartbeat.address = "backend:1";
     heartbeat.slots = 4;
     // One in four is late: it was sent before one that has come.
-    heartbeat.sequence = sim_.chance() % 4 == 0 && beats_ > 3 ? beats_ - 3 : ++beats_;
+    heartbeat.sequence = sim_.chance() % 4 == 0 && heartbeats_ > 3 ? heartbeats_ - 3 : ++heartbeats_;
     heartbeat.leaving = leaving;
     backend_->heartbeat(heartbeat);
   }
@@ -172,29 +173,29 @@
   Runs runs_;
   std::unique_ptr<LocalBackend<SimProcess>> backend_;
   std::map<std::string, ForwardReply> replies_;
-  std::uint64_t life_ = 1, beats_ = 0;
-  bool const leavers_;
+  std::uint64_t incarnation_ = 1, heartbeats_ = 0;
+  bool const cancels_;
 };
 
-class LocalDays : public testing::TestWithParam<std::uint64_t> {};
+class LocalBackendTrials : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(LocalDays, replies_belong_to_their_requests_and_what_is_refused_never_runs) {
-  LocalDay day(GetParam());
-  day.play(600);
-  day.expect_every_promise_kept();
-  EXPECT_GT(day.answered, 20u);
-  EXPECT_GT(day.refused, 20u);
-  EXPECT_GT(day.unknown, 5u);
+TEST_P(LocalBackendTrials, replies_belong_to_their_requests_and_what_is_refused_never_runs) {
+  LocalBackendTrial trial(GetParam());
+  trial.run_steps(600);
+  trial.expect_every_promise_kept();
+  EXPECT_GT(trial.answered, 20u);
+  EXPECT_GT(trial.refused, 20u);
+  EXPECT_GT(trial.unknown, 5u);
 }
 
-TEST_P(LocalDays, requests_that_are_cancelled_break_no_promise_and_cost_no_slot) {
-  LocalDay day(GetParam(), true);
-  day.play(2400);
-  day.expect_every_promise_kept();
-  EXPECT_GT(day.answered, 20u);
-  EXPECT_GT(day.cancelled, 20u);
+TEST_P(LocalBackendTrials, requests_that_are_cancelled_break_no_promise_and_cost_no_slot) {
+  LocalBackendTrial trial(GetParam(), true);
+  trial.run_steps(2400);
+  trial.expect_every_promise_kept();
+  EXPECT_GT(trial.answered, 20u);
+  EXPECT_GT(trial.cancelled, 20u);
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, LocalDays, testing::Range<std::uint64_t>(1, 31));
+INSTANTIATE_TEST_SUITE_P(Seeds, LocalBackendTrials, testing::Range<std::uint64_t>(1, 31));
 
 }  // namespace
 }  // namespace banktide
--- a/tests/data_path/local_backend_test.cpp
+++ b/tests/data_path/local_backend_test.cpp
@@ -13,9 +13,9 @@
                                        "caller",  "not-run",   "load-level", "seal",      "tenant"};
 
 /** Answers everything with 200 after a while, and counts. */
-class PromptBackend : public BackendCaller {
+class FastBackend : public BackendCaller {
  public:
-  PromptBackend(SimProcess& process, std::size_t& calls, std::function<void()> const& on_answer)
+  FastBackend(SimProcess& process, std::size_t& calls, std::function<void()> const& on_answer)
       : process_(process), calls_(calls), on_answer_(on_answer) {}
   Task<Result<HttpReply>> call(BackendCall) override {
     ++calls_;
@@ -52,11 +52,11 @@
     events.left_undrained = [this](std::string const& instance) { left_undrained.push_back(instance); };
     events.connection_limit = [](std::string const&) { return std::size_t{10}; };
     ConnectionsFactory factory = [this](Address const&, std::size_t) {
-      return std::make_unique<PromptBackend>(*process, calls, on_answer);
+      return std::make_unique<FastBackend>(*process, calls, on_answer);
     };
     backend = std::make_unique<LocalBackend<SimProcess>>(*process, settings, header_names, factory, events);
     backend->set_keys(&holder);
-    beat();
+    send_heartbeat();
     holder.on_table(table);
     holder.on_confirmed(table.revision, process->now());
   }
@@ -75,12 +75,12 @@
     return made;
   }
   /** A heartbeat whose answer isn't given yet. */
-  void beat(bool const leaving = false) {
-    EXPECT_TRUE(take(heartbeat_of("i-1", ++beats, leaving)));
-    KeyHeartbeat of_keys;
-    of_keys.instance = "i-1";
-    of_keys.sequence = beats;
-    holder.take_heartbeat(process->now(), of_keys);
+  void send_heartbeat(bool const leaving = false) {
+    EXPECT_TRUE(handle(heartbeat_of("i-1", ++heartbeats, leaving)));
+    KeyHeartbeat key_heartbeat;
+    key_heartbeat.instance = "i-1";
+    key_heartbeat.sequence = heartbeats;
+    holder.take_heartbeat(process->now(), key_heartbeat);
   }
   static BackendHeartbeat heartbeat_of(std::string const& id, std::uint64_t const sequence,
                                        bool const leaving = false) {
@@ -93,14 +93,14 @@
     heartbeat.leaving = leaving;
     return heartbeat;
   }
-  bool take(BackendHeartbeat const& heartbeat) { return backend->heartbeat(heartbeat); }
+  bool handle(BackendHeartbeat const& heartbeat) { return backend->heartbeat(heartbeat); }
   /** The instance that requests go to. */
-  std::string served() const {
+  std::string current_instance() const {
     std::vector<BackendRecord> const records = backend->records();
     return records.empty() ? "" : records.front().instance;
   }
   void grant() {
-    EXPECT_TRUE(holder.reply(process->now(), "i-1", beats).renews);
+    EXPECT_TRUE(holder.reply(process->now(), "i-1", heartbeats).renews);
     backend->keys_granted();
   }
   void send(std::uint16_t const key, SharedCancellation const cancellation = nullptr) {
@@ -129,7 +129,7 @@
   KeyGranter holder{"accounts", "node", "node:1", "zone", KeySettings{}, Instant{}};
   std::size_t calls = 0;
   std::function<void()> on_answer;
-  std::uint64_t beats = 0;
+  std::uint64_t heartbeats = 0;
   std::vector<std::string> ended, left_undrained;
   std::unique_ptr<LocalBackend<SimProcess>> backend;
   std::vector<ForwardReply> replies;
@@ -202,7 +202,7 @@
   EXPECT_TRUE(sudden.ended.empty());
   EXPECT_EQ(sudden.left_undrained, std::vector<std::string>{"i-1"});
   LocalTrial drained;
-  drained.beat(true);
+  drained.send_heartbeat(true);
   drained.backend->leave("i-1");
   EXPECT_EQ(drained.ended, std::vector<std::string>{"i-1"});
   EXPECT_TRUE(drained.left_undrained.empty());
@@ -212,12 +212,12 @@
 TEST(LocalBackend, a_late_heartbeat_of_a_former_life_costs_the_living_backend_nothing) {
   LocalTrial t;
   t.run_for(300ms);
-  EXPECT_FALSE(t.take(LocalTrial::heartbeat_of("i-0", 7)));
-  EXPECT_EQ(t.served(), "i-1");
+  EXPECT_FALSE(t.handle(LocalTrial::heartbeat_of("i-0", 7)));
+  EXPECT_EQ(t.current_instance(), "i-1");
   t.run_for(700ms);
-  t.beat();
-  EXPECT_FALSE(t.take(LocalTrial::heartbeat_of("i-0", 8)));
-  EXPECT_EQ(t.served(), "i-1");
+  t.send_heartbeat();
+  EXPECT_FALSE(t.handle(LocalTrial::heartbeat_of("i-0", 8)));
+  EXPECT_EQ(t.current_instance(), "i-1");
 }
 
 TEST(LocalBackend, whoever_lives_and_beats_is_served_within_two_heartbeats_whatever_their_order) {
@@ -226,15 +226,15 @@
       for (Duration const pause : {Duration(50ms), Duration(400ms), Duration(1s), Duration(2500ms)}) {
         LocalTrial t;
         std::uint64_t of_former = 0, of_living = 0;
-        if (late_is_first) t.take(LocalTrial::heartbeat_of("i-old", ++of_former));
+        if (late_is_first) t.handle(LocalTrial::heartbeat_of("i-old", ++of_former));
         t.run_for(pause);
-        t.take(LocalTrial::heartbeat_of("i-new", ++of_living));
-        for (int i = 0; i < late; ++i) t.take(LocalTrial::heartbeat_of("i-old", ++of_former));
+        t.handle(LocalTrial::heartbeat_of("i-new", ++of_living));
+        for (int i = 0; i < late; ++i) t.handle(LocalTrial::heartbeat_of("i-old", ++of_former));
         for (int i = 0; i < 2; ++i) {
           t.run_for(pause);
-          t.take(LocalTrial::heartbeat_of("i-new", ++of_living));
+          t.handle(LocalTrial::heartbeat_of("i-new", ++of_living));
         }
-        EXPECT_EQ(t.served(), "i-new") << late_is_first << " " << late << " " << pause.count();
+        EXPECT_EQ(t.current_instance(), "i-new") << late_is_first << " " << late << " " << pause.count();
         EXPECT_TRUE(t.ended.empty()) << "nothing proves that a process has ended";
       }
 }
@@ -242,8 +242,8 @@
 TEST(LocalBackend, a_heartbeat_from_before_the_sign_off_begins_no_life) {
   LocalTrial t;
   t.backend->leave("i-1");
-  EXPECT_FALSE(t.take(LocalTrial::heartbeat_of("i-1", 9)));
-  EXPECT_EQ(t.served(), "");
+  EXPECT_FALSE(t.handle(LocalTrial::heartbeat_of("i-1", 9)));
+  EXPECT_EQ(t.current_instance(), "");
 }
 
 TEST(LocalBackend, only_so_many_requests_wait_for_keys) {
--- a/tests/data_path/request_path_model_test.cpp
+++ b/tests/data_path/request_path_model_test.cpp
@@ -19,13 +19,13 @@
 };
 
 /// A node beside a backend, which refuses, runs, or runs and never tells.
-struct FickleNode {
+struct FaultyNode {
   std::shared_ptr<SimProcess> process;
   Runs* runs = nullptr;
   Dispatcher dispatcher;
 
   Task<ForwardReply> run(Forward const forward, SharedCancellation const cancellation = nullptr) {
-    std::uint64_t const lot = process->chance()() % 10;
+    std::uint64_t const choice = process->chance()() % 10;
     ForwardReply reply;
     reply.load.slots = 4;
     if (is_cancelled(cancellation)) {
@@ -33,27 +33,27 @@
       reply.refusal = Refusal::cancelled;
       co_return reply;
     }
-    if (lot < 6) {
+    if (choice < 6) {
       reply.outcome = Outcome::not_run;
-      reply.refusal = lot % 2 == 0 ? Refusal::busy : Refusal::no_backend;
+      reply.refusal = choice % 2 == 0 ? Refusal::busy : Refusal::no_backend;
       reply.retry_after_ms = 10;
       co_return reply;
     }
     ++runs->by_id[forward.attempt_id];
     co_await sleep_for(*process, std::chrono::milliseconds(process->chance()() % 300));
-    if (lot == 6) co_return reply;  // nobody knows
+    if (choice == 6) co_return reply;  // nobody knows
     reply.outcome = Outcome::answered;
-    reply.reply.status = lot == 7 ? 500 : 200;
+    reply.reply.status = choice == 7 ? 500 : 200;
     reply.reply.body = forward.attempt_id;
     co_return reply;
   }
 };
 
-class FickleFleet {
+class FaultyFleet {
  public:
   /// With leavers one client in four leaves before its answer.
-  explicit FickleFleet(std::uint64_t const seed, bool const leavers = false)
-      : sim_(seed), net_(sim_), leavers_(leavers) {
+  explicit FaultyFleet(std::uint64_t const seed, bool const clients_leave = false)
+      : sim_(seed), net_(sim_), clients_leave_(clients_leave) {
     sim_.unreliable_links = true;
     own_.runs = &runs;
     own_.process = start("own");
@@ -63,7 +63,7 @@
     RequestPathSettings settings;
     settings.own_address = "own:1";
     settings.zone = "zone-1";
-    path_ = std::make_unique<RequestPath<SimProcess, FickleNode>>(*own_.process, settings, header_names, own_);
+    path_ = std::make_unique<RequestPath<SimProcess, FaultyNode>>(*own_.process, settings, header_names, own_);
     path_->set_router(std::make_shared<Router>(configuration));
     std::vector<Endpoint> endpoints;
     for (std::string const name : {"n-1", "n-2", "n-3", "n-4"}) {
@@ -79,25 +79,25 @@
     }
     path_->selector().replace({{"orders", endpoints}});
   }
-  ~FickleFleet() {
+  ~FaultyFleet() {
     for (std::shared_ptr<SimProcess> const& process : all_) process->kill();
     sim_.clear();
   }
-  FickleFleet(FickleFleet const&) = delete;
+  FaultyFleet(FaultyFleet const&) = delete;
 
-  void play(unsigned const requests) {
-    strike();
+  void run_requests(unsigned const requests) {
+    inject_fault();
     for (unsigned n = 0; n < requests; ++n) {
       bool const repeatable = n % 2 == 0;
-      spawn(*own_.process, ask_one("r-" + std::to_string(n), repeatable));
+      spawn(*own_.process, send_request("r-" + std::to_string(n), repeatable));
       sim_.run_until(sim_.now + std::chrono::milliseconds(sim_.chance() % 40));
     }
-    over_ = true;
+    stopped_ = true;
     sim_.run_until(sim_.now + 10s);
-    EXPECT_EQ(ended_, requests);
+    EXPECT_EQ(finished_, requests);
     EXPECT_EQ(path_->in_flight(), 0u);
   }
-  std::uint64_t left() const { return path_->departures().closed + path_->departures().reset; }
+  std::uint64_t departed() const { return path_->departures().closed + path_->departures().reset; }
 
   Runs runs;
 
@@ -123,7 +123,7 @@
     return process;
   }
   void restart(std::string const& name) {
-    FickleNode& node = nodes_[name];
+    FaultyNode& node = nodes_[name];
     if (node.process) node.process->kill();
     node.process = start(name);
     node.dispatcher.on<Forward>([&node](Forward f, SharedCancellation cancellation) {
@@ -132,42 +132,42 @@
     node.process->serve(node.dispatcher);
   }
 
-  void strike() {
-    if (over_) return;
+  void inject_fault() {
+    if (stopped_) return;
     std::string const name = "n-" + std::to_string(1 + sim_.chance() % 4);
-    Duration const a_while = std::chrono::milliseconds(20 + sim_.chance() % 1500);
-    std::uint64_t const lot = sim_.chance() % 4;
-    if (lot == 0) {
+    Duration const duration = std::chrono::milliseconds(20 + sim_.chance() % 1500);
+    std::uint64_t const choice = sim_.chance() % 4;
+    if (choice == 0) {
       restart(name);
-    } else if (lot == 1) {
-      freeze_for(nodes_[name].process, a_while);
-    } else if (lot == 2) {
-      freeze_for(own_.process, a_while / 3);
+    } else if (choice == 1) {
+      freeze_for(nodes_[name].process, duration);
+    } else if (choice == 2) {
+      freeze_for(own_.process, duration / 3);
     } else {
       sim_.cut("own", name);
-      sim_.after(a_while, [this] { sim_.heal(); });
+      sim_.after(duration, [this] { sim_.heal(); });
     }
-    sim_.after(std::chrono::milliseconds(50 + sim_.chance() % 300), [this] { strike(); });
+    sim_.after(std::chrono::milliseconds(50 + sim_.chance() % 300), [this] { inject_fault(); });
   }
-  void freeze_for(std::shared_ptr<SimProcess> const& process, Duration const a_while) {
+  void freeze_for(std::shared_ptr<SimProcess> const& process, Duration const duration) {
     if (process->frozen) return;
     process->freeze();
-    sim_.after(a_while, [process] {
+    sim_.after(duration, [process] {
       if (process->alive) process->thaw();
     });
   }
 
-  Task<void> ask_one(std::string const id, bool const repeatable) {
-    HttpRequest question;
-    question.method = "GET";
-    question.target = "/thing";
-    question.headers = {{"Host", repeatable ? "often.test" : "once.test"}, {"attempt", id}};
+  Task<void> send_request(std::string const id, bool const repeatable) {
+    HttpRequest request;
+    request.method = "GET";
+    request.target = "/thing";
+    request.headers = {{"Host", repeatable ? "often.test" : "once.test"}, {"attempt", id}};
     std::shared_ptr<HttpExchange> const exchange = std::make_shared<HttpExchange>();
-    if (leavers_ && sim_.chance() % 4 == 0) leave_soon(exchange);
-    HttpReply const reply = co_await path_->handle(std::move(question), exchange);
+    if (clients_leave_ && sim_.chance() % 4 == 0) leave_soon(exchange);
+    HttpReply const reply = co_await path_->handle(std::move(request), exchange);
     exchange->on_hang_up = nullptr;
-    ++ended_;
-    judge(id, repeatable, reply);
+    ++finished_;
+    check_reply(id, repeatable, reply);
   }
 
   void leave_soon(std::shared_ptr<HttpExchange> const& exchange) {
@@ -179,7 +179,7 @@
     });
   }
 
-  void judge(std::string const& id, bool const repeatable, HttpReply const& reply) {
+  void check_reply(std::string const& id, bool const repeatable, HttpReply const& reply) {
     bool const promises_no_run = reply.status == 503 || reply.status == 429;
     if (reply.status == 200) {
       ++runs.answered;
@@ -205,36 +205,36 @@
  private:
   Sim sim_;
   SimNet net_;
-  FickleNode own_;
-  std::map<std::string, FickleNode> nodes_;
+  FaultyNode own_;
+  std::map<std::string, FaultyNode> nodes_;
   std::vector<std::shared_ptr<SimProcess>> all_;
-  std::unique_ptr<RequestPath<SimProcess, FickleNode>> path_;
+  std::unique_ptr<RequestPath<SimProcess, FaultyNode>> path_;
   std::vector<std::string> refused_;
   std::uint64_t incarnations_ = 0;
-  unsigned ended_ = 0;
-  bool over_ = false;
-  bool const leavers_;
+  unsigned finished_ = 0;
+  bool stopped_ = false;
+  bool const clients_leave_;
 };
 
-class FickleFleets : public testing::TestWithParam<std::uint64_t> {};
+class FaultyFleets : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(FickleFleets, clients_get_their_own_answers_and_nothing_unrepeatable_runs_twice) {
-  FickleFleet fleet(GetParam());
-  fleet.play(400);
+TEST_P(FaultyFleets, clients_get_their_own_answers_and_nothing_unrepeatable_runs_twice) {
+  FaultyFleet fleet(GetParam());
+  fleet.run_requests(400);
   fleet.expect_every_promise_kept();
   EXPECT_GT(fleet.runs.answered, 50u);
   EXPECT_GT(fleet.runs.refused, 5u);
   EXPECT_GT(fleet.runs.unknown, 20u);
 }
 
-TEST_P(FickleFleets, clients_that_leave_break_no_promise_to_anybody) {
-  FickleFleet fleet(GetParam(), true);
-  fleet.play(400);
+TEST_P(FaultyFleets, clients_that_leave_break_no_promise_to_anybody) {
+  FaultyFleet fleet(GetParam(), true);
+  fleet.run_requests(400);
   fleet.expect_every_promise_kept();
-  EXPECT_GT(fleet.left(), 20u);
+  EXPECT_GT(fleet.departed(), 20u);
   EXPECT_GT(fleet.runs.answered, 50u);
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, FickleFleets, testing::Range<std::uint64_t>(1, 31));
+INSTANTIATE_TEST_SUITE_P(Seeds, FaultyFleets, testing::Range<std::uint64_t>(1, 31));
 
 }  // namespace
 }  // namespace banktide
--- a/tests/programs/control_trial.hpp
+++ b/tests/programs/control_trial.hpp
@@ -72,7 +72,7 @@
 
   /// Powers on a core machine: its store and its registry start.
   void start(std::size_t const i, bool const initial) {
-    stores.net.dark.erase(machine(i));
+    stores.net.unpowered.erase(machine(i));
     stores.start(i, initial);
     start_registry(i);
   }
@@ -102,7 +102,7 @@
   void power_off(std::size_t const i) {
     stores.power_off(i);
     kill_registry(i);
-    stores.net.dark.insert(machine(i));
+    stores.net.unpowered.insert(machine(i));
   }
   void kill_registry(std::size_t const i) {
     if (registries_[i].process) registries_[i].process->kill();
--- a/tests/programs/graceful_shutdown_test.cpp
+++ b/tests/programs/graceful_shutdown_test.cpp
@@ -12,49 +12,49 @@
 constexpr Instant start = Instant{} + 1000s;
 
 TEST(GracefulShutdown, before_the_signal_a_process_accepts_everything_and_never_exits) {
-  GracefulShutdown departure(notice, grace);
-  EXPECT_FALSE(departure.leaving());
-  EXPECT_TRUE(departure.accepts(start, start + 1h));
-  EXPECT_FALSE(departure.may_exit(start, PendingWork{}));
+  GracefulShutdown shutdown(notice, grace);
+  EXPECT_FALSE(shutdown.leaving());
+  EXPECT_TRUE(shutdown.accepts(start, start + 1h));
+  EXPECT_FALSE(shutdown.may_exit(start, PendingWork{}));
 }
 
 // Guards against LOST: requests accepted 3.0 to 3.2 s after SIGTERM were cut off when the process exited.
 TEST(GracefulShutdown, accepts_no_request_that_may_outlast_the_grace_period) {
-  for (Duration told = 0ms; told <= grace; told += 50ms)
-    for (Duration lasts = 50ms; lasts <= grace; lasts += 50ms) {
-      GracefulShutdown departure(notice, grace);
-      departure.begin(start);
-      bool const taken = departure.accepts(start + told, start + told + lasts);
-      EXPECT_EQ(taken, told <= notice && told + lasts <= grace) << told.count() << " " << lasts.count();
+  for (Duration elapsed = 0ms; elapsed <= grace; elapsed += 50ms)
+    for (Duration duration = 50ms; duration <= grace; duration += 50ms) {
+      GracefulShutdown shutdown(notice, grace);
+      shutdown.begin(start);
+      bool const taken = shutdown.accepts(start + elapsed, start + elapsed + duration);
+      EXPECT_EQ(taken, elapsed <= notice && elapsed + duration <= grace) << elapsed.count() << " " << duration.count();
     }
 }
 
 TEST(GracefulShutdown, a_second_signal_does_not_extend_the_grace_period) {
-  GracefulShutdown departure(notice, grace);
-  departure.begin(start);
-  departure.begin(start + 2s);
-  EXPECT_FALSE(departure.accepts(start + 2s, start + grace + 1ms));
-  EXPECT_TRUE(departure.may_exit(start + grace, PendingWork{1, 1, 1}));
+  GracefulShutdown shutdown(notice, grace);
+  shutdown.begin(start);
+  shutdown.begin(start + 2s);
+  EXPECT_FALSE(shutdown.accepts(start + 2s, start + grace + 1ms));
+  EXPECT_TRUE(shutdown.may_exit(start + grace, PendingWork{1, 1, 1}));
 }
 
 TEST(GracefulShutdown, exits_only_after_no_work_was_pending_for_a_moment) {
   for (PendingWork const pending_work : {PendingWork{1, 0, 0}, PendingWork{0, 1, 0}, PendingWork{0, 0, 1}}) {
-    GracefulShutdown departure(notice, grace);
-    departure.begin(start);
+    GracefulShutdown shutdown(notice, grace);
+    shutdown.begin(start);
     Instant const after = start + notice + 1ms;
-    EXPECT_FALSE(departure.may_exit(start + notice, PendingWork{})) << "clients may still come";
-    EXPECT_FALSE(departure.may_exit(after, PendingWork{}));
-    EXPECT_FALSE(departure.may_exit(after + GracefulShutdown::settle_time, pending_work)) << "new work came in between";
-    EXPECT_FALSE(departure.may_exit(after + 2 * GracefulShutdown::settle_time, PendingWork{}));
-    EXPECT_TRUE(departure.may_exit(after + 3 * GracefulShutdown::settle_time, PendingWork{}));
+    EXPECT_FALSE(shutdown.may_exit(start + notice, PendingWork{})) << "clients may still come";
+    EXPECT_FALSE(shutdown.may_exit(after, PendingWork{}));
+    EXPECT_FALSE(shutdown.may_exit(after + GracefulShutdown::settle_time, pending_work)) << "new work came in between";
+    EXPECT_FALSE(shutdown.may_exit(after + 2 * GracefulShutdown::settle_time, PendingWork{}));
+    EXPECT_TRUE(shutdown.may_exit(after + 3 * GracefulShutdown::settle_time, PendingWork{}));
   }
 }
 
 TEST(GracefulShutdown, exits_after_the_grace_period_whatever_is_pending) {
-  GracefulShutdown departure(notice, grace);
-  departure.begin(start);
-  EXPECT_FALSE(departure.may_exit(start + grace - 1ms, PendingWork{1, 1, 1}));
-  EXPECT_TRUE(departure.may_exit(start + grace, PendingWork{1, 1, 1}));
+  GracefulShutdown shutdown(notice, grace);
+  shutdown.begin(start);
+  EXPECT_FALSE(shutdown.may_exit(start + grace - 1ms, PendingWork{1, 1, 1}));
+  EXPECT_TRUE(shutdown.may_exit(start + grace, PendingWork{1, 1, 1}));
 }
 
 using Script = std::function<Task<void>(RoutingPathTrial&)>;
--- a/tests/programs/hollow_fleet_test.cpp
+++ b/tests/programs/hollow_fleet_test.cpp
@@ -8,7 +8,7 @@
 namespace banktide {
 namespace {
 
-constexpr Duration patience = 60s;
+constexpr Duration event_timeout = 60s;
 constexpr Duration zone_removal_timeout = 120s;
 
 HollowFleetSettings three_regions(std::size_t const nodes) {
@@ -33,7 +33,7 @@
 
 TEST(HollowFleet, two_hundred_nodes_form_and_activate_each_acknowledged_version) {
   HollowFleet fleet(three_regions(200));
-  ASSERT_TRUE(fleet.form(patience));
+  ASSERT_TRUE(fleet.form(event_timeout));
   EXPECT_EQ(fleet.ready_nodes(), 200u);
   EXPECT_EQ(fleet.running_backends(), 200u);
   EXPECT_EQ(fleet.nodes_with_other_endpoints(200), 0u);
@@ -59,7 +59,7 @@
     settings.controls = voters;
     settings.delays.between_regions = 20ms;
     HollowFleet fleet(settings);
-    ASSERT_TRUE(fleet.form(patience)) << voters;
+    ASSERT_TRUE(fleet.form(event_timeout)) << voters;
     EXPECT_EQ(fleet.voters(), voters);
     std::size_t const acknowledged = fleet.acknowledged();
     for (int i = 0; i < 10; ++i) {
@@ -75,7 +75,7 @@
 
 TEST(HollowFleet, an_idle_node_gets_each_pulse_once_and_three_nodes_send_heartbeats) {
   HollowFleet fleet(three_regions(60));
-  ASSERT_TRUE(fleet.form(patience));
+  ASSERT_TRUE(fleet.form(event_timeout));
   fleet.run_for(5s);
   fleet.reset_meters();
   fleet.run_for(30s);
@@ -93,7 +93,7 @@
   std::vector<double> bytes;
   for (int run = 0; run < 2; ++run) {
     HollowFleet fleet(three_regions(30));
-    ASSERT_TRUE(fleet.form(patience));
+    ASSERT_TRUE(fleet.form(event_timeout));
     fleet.run_for(10s);
     HollowMeasurements const all = fleet.measurements();
     for (std::string const role : {"proxy", "registry", "store"}) bytes.push_back(find(all, role, "sent_bytes").mean);
@@ -106,25 +106,25 @@
   settings.services = 6;
   settings.keyed_services = 2;
   HollowFleet fleet(settings);
-  ASSERT_TRUE(fleet.form(patience));
+  ASSERT_TRUE(fleet.form(event_timeout));
   std::size_t const keyed_backends = 8;
-  EXPECT_TRUE(fleet.run_until([&] { return fleet.rows_held() >= keyed_backends; }, patience));
+  EXPECT_TRUE(fleet.run_until([&] { return fleet.rows_held() >= keyed_backends; }, event_timeout));
 }
 
 TEST(HollowFleet, a_lost_zone_is_removed_and_comes_back) {
   HollowFleet fleet(three_regions(30));
-  ASSERT_TRUE(fleet.form(patience));
+  ASSERT_TRUE(fleet.form(event_timeout));
   fleet.lose_zone(2);
   EXPECT_EQ(fleet.running_backends(), 20u);
   EXPECT_TRUE(fleet.run_until([&] { return fleet.nodes_with_other_endpoints(20) == 0; }, zone_removal_timeout));
   fleet.restore_zone(2);
-  EXPECT_TRUE(fleet.run_until([&] { return fleet.formed(); }, patience));
+  EXPECT_TRUE(fleet.run_until([&] { return fleet.formed(); }, event_timeout));
   EXPECT_EQ(fleet.ready_nodes(), 30u);
 }
 
 TEST(HollowFleet, a_region_cut_off_keeps_serving_but_acknowledges_nothing) {
   HollowFleet fleet(three_regions(30));
-  ASSERT_TRUE(fleet.form(patience));
+  ASSERT_TRUE(fleet.form(event_timeout));
   fleet.cut_region(0);
   fleet.run_for(5s);
   std::size_t const before = fleet.acknowledged();
@@ -136,15 +136,15 @@
   EXPECT_EQ(fleet.acknowledged(), before + 1);
   EXPECT_EQ(fleet.ready_nodes(), 30u);
   fleet.heal();
-  EXPECT_TRUE(fleet.run_until([&] { return fleet.formed(); }, patience));
+  EXPECT_TRUE(fleet.run_until([&] { return fleet.formed(); }, event_timeout));
 }
 
 TEST(HollowFleet, a_restarted_node_is_back_in_every_view) {
   HollowFleet fleet(three_regions(30));
-  ASSERT_TRUE(fleet.form(patience));
+  ASSERT_TRUE(fleet.form(event_timeout));
   fleet.restart_node(5, 1s);
   EXPECT_EQ(fleet.running_backends(), 29u);
-  EXPECT_TRUE(fleet.run_until([&] { return fleet.running_backends() == 30 && fleet.formed(); }, patience));
+  EXPECT_TRUE(fleet.run_until([&] { return fleet.running_backends() == 30 && fleet.formed(); }, event_timeout));
 }
 
 }  // namespace banktide
--- a/tests/programs/mesh_trial.hpp
+++ b/tests/programs/mesh_trial.hpp
@@ -180,26 +180,26 @@
   void power_off(std::string const& zone) {
     for (auto const& [name, core] : cores)
       if (core.zone == zone) {
-        net.dark.insert(name);
+        net.unpowered.insert(name);
         core.registry_process->kill();
         core.store_process->kill();
       }
     for (auto const& [name, machine] : machines)
       if (machine.zone == zone) {
-        net.dark.insert(name);
+        net.unpowered.insert(name);
         machine.process->kill();
       }
   }
   void power_on(std::string const& zone) {
     for (auto& [name, core] : cores)
       if (core.zone == zone) {
-        net.dark.erase(name);
+        net.unpowered.erase(name);
         start_store(core, false);
         start_registry(core);
       }
     for (auto& [name, machine] : machines)
       if (machine.zone == zone) {
-        net.dark.erase(name);
+        net.unpowered.erase(name);
         start_machine(machine);
       }
   }
@@ -208,7 +208,7 @@
   }
   void start_registries() {
     for (auto& [name, core] : cores)
-      if (!net.dark.contains(name)) start_registry(core);
+      if (!net.unpowered.contains(name)) start_registry(core);
   }
 
   // ---- running the trial
--- a/tests/simulation/sim_fleet_test.cpp
+++ b/tests/simulation/sim_fleet_test.cpp
@@ -13,8 +13,8 @@
   return out;
 }
 
-inline std::string broken_by(std::string const& deployment, std::uint64_t const seed, std::set<std::string> only,
-                             Duration const faults_for = 20s, std::string const& last = "") {
+inline std::string violations_under(std::string const& deployment, std::uint64_t const seed, std::set<std::string> only,
+                                    Duration const faults_for = 20s, std::string const& last = "") {
   Scenario s;
   s.seed = seed;
   s.deployment = deployment;
@@ -59,16 +59,16 @@
 }
 
 TEST(SimFleet, a_frozen_registry_withholds_no_revision_from_its_zone) {
-  for (std::uint64_t const seed : {100, 101}) EXPECT_EQ(broken_by("kibble", seed, {"freeze_registry"}), "");
+  for (std::uint64_t const seed : {100, 101}) EXPECT_EQ(violations_under("kibble", seed, {"freeze_registry"}), "");
 }
 
 TEST(SimFleet, a_registry_without_a_majority_withholds_no_revision_from_its_zone) {
-  for (std::uint64_t const seed : {100, 101}) EXPECT_EQ(broken_by("kibble", seed, {"cut_core_one"}), "");
+  for (std::uint64_t const seed : {100, 101}) EXPECT_EQ(violations_under("kibble", seed, {"cut_core_one"}), "");
 }
 
 TEST(SimFleet, nothing_reaches_another_service_that_took_over_a_dead_backends_address) {
   for (std::uint64_t const seed : {300, 301})
-    EXPECT_EQ(broken_by("kibble", seed, {"reuse_port_naive", "reuse_port_intruder"}), "");
+    EXPECT_EQ(violations_under("kibble", seed, {"reuse_port_naive", "reuse_port_intruder"}), "");
 }
 
 // Regression: another service took over the port while the node was frozen.
@@ -87,12 +87,12 @@
 // cut link and ran past its deadline.
 TEST(SimFleet, a_senders_first_call_to_a_new_node_runs_in_time_or_not_at_all) {
   for (std::uint64_t const seed : {7, 31})
-    EXPECT_EQ(broken_by("kibble", seed, {"kill_herd", "drain_then_cut"}, 30s), "");
+    EXPECT_EQ(violations_under("kibble", seed, {"kill_herd", "drain_then_cut"}, 30s), "");
 }
 
 TEST(SimFleet, rolling_restarts_of_all_machines_lose_no_answer) {
-  EXPECT_EQ(broken_by("kibble", 21, {"roll_all"}), "");
-  EXPECT_EQ(broken_by("nilewise", 22, {"roll_all"}), "");
+  EXPECT_EQ(violations_under("kibble", 21, {"roll_all"}), "");
+  EXPECT_EQ(violations_under("nilewise", 22, {"roll_all"}), "");
 }
 
 TEST(SimFleet, service_recovers_within_15_s_after_each_fault) {
@@ -108,7 +108,7 @@
 
 TEST(SimFleet, the_mesh_recovers_from_a_permanent_fault_without_repair) {
   for (std::string const last : {"core_gone", "cell_gone", "disk_lost", "node_gone"})
-    EXPECT_EQ(broken_by("kibble", 41, {"kill_node"}, 5s, last), "") << last;
+    EXPECT_EQ(violations_under("kibble", 41, {"kill_node"}, 5s, last), "") << last;
 }
 
 TEST(SimFleet, a_hot_key_with_half_the_traffic_does_not_affect_other_keys) {
@@ -125,9 +125,9 @@
   Index const slices = 32;
   for (auto const& [id, c] : h.calls) {
     if (c.service != "deliveries" || c.outcome == "hung-up" || c.sent > first + 6s) continue;
-    bool const beside = digest_of(c.key) % slices == digest_of("k0") % slices;
-    (beside ? hot : others) += 1;
-    if (c.outcome != "answered") (beside ? hot_dropped : others_dropped) += 1;
+    bool const same_slice = digest_of(c.key) % slices == digest_of("k0") % slices;
+    (same_slice ? hot : others) += 1;
+    if (c.outcome != "answered") (same_slice ? hot_dropped : others_dropped) += 1;
     EXPECT_NE(c.outcome, "lost") << id;
   }
   EXPECT_GT(hot, others / 2);
@@ -136,8 +136,8 @@
 }
 
 TEST(SimFleet, all_invariants_hold_under_all_faults) {
-  for (std::uint64_t seed = 1; seed <= 3; ++seed) EXPECT_EQ(broken_by("kibble", seed, {}), "");
-  for (std::uint64_t seed = 5; seed <= 7; ++seed) EXPECT_EQ(broken_by("nilewise", seed, {}), "");
+  for (std::uint64_t seed = 1; seed <= 3; ++seed) EXPECT_EQ(violations_under("kibble", seed, {}), "");
+  for (std::uint64_t seed = 5; seed <= 7; ++seed) EXPECT_EQ(violations_under("nilewise", seed, {}), "");
 }
 
 // Each check must be able to fail: a build that is broken on purpose, and the violation
