--- a/source/state/view_json.hpp
+++ b/source/state/view_json.hpp
@@ -34,7 +34,7 @@
                              {"port", b.port},
                              {"burden", b.running},
                              {"standing", liveness_name(b.liveness)}});
-  for (auto const& [name, c] : v.zones) {
+  for (auto const& [name, entry] : v.zones) {
     Json gateways = Json::array();
     for (Member const& g : entry.gateways) gateways.push_back({{"id", g.id}, {"address", g.address}});
     j["cells"].push_back({{"cell", entry.zone}, {"gateways", gateways}, {"offers", entry.offers}});
--- a/source/transport/backend_connections.cpp
+++ b/source/transport/backend_connections.cpp
@@ -1,6 +1,7 @@
-// A connection waits for bytes at all times, so that what comes while it is idle ends
-// it before a request can meet it. A call borrows the connection and sleeps on the
-// connection's one alarm, which is set to the deadline and woken by the outcome.
+// A connection always waits for readability, so that bytes or an end that arrive while
+// it is idle close it before another request uses it. A call borrows the connection and
+// awaits the connection's single timer, which expires at the deadline and is cancelled
+// by the outcome.
 #include "transport/backend_connections.hpp"
 
 #include "transport/http_codec.hpp"
@@ -26,8 +27,8 @@
 
 constexpr Duration connect_timeout = 500ms;
 constexpr int user_timeout_ms = 2000;             // TCP_USER_TIMEOUT
-constexpr std::size_t max_unmatched_answers = 4;  // answers to other requests before ours
-constexpr std::size_t reads_per_event = 16;       // then others get their turn
+constexpr std::size_t max_unmatched_answers = 4;  // answers to other requests before the matching one
+constexpr std::size_t reads_per_event = 16;       // then other connections get their turn
 constexpr std::size_t pending_limit = 96u << 10;  // unparsed bytes of an answer
 
 bool would_block(ErrorCode const& error) {
@@ -36,7 +37,7 @@
 
 bool always_has_length(std::string const& method) { return method == "POST" || method == "PUT" || method == "PATCH"; }
 
-// The request's head as it is written, or why it can't be.
+// The request line and headers as written, or an error if they can't be written safely.
 Result<std::string> format_request_head(HttpRequest request, std::size_t const body_bytes, Address const& peer) {
   bool const method_safe = is_safe(Header{request.method, ""});
   bool const target_safe = !request.target.empty() && std::all_of(request.target.begin(), request.target.end(),
@@ -56,7 +57,7 @@
   return head;
 }
 
-// What a call sends, the same for each connection that it tries.
+// The content of a call, the same on each connection that it tries.
 struct OutgoingCall {
   std::string head;
   std::string body;
@@ -83,7 +84,7 @@
   asio::io_context& io;
   Address address;
   std::size_t limit;
-  std::vector<std::shared_ptr<BackendConnection>> idle;  // last used last
+  std::vector<std::shared_ptr<BackendConnection>> idle;  // most recently used last
   std::size_t open = 0;
   std::uint64_t opened = 0;
   IdleLimit idle_limit;
@@ -105,7 +106,7 @@
   bool has_no_pending_input();
   bool is_reusable_at(Instant now) const { return now < reusable_until_; }
   Instant last_used() const { return last_used_; }
-  /// The last exchange ended with the connection, before any byte of an answer.
+  /// Whether the connection ended during the last exchange, before any byte of an answer.
   bool lost_without_answer() const { return connection_lost_ && !received_anything_; }
 
  private:
@@ -180,8 +181,8 @@
   std::erase_if(pool_->idle, [&](std::shared_ptr<BackendConnection> const& c) { return c.get() == this; });
 }
 
-// Whether an idle connection has neither bytes nor an end waiting that its wait
-// hasn't reported yet.
+// Whether an idle connection has neither unread bytes nor an end of stream that its
+// read wait hasn't reported yet.
 bool BackendConnection::has_no_pending_input() {
   if (closed_) return false;
   char byte = 0;
@@ -200,7 +201,7 @@
   received_anything_ = connection_lost_ = false;
   alarm_.expires_at(current_call_->deadline);
   CancellationListener const listener(current_call_->cancellation, [this] {
-    if (!outcome_) fail("cancelled", "nobody waits for it");
+    if (!outcome_) fail("cancelled", "the caller cancelled it");
   });
   write();
   if (!outcome_) {
@@ -255,7 +256,7 @@
     if (!write_once()) return;
 }
 
-// Whether more may be written at once.
+// Returns whether more can be written immediately.
 bool BackendConnection::write_once() {
   std::size_t const of_head = std::min(written_, current_call_->head.size());
   std::size_t const of_body = written_ - of_head;
@@ -301,7 +302,7 @@
   if (!closed_) wait_to_read();
 }
 
-// Whether there may be more to read at once.
+// Returns whether there may be more to read immediately.
 bool BackendConnection::read_once() {
   std::span<char> const scratch = read_scratch();
   ErrorCode error;
@@ -311,11 +312,11 @@
     on_connection_lost("read", error);
     return false;
   }
-  if (!current_call_) {  // bytes that answer nothing
+  if (!current_call_) {  // bytes without a pending call
     close();
     return false;
   }
-  if (outcome_) {  // bytes behind our answer
+  if (outcome_) {  // bytes after the matching answer
     reusable_ = false;
     return false;
   }
@@ -339,7 +340,7 @@
   if (!outcome_ && pending_.size() > pending_limit) fail("garbled", "line too long");
 }
 
-// Takes answers until ours is there and returns how many bytes it used.
+// Parses answers until the matching one is complete; returns the number of bytes consumed.
 std::size_t BackendConnection::parse(std::string_view const bytes) {
   std::size_t used = 0;
   while (used < bytes.size() && !outcome_) {
@@ -368,11 +369,11 @@
   return used;
 }
 
-// Whether the connection is still good.
+// Returns whether the connection remains usable.
 bool BackendConnection::accept_answer() {
   std::unique_ptr<ReplyParser> const answer = std::move(parser_);
   if (answer->status == 101) {
-    fail("garbled", "protocol switched unasked");
+    fail("garbled", "unrequested protocol switch");
     return false;
   }
   if (answer->status / 100 == 1) return true;
@@ -380,7 +381,7 @@
   bool const is_matching = current_call_->attempt_header.empty() || (id && *id == current_call_->attempt_id);
   if (!is_matching) {
     if (++unmatched_answers_ <= max_unmatched_answers) return true;
-    fail("garbled", "too many surplus answers");
+    fail("garbled", "too many unmatched answers");
     return false;
   }
   bool const whole_request_sent = written_ == current_call_->head.size() + current_call_->body.size();
@@ -406,7 +407,7 @@
   for (std::shared_ptr<BackendConnection> const& connection : expired) connection->close();
 }
 
-// The one used last that may carry the call, or nullptr.
+// The most recently used connection that may carry the call, or nullptr.
 std::shared_ptr<BackendConnection> BackendPool::acquire_idle(bool const repeatable) {
   Instant const now = std::chrono::steady_clock::now();
   drop_expired(now);
@@ -439,8 +440,8 @@
   co_return tl::unexpected<Error>(connected.error());
 }
 
-// A kept connection first; if that dies before it answers, a new one, when it is sure
-// that nothing went out or the call may be repeated.
+// Tries an idle connection first; if it ends before any byte of an answer, tries a new
+// one, provided that nothing was sent or the call may be repeated.
 Task<Result<HttpReply>> run_call(std::shared_ptr<BackendPool> pool, std::shared_ptr<OutgoingCall const> outgoing_call) {
   Proof proof = Proof::not_run;
   std::shared_ptr<BackendConnection> connection = pool->acquire_idle(outgoing_call->repeatable);
--- a/source/transport/backend_connections.hpp
+++ b/source/transport/backend_connections.hpp
@@ -1,7 +1,7 @@
-// Kept-alive HTTP connections to one backend, for the node that is its only caller.
-// The point of this module is what it proves: a call that ends without the backend's
-// own whole answer says whether the backend can have seen it (`unknown`) or not
-// (`not_run`), and an answer is only taken if it carries the id of the call.
+// Persistent HTTP connections to one backend, for the node that is its only caller.
+// A call that ends without a complete answer of the backend reports whether the
+// backend may have received it (`unknown`) or can't have (`not_run`), and an answer
+// is only accepted if it carries the id of the call.
 #pragma once
 
 #include "protocol/messages.hpp"
@@ -12,19 +12,19 @@
 
 namespace banktide {
 
-/// One call of the backend.
+/// One call to the backend.
 struct BackendCall {
   HttpRequest request;
-  std::string attempt_header;  ///< the header that an answer must carry back; empty: any answer is ours
-  std::string attempt_id;      ///< its value
+  std::string attempt_header;  ///< the header that an answer must return; empty: any answer matches
+  std::string attempt_id;      ///< the value of that header
   Instant deadline{};
-  bool repeatable = false;          ///< may be sent again when a kept connection turns out to be dead
-  SharedCancellation cancellation;  ///< ends the call with its connection; null: it always goes on to its end
+  bool repeatable = false;          ///< may be sent again if a reused connection turns out to be closed
+  SharedCancellation cancellation;  ///< ends the call and its connection; null: never cancelled
 };
 
 struct BackendPool;
 
-/// What the node asks of its connections to one backend.
+/// The interface of the node to its connections to one backend.
 class BackendCaller {
  public:
   virtual ~BackendCaller() = default;
@@ -35,23 +35,23 @@
 class BackendConnections : public BackendCaller {
  public:
   BackendConnections(asio::io_context& io, Address address, std::size_t connection_limit);
-  /// Like `close`; running calls go on to their end.
+  /// Like `close`; calls in progress continue to their end.
   ~BackendConnections() override;
   BackendConnections(BackendConnections const&) = delete;
   BackendConnections& operator=(BackendConnections const&) = delete;
 
-  /// Sends the request and waits for its answer. Steps of a mishap: "request" (not writable as
-  /// HTTP), "connect" (reasons "refused", "timeout", "limit" or the system's), "write", "read",
-  /// "garbled" (bytes that are no answer of ours), "deadline" and "cancelled".
+  /// Sends the request and waits for its answer. Steps of an error: "request" (not valid as HTTP),
+  /// "connect" (reasons "refused", "timeout", "limit" or that of the system), "write", "read",
+  /// "garbled" (not a valid answer to this call), "deadline" and "cancelled".
   Task<Result<HttpReply>> call(BackendCall call) override;
 
-  /// Drops the idle connections and keeps none from now on; running calls go on.
+  /// Closes the idle connections and keeps none from now on; calls in progress continue.
   void close() override;
 
   std::size_t idle() const;
-  /// Idle, in use or being opened.
+  /// The number of connections that are idle, in use or being opened.
   std::size_t open() const;
-  /// How many were ever opened, failed attempts included.
+  /// The number of connections ever opened, including failed attempts.
   std::uint64_t opened() const;
 
  private:
--- a/source/transport/http_codec.cpp
+++ b/source/transport/http_codec.cpp
@@ -14,10 +14,10 @@
 
 constexpr std::size_t scratch_bytes = 32u << 10;
 constexpr Duration default_idle_time = 8s;  // without a `Keep-Alive: timeout`
-constexpr Duration idle_time_margin = 1s;   // below the peer's own time
-constexpr Duration min_idle_time = 200ms;   // when that leaves nothing
+constexpr Duration idle_time_margin = 1s;   // below the peer's own timeout
+constexpr Duration min_idle_time = 200ms;   // if nothing would remain
 constexpr std::size_t max_idle_seconds = 86400;
-constexpr std::size_t body_reserve_limit = 1u << 20;  // more is only reserved as it arrives
+constexpr std::size_t body_reserve_limit = 1u << 20;  // larger bodies grow as they arrive
 
 char lower(char const c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 
@@ -196,8 +196,7 @@
 void MessageParser<is_request>::on_field_impl(Field const field, View const name, View const value, ErrorCode& error) {
   count_header_bytes(name.size() + value.size() + std::string_view(": \r\n").size(), error);
   if (error || header_complete_) return;
-  // Another coding than chunked, or one on top of it, would leave the end of the message open to
-  // interpretation.
+  // With any coding other than a single `chunked`, the end of the message would be ambiguous.
   std::string_view const text(value.data(), value.size());
   if (field == Field::transfer_encoding && (version_ == 10 || !same_name(text, "chunked"))) {
     error = http::error::bad_transfer_encoding;
--- a/source/transport/http_codec.hpp
+++ b/source/transport/http_codec.hpp
@@ -1,7 +1,6 @@
-// What the HTTP server and the backend connections share: the message parser
-// (Beast's, with a sink that fills our own types without copies of names it does
-// not need), the rules on headers that concern one connection only, and the
-// writing of a message's head. Nothing here touches a socket's state.
+// HTTP message handling shared by the server and the backend connections: the parser
+// (Beast's, filling the product's own types without unneeded copies), the rules for
+// hop-by-hop headers, and the formatting of message heads. Nothing here uses a socket.
 #pragma once
 
 #include "protocol/messages.hpp"
@@ -19,52 +18,51 @@
 inline constexpr std::size_t default_header_bytes = 16u << 10;
 inline constexpr std::size_t default_body_bytes = 64u << 20;
 
-/// The address `ip:port` as an endpoint.
+/// Parses the address `ip:port`.
 Result<asio::ip::tcp::endpoint> endpoint_of(Address const& address);
 
-/// The address of an endpoint, as `endpoint_of` reads it.
+/// Formats an endpoint as `ip:port`.
 Address address_of(asio::ip::tcp::endpoint const& endpoint);
 
-/// The one buffer that every connection of this thread reads into; what is not
-/// parsed before the next read has to be copied out of it.
+/// The buffer that all connections of this thread read into; bytes not parsed before
+/// the next read have to be copied out.
 std::span<char> read_scratch();
 
-/// Whether two header names (or tokens) are the same, whatever their case.
+/// Compares two header names or tokens, ignoring case.
 bool same_name(std::string_view a, std::string_view b);
 
 /// The value of the first header of that name, or nullptr.
 std::string const* find_header(std::vector<Header> const& headers, std::string_view name);
 
-/// Whether the headers of that name, read as comma-separated lists, hold the token.
+/// Whether the headers of that name, as comma-separated lists, contain the token.
 bool header_has_token(std::vector<Header> const& headers, std::string_view name, std::string_view token);
 
-/// Whether a header may be written: its name is a token and its value has no
+/// Whether a header can be written safely: its name is a token and its value has no
 /// CR, LF or NUL.
 bool is_safe(Header const& header);
 
-/// Removes the headers that concern one connection only, those that `Connection`
-/// names among them.
+/// Removes the hop-by-hop headers, including those named by `Connection`.
 void remove_hop_by_hop(std::vector<Header>& headers);
 
-/// How long a connection may rest after an answer with these headers and still be
-/// used again: a second less than its `Keep-Alive: timeout`.
+/// How long a connection may be idle after an answer with these headers and still be
+/// reused: a second less than its `Keep-Alive: timeout`.
 Duration usable_idle_time(std::vector<Header> const& headers);
 
 /// Appends `name: value CRLF`.
 void append_header(std::string& head, std::string_view name, std::string_view value);
 
-/// The status line and the headers, hop-by-hop and unsafe ones left out, without the
-/// empty line that ends them.
+/// The status line and the headers without hop-by-hop and unsafe ones, and without the
+/// terminating empty line.
 std::string reply_head(std::uint16_t status, std::vector<Header> headers);
 
-/// Beast's parser, filling our own types. Trailers are checked and dropped.
+/// Beast's parser, filling the product's own types. Trailers are validated and discarded.
 template <bool is_request>
 class MessageParser final : public boost::beast::http::basic_parser<is_request> {
  public:
   MessageParser(std::size_t header_bytes, std::size_t body_bytes);
 
-  /// Parses what it can and returns how many bytes it used; `need_more` is not
-  /// an error here. With `stop_at_header` it returns once when the header is whole.
+  /// Parses as much as possible and returns the number of bytes consumed; `need_more` is
+  /// not an error. With `stop_at_header` it also returns once when the header is complete.
   std::size_t parse(std::string_view bytes, boost::system::error_code& error, bool stop_at_header);
 
   bool is_http_1_0() const { return version_ == 10; }
--- a/source/transport/http_edge.hpp
+++ b/source/transport/http_edge.hpp
@@ -1,9 +1,8 @@
-// HTTP/1.1 by cpprestsdk, on the pool's one thread: a listener that hands whole
-// requests to a coroutine, and a client that makes one call on one fresh
-// connection. The library would send again on a reused connection that turns
-// out closed, and follows redirects; neither may happen here. A reply is whole
-// before it is shown: one with neither length nor chunks, or with doubtful
-// framing, is a mishap.
+// HTTP/1.1 with cpprestsdk, on the pool's single thread: a listener that passes complete
+// requests to a coroutine, and a client that makes one call per connection. The library
+// would resend on a reused connection that turns out to be closed, and follow redirects;
+// neither may happen here. Only complete replies are returned: one with neither length
+// nor chunks, or with ambiguous framing, is an error.
 #pragma once
 
 #include "protocol/messages.hpp"
@@ -39,8 +38,8 @@
   co_return t.get();
 }
 
-// Whether the library sends this target as it stands. It reads a leading "//" as
-// a host, for one, and would then call another path.
+// Whether the library sends this target unchanged. For example, it takes a leading "//"
+// as a host and would then call another path.
 inline bool is_sent_unchanged(std::string const& target) {
   try {
     return web::uri_builder(web::uri("http://127.0.0.1:1")).append(web::uri(target)).to_uri().resource().to_string() ==
@@ -50,9 +49,9 @@
   }
 }
 
-// The library joins repeated headers with ", ", which Set-Cookie alone doesn't
-// bear: its cookies are told apart again by what may follow a comma, a name and
-// "=". A quoted value could hide one: such an answer isn't passed off as whole.
+// The library joins repeated headers with ", ", which is only ambiguous for Set-Cookie:
+// a new cookie starts where a comma is followed by a name and "=". A quoted value could
+// contain that pattern, so such an answer is rejected.
 inline std::optional<std::vector<std::string>> split_cookies(std::string const& joined_cookies) {
   if (joined_cookies.find('"') != std::string::npos && joined_cookies.find(',') != std::string::npos)
     return std::nullopt;
@@ -76,8 +75,8 @@
          });
 }
 
-// The lines of a request's body while it arrives. A sender that is faster than
-// what is done with its lines is cut off before it fills the memory.
+// Reads the lines of a request body as they arrive. A sender that is much faster than
+// its lines are processed is cut off before it exhausts memory.
 class LineReader {
  public:
   static constexpr std::size_t line_limit = 1u << 20, backlog = 8u << 20;
@@ -118,7 +117,7 @@
   bool ended_ = false;
 };
 
-// Lines of a reply while they are made. The reply begins with the first line.
+// Writes the lines of a reply as they are produced. The reply starts with the first line.
 class LineWriter {
  public:
   static constexpr std::size_t backlog = 256u << 10;
@@ -164,13 +163,13 @@
   using LineRequestHandler = std::function<Task<HttpReply>(HttpRequest, LineReader&)>;
   using LineResponseHandler = std::function<Task<std::optional<HttpReply>>(HttpRequest, LineWriter&)>;
 
-  // Paths whose request body, or whose reply, is a stream of lines.
+  // Registers handlers of paths whose request body, or whose reply, is a stream of lines.
   void on_line_request(std::string const& path, LineRequestHandler h) { line_request_handlers_[path] = std::move(h); }
   void on_line_response(std::string const& path, LineResponseHandler h) {
     line_response_handlers_[path] = std::move(h);
   }
 
-  // `address` is ip:port with the port given.
+  // `address` is ip:port with a fixed port.
   HttpListener(asio::io_context& io, Address const& address, Handler handler)
       : io_(io), handler_(std::move(handler)), listener_("http://" + address + "/") {
     listener_.support([this](web::http::http_request q) {
@@ -220,7 +219,7 @@
     } else if (!is_sent_unchanged(request.target)) {
       reply.status = 400;
       reply.headers = {{"banktide-outcome", "not-run"}, {"Connection", "close"}};
-      reply.body = "this target can't be carried as it stands\n";
+      reply.body = "this target can't be sent unchanged\n";
     } else if (q.headers().content_length() > body_limit) {
       reply.status = 413;
       reply.headers = {{"banktide-outcome", "not-run"}, {"Connection", "close"}};
@@ -237,8 +236,8 @@
     web::http::http_response out(reply.status);
     out.set_body(std::vector<unsigned char>(reply.body.start(), reply.body.end()));
     out.headers().remove("Content-Type");
-    // The library writes values as they are, one line a name: the cookies after
-    // the first bring their own lines along.
+    // The library writes one line per header name and values unchanged: the value of the
+    // first cookie therefore includes the lines of the others.
     std::string cookies;
     for (Header const& h : reply.headers) {
       if (!is_cookie(h.name))
@@ -257,8 +256,8 @@
   web::http::experimental::listener::http_listener listener_;
 };
 
-// One call on one fresh connection. Only a failure to connect is proof that
-// nothing was sent.
+// Makes each call on a new connection. Only a failure to connect proves that nothing
+// was sent.
 template <Clock Env>
 class HttpClient {
  public:
@@ -268,7 +267,7 @@
     return run_at(host_ + ":" + std::to_string(port), std::move(q), deadline);
   }
 
-  // Whether anybody takes connections at the port; only a refusal says no.
+  // Whether a process accepts connections at the port; only a refused connection counts as no.
   Task<bool> listens(std::uint16_t const port) {
     std::shared_ptr<asio::ip::tcp::socket> s = std::make_shared<asio::ip::tcp::socket>(env_.executor());
     boost::system::error_code ec;
@@ -290,7 +289,7 @@
     for (Header const& h : q.headers) request.headers().add(h.name, h.value);
     request.headers().remove("Connection");
     if (!is_sent_unchanged(q.target))
-      co_return make_error("target", peer, "can't be carried as it stands", Proof::not_run);
+      co_return make_error("target", peer, "can't be sent unchanged", Proof::not_run);
     if (!q.body.empty()) {
       std::string const type = request.headers().content_type();
       request.set_body(std::vector<unsigned char>(q.body.start(), q.body.end()));
@@ -342,14 +341,14 @@
         coding = value;
       std::optional<std::vector<std::string>> const cookies_or_value =
           n == "set-cookie" ? split_cookies(value) : std::vector<std::string>{value};
-      if (!cookies_or_value) co_return make_error("read_reply", peer, "cookies that can't be told apart");
+      if (!cookies_or_value) co_return make_error("read_reply", peer, "ambiguous cookies");
       for (std::string const& one : *cookies_or_value) reply.headers.push_back({name, one});
     }
     bool const bodyless = method == "HEAD" || reply.status == 204 || reply.status == 304;
     bool const has_length =
         !length.empty() && length.size() < 10 && length.find_first_not_of("0123456789") == std::string::npos;
     if (!bodyless && !(has_length && coding.empty()) && !(coding == "chunked" && length.empty()))
-      co_return make_error("read_reply", peer, "neither one length nor chunks");
+      co_return make_error("read_reply", peer, "neither a single length nor chunked");
     if (has_length && !bodyless && std::stoul(length) > body_limit)
       co_return make_error("read_reply", peer, "body over the limit");
     if (bodyless) co_return reply;
--- a/source/transport/http_server.cpp
+++ b/source/transport/http_server.cpp
@@ -1,7 +1,7 @@
-// A connection is driven by readiness: it waits without a buffer of its own, reads
-// into the thread's scratch buffer, and keeps only what it couldn't parse yet. Each
-// request has a slot; answers leave in the order of the slots. After every event
-// `advance` moves things on as far as they go.
+// Connections are driven by readiness: they wait without a buffer of their own, read
+// into the thread's scratch buffer, and keep only what couldn't be parsed yet. Each
+// request has a slot; answers are written in the order of the slots. After every event
+// `advance` makes as much progress as possible.
 #include "transport/http_server.hpp"
 
 #include "transport/http_codec.hpp"
@@ -30,9 +30,9 @@
 constexpr int accept_backlog = 1024;
 constexpr std::size_t pipeline_depth = 16;
 constexpr std::size_t reads_per_event = 8;         // then other connections get their turn
-constexpr std::size_t rejected_connections = 256;  // beyond the limit, kept long enough to be told 503
-constexpr std::size_t pending_slack = 64u << 10;   // unparsed bytes beyond a header's limit
-constexpr std::size_t max_write_buffers = 16;      // buffers in one write
+constexpr std::size_t rejected_connections = 256;  // connections beyond the limit, kept long enough to be answered 503
+constexpr std::size_t pending_slack = 64u << 10;   // unparsed bytes beyond the header limit
+constexpr std::size_t max_write_buffers = 16;      // buffers per write
 constexpr std::string_view retry_after_seconds = "0.2";
 
 bool would_block(ErrorCode const& error) {
@@ -45,7 +45,7 @@
   return 400;
 }
 
-// Bytes counted against the server's total for as long as this lives.
+// Counts bytes against the server's total during its lifetime.
 class ByteReservation {
  public:
   ByteReservation() = default;
@@ -73,7 +73,7 @@
   std::size_t bytes_ = 0;
 };
 
-// One request's place in the order of answers.
+// A request's place in the order of answers.
 struct AnswerSlot : HttpExchange {
   std::optional<HttpReply> reply;
   ByteReservation held;
@@ -82,7 +82,7 @@
   bool is_head = false;
 };
 
-// An answer on its way to the socket.
+// An answer being written.
 struct Outgoing {
   std::string head;
   std::string body;
@@ -94,7 +94,7 @@
 class HttpConnection;
 using HttpConnections = std::list<std::shared_ptr<HttpConnection>>;
 
-// What a server's connections share, alive as long as any of them.
+// State shared by a server's connections; it lives as long as any of them.
 struct HttpServerCore : std::enable_shared_from_this<HttpServerCore> {
   HttpServerCore(asio::io_context& context, HttpHandler h, HttpServerLimits l)
       : io(context), handler(std::move(h)), limits(l), acceptor(context), accept_timer(context), sweep_timer(context) {}
@@ -114,7 +114,7 @@
   tcp::acceptor acceptor;
   asio::steady_timer accept_timer;
   asio::steady_timer sweep_timer;
-  HttpConnections idle;  // the longest idle first
+  HttpConnections idle;  // longest idle first
   HttpConnections busy;
   std::shared_ptr<std::size_t> held = std::make_shared<std::size_t>(0);
   std::size_t in_flight = 0;
@@ -164,12 +164,12 @@
   std::shared_ptr<HttpServerCore> core_;
   tcp::socket socket_;
   HttpConnections::iterator list_position_;
-  boost::beast::flat_buffer pending_;  // read but not parsed
+  boost::beast::flat_buffer pending_;  // read but not yet parsed
   std::unique_ptr<RequestParser> parser_;
   ByteReservation body_reservation_;
   std::vector<std::shared_ptr<AnswerSlot>> slots_;
   std::vector<Outgoing> unsent_;
-  std::size_t written_ = 0;  // of the first unsent answer
+  std::size_t written_ = 0;  // bytes of the first unsent answer
   Instant last_read_{};
   Instant last_write_{};
   Instant request_started_at_{};
@@ -181,11 +181,11 @@
   bool waits_to_read_ = false;
   bool waits_for_error_ = false;
   bool waits_to_write_ = false;
-  bool peer_finished_ = false;      // its FIN was read
-  bool continue_due_ = false;       // `100 Continue` is awaited
-  bool closing_ = false;            // no further request is taken
+  bool peer_finished_ = false;      // a FIN was received
+  bool continue_due_ = false;       // the client awaits `100 Continue`
+  bool closing_ = false;            // no further requests are accepted
   bool close_after_write_ = false;  // the last answer is queued
-  bool lingering_ = false;          // our FIN is sent, what still comes is read and dropped
+  bool lingering_ = false;          // a FIN was sent; further input is read and discarded
   bool closed_ = false;
 };
 
@@ -229,7 +229,7 @@
   advance();
 }
 
-// Whether there may be more to read at once.
+// Returns whether there may be more to read immediately.
 bool HttpConnection::read_once(Instant const now) {
   std::span<char> const scratch = read_scratch();
   ErrorCode error;
@@ -270,7 +270,7 @@
 
 bool HttpConnection::may_start_request() const { return slots_.size() + unsent_.size() < pipeline_depth; }
 
-// Whether that moved anything.
+// Returns whether any progress was made.
 bool HttpConnection::parse_pending() {
   if (pending_.size() == 0 || !may_parse()) return false;
   asio::const_buffer const bytes = pending_.data();
@@ -281,7 +281,7 @@
   return used > 0 || too_long;
 }
 
-// Takes every request that is whole and returns how many bytes it used.
+// Dispatches every complete request; returns the number of bytes consumed.
 std::size_t HttpConnection::parse(std::string_view const bytes) {
   std::size_t used = 0;
   while (used < bytes.size() && may_parse()) {
@@ -315,7 +315,7 @@
   return used;
 }
 
-// Whether the request may go on; if not, it has been refused.
+// Returns whether the request may continue; if not, it has been rejected.
 bool HttpConnection::accept_header(bool const body_has_started) {
   std::size_t const host_count = std::count_if(parser_->headers.begin(), parser_->headers.end(),
                                                [](Header const& header) { return same_name(header.name, "host"); });
@@ -370,7 +370,7 @@
                  });
 }
 
-// An answer of our own to a request that isn't taken; it closes the connection.
+// Answers a request that isn't accepted, and closes the connection.
 void HttpConnection::reject(std::uint16_t const status) {
   std::shared_ptr<AnswerSlot> const slot = std::make_shared<AnswerSlot>();
   slot->keep_alive = false;
@@ -393,7 +393,7 @@
     slot->held = ByteReservation();
     return;
   }
-  if (reply.status < 200 || reply.status > 999) {  // not a final answer: the handler's mistake
+  if (reply.status < 200 || reply.status > 999) {  // not a final status: an error of the handler
     reply = HttpReply();
     reply.status = 500;
   }
@@ -420,7 +420,7 @@
   update_idle_state();
 }
 
-// Whether there was one. Only the last answer due may close the connection.
+// Returns whether there was one. Only the last pending answer may close the connection.
 bool HttpConnection::queue_next_reply() {
   if (close_after_write_ || slots_.empty() || !slots_.front()->reply) return false;
   std::shared_ptr<AnswerSlot> const slot = slots_.front();
@@ -453,7 +453,7 @@
     append_header(head, "Connection", "close");
   } else {
     if (slot.http_1_0) append_header(head, "Connection", "keep-alive");
-    // A little below the time after which we close, so that the client stops using it first.
+    // Slightly below the idle timeout, so that the client stops using the connection before it is closed.
     std::int64_t const seconds = (as_ms(core_->limits.idle_timeout) + 999) / 1000 - 1;
     if (seconds > 0) append_header(head, "Keep-Alive", "timeout=" + std::to_string(seconds));
   }
@@ -476,7 +476,7 @@
   if (close_after_write_) linger();
 }
 
-// Whether something was written and more may follow at once.
+// Returns whether something was written and more may follow immediately.
 bool HttpConnection::write_once() {
   std::array<asio::const_buffer, max_write_buffers> buffers;
   std::size_t count = 0;
@@ -515,8 +515,8 @@
   return true;
 }
 
-// Our side ends; what the client still sends is read for a moment, since a close
-// with unread bytes would be a reset, which destroys the answer on its way.
+// Shuts down the sending side and reads further input for a moment, because closing
+// with unread bytes would reset the connection and lose the answer in transit.
 void HttpConnection::linger() {
   ErrorCode error;
   socket_.shutdown(tcp::socket::shutdown_send, error);
@@ -556,7 +556,7 @@
   (is_idle_ ? core_->idle : core_->busy).erase(list_position_);
 }
 
-// ---- connection: time-outs
+// ---- connection: timeouts
 
 bool HttpConnection::is_overdue(Instant const now) const {
   HttpServerLimits const& limits = core_->limits;
@@ -581,7 +581,7 @@
   advance();
 }
 
-// ---- what the connections share
+// ---- shared state
 
 void HttpServerCore::accept_next() {
   acceptor.async_accept([self = shared_from_this()](ErrorCode const& error, tcp::socket socket) {
@@ -595,7 +595,7 @@
   });
 }
 
-// Out of descriptors or the like: trying again at once would spin.
+// After errors such as running out of descriptors, retrying immediately would spin.
 void HttpServerCore::accept_after_delay() {
   accept_timer.expires_after(accept_retry_delay);
   accept_timer.async_wait([self = shared_from_this()](ErrorCode const& error) {
--- a/source/transport/http_server.hpp
+++ b/source/transport/http_server.hpp
@@ -1,8 +1,8 @@
-// The HTTP/1.1 server at the edge of a process: it reads requests (kept-alive and
-// pipelined ones too), hands each whole one to a handler and writes the answers in
-// the order of the requests. It owns everything that concerns one client connection
-// only: limits, time-outs, hop-by-hop headers, lengths and closing. All of it runs
-// on the thread of the io_context it is given; one coarse timer serves every connection.
+// The HTTP/1.1 server of a process: it reads requests (with keep-alive and pipelining),
+// passes each complete one to a handler and writes the answers in the order of the
+// requests. It handles everything that concerns a single client connection: limits,
+// timeouts, hop-by-hop headers, lengths and closing. Everything runs on the thread of
+// the given io_context; one coarse timer serves all connections.
 #pragma once
 
 #include "protocol/messages.hpp"
@@ -13,25 +13,25 @@
 
 namespace banktide {
 
-/// What a client may send, how long it may take, and what the server holds at most.
+/// Limits on requests, timeouts and memory.
 struct HttpServerLimits {
   std::size_t header_bytes = 16u << 10;
   std::size_t body_bytes = 64u << 20;
   Duration header_timeout = 3s;
   Duration idle_timeout = 15s;
   std::size_t connections = 3000;
-  std::size_t buffered_bytes = 48u << 20;  ///< request bodies and unsent answers, all connections together
+  std::size_t buffered_bytes = 48u << 20;  ///< request bodies and unsent answers of all connections
 };
 
-/// What is known of the client of a request. A FIN may come from a client that has closed or from
-/// one that only has nothing more to say: TCP tells them apart only when something is sent.
+/// The known state of a request's client. A FIN may come from a client that has closed the
+/// connection or one that only finished sending: TCP distinguishes them only when something is sent.
 enum class ClientState : std::uint8_t {
   connected,
-  finished_sending,  ///< a FIN came; the answer is still written, and lost if the client had closed
-  gone,              ///< reset: nobody will read the answer, and it is dropped
+  finished_sending,  ///< a FIN was received; the answer is still written, and lost if the client had closed
+  gone,              ///< connection reset; the answer is discarded
 };
 
-/// A request on its way, as its handler sees it beside the request's content.
+/// The state of a request in progress that is passed to its handler with the content.
 struct HttpExchange {
   Instant arrival{};  ///< when the request's first bytes were read
   ClientState client = ClientState::connected;
@@ -48,24 +48,24 @@
 class HttpServer {
  public:
   HttpServer(asio::io_context& io, HttpHandler handler, HttpServerLimits limits);
-  /// Closes the listener and every connection at once.
+  /// Closes the listener and all connections immediately.
   ~HttpServer();
   HttpServer(HttpServer const&) = delete;
   HttpServer& operator=(HttpServer const&) = delete;
 
-  /// Begins to accept; the address returned has the port that was taken.
+  /// Starts accepting; the returned address has the port that was bound.
   Result<Address> listen(Address const& address);
-  /// Takes effect for requests that begin after this.
+  /// Applies to requests that start afterwards.
   void set_limits(HttpServerLimits limits);
-  /// Serves on, but the last answer due on each connection closes it.
+  /// Continues to serve, but closes each connection with its last pending answer.
   void drain();
   void close_listener();
   std::size_t connections() const;
-  /// Connections with a request that isn't whole, or an answer whose last byte isn't written.
+  /// The number of connections with an incomplete request or an answer not fully written.
   std::size_t busy() const;
-  /// Requests that are with the handler.
+  /// The number of requests being handled.
   std::size_t in_flight() const;
-  /// Bytes of request bodies and unsent answers held now.
+  /// Bytes of request bodies and unsent answers held at present.
   std::size_t buffered() const;
 
  private:
