--- a/source/transport/http_edge.hpp
+++ b/source/transport/http_edge.hpp
@@ -288,8 +288,7 @@
     web::http::http_request request(q.method);
     for (Header const& h : q.headers) request.headers().add(h.name, h.value);
     request.headers().remove("Connection");
-    if (!is_sent_unchanged(q.target))
-      co_return make_error("target", peer, "can't be sent unchanged", Proof::not_run);
+    if (!is_sent_unchanged(q.target)) co_return make_error("target", peer, "can't be sent unchanged", Proof::not_run);
     if (!q.body.empty()) {
       std::string const type = request.headers().content_type();
       request.set_body(std::vector<unsigned char>(q.body.start(), q.body.end()));
