--- a/source/data_path/access_control.cpp
+++ b/source/data_path/access_control.cpp
@@ -1,4 +1,4 @@
-// Reading bearer credentials (RFC 6750), and the decision by them.
+// Parsing of bearer credentials (RFC 6750), and the access decision.
 #include "data_path/access_control.hpp"
 
 #include "protocol/http_words.hpp"
@@ -29,9 +29,9 @@
   }
   if (credentials == nullptr) return "";
   std::string_view const value = trimmed(credentials->value);
-  std::size_t const blank = value.find(' ');
-  if (blank == std::string_view::npos || !same_name(value.substr(0, blank), bearer_scheme)) return "";
-  return std::string(trimmed(value.substr(blank)));
+  std::size_t const space = value.find(' ');
+  if (space == std::string_view::npos || !same_name(value.substr(0, space), bearer_scheme)) return "";
+  return std::string(trimmed(value.substr(space)));
 }
 
 AccessDecision decide_access(Router const& router, Route const& route, HttpRequest const& request,
--- a/source/data_path/backend_queue.hpp
+++ b/source/data_path/backend_queue.hpp
@@ -1,9 +1,8 @@
-// The queue before one backend. The node beside the backend is its only caller,
-// so it never sends more at once than the backend has slots. What must wait is
-// ordered by its expected work, weighted by its rank, so that a slot-second goes
-// to as many and as important requests as possible: short calls that other
-// requests wait for pass long ones. Whatever can't be served in time is refused
-// as soon as that is foreseen. Pure state: the caller gives the time.
+// The queue of requests for one backend. The backend's node is its only caller, so it never runs more
+// requests at once than the backend has slots. Waiting requests are ordered by expected run time,
+// weighted by rank, so that slot time serves as many and as important requests as possible: short
+// requests overtake long ones. A request that can't be served in time is refused as soon as that is
+// predicted. Pure state: the caller passes in the time.
 #pragma once
 
 #include "data_path/work_estimate.hpp"
@@ -14,12 +13,12 @@
 
 namespace banktide {
 
-/** A request that wants a slot of the backend. */
+/** A request for a slot of the backend. */
 struct QueuedRequest {
   std::uint64_t id = 0;
   std::uint32_t rank = 0;
   std::uint32_t work_class = 0;
-  /** The latest instant at which its answer is still of use. */
+  /** The latest time at which its answer is still useful. */
   Instant useful_until{};
 };
 
@@ -27,7 +26,7 @@
 
 class BackendQueue {
  public:
-  /** What a change of the queue decided about requests that were waiting. */
+  /** Decisions about waiting requests, made by changes of the queue. */
   struct Decisions {
     std::vector<std::uint64_t> run;
     std::vector<std::uint64_t> refuse;
@@ -39,24 +38,24 @@
   std::uint32_t waiting() const { return static_cast<std::uint32_t>(waiting_.size()); }
   WorkEstimate const& estimate() const { return estimate_; }
 
-  /** A new request: it runs, waits or is refused. It may push others out: see `take_decisions`. */
+  /** Admits a new request: it runs, waits or is refused. It may cause others to be refused: see `take_decisions`. */
   Admission admit(Instant now, QueuedRequest const& request);
-  /** A running request ended; `took` counts towards the estimate when `measured`. */
+  /** Ends a running request; `took` updates the estimate of run times if `measured`. */
   void finished(Instant now, std::uint32_t work_class, Duration took, bool measured);
-  /** A waiting request's client has gone. Says whether it was waiting. */
+  /** Removes a waiting request. Returns whether it was waiting. */
   bool withdraw(std::uint64_t id);
-  /** All that waits is refused, as when the backend goes. */
+  /** Refuses all waiting requests, as when the backend ends. */
   void refuse_all();
-  /** Decisions since the last call, for the owner to carry out. */
+  /** Returns the decisions since the last call, which the owner applies. */
   Decisions take_decisions();
-  /** The wait that a new request would have now. */
+  /** Returns the wait that a new request would have now. */
   Duration expected_wait(std::uint32_t rank, std::uint32_t work_class) const;
 
  private:
   struct Waiting {
     QueuedRequest request;
     Duration work{};
-    /** The lower, the sooner it runs. */
+    /** Requests with a lower weight run first. */
     Duration weight{};
   };
 
--- a/source/data_path/client_departure.hpp
+++ b/source/data_path/client_departure.hpp
@@ -1,5 +1,5 @@
-// Whether and when the client of one request left before it had its answer, and
-// what such requests cost: the figures that tell whether work ends with its client.
+// Records whether and when the client of one request disconnected before it had its answer, and how
+// long the node went on working on such requests.
 #pragma once
 
 #include "transport/http_server.hpp"
@@ -8,15 +8,15 @@
 
 namespace banktide {
 
-/** Requests whose clients left before the answer, counted when the node has done with them. */
+/** Counts requests whose clients disconnected before the answer; counted when the node has finished them. */
 struct DepartureCounts {
-  /** The client had ended its side of the connection in order. */
+  /** The client had closed its side of the connection in order. */
   std::uint64_t closed = 0;
   /** Its connection was reset, then or afterwards. */
   std::uint64_t reset = 0;
-  /** Of both, those that the node was still busy with half a second later. */
+  /** Of both, those that the node was still working on half a second later. */
   std::uint64_t outlived = 0;
-  /** The time that the node was still busy with all of them, in milliseconds. */
+  /** The total time that the node went on working on them, in milliseconds. */
   std::uint64_t outlived_ms = 0;
 };
 
@@ -27,7 +27,7 @@
     last_state_ = state;
   }
 
-  /** To be called once, when the request has ended. */
+  /** Must be called once, when the request has ended. */
   void count(DepartureCounts& counts, Instant const now) const {
     if (!at_) return;
     ++(last_state_ == ClientState::gone ? counts.reset : counts.closed);
--- a/source/data_path/failure_share.cpp
+++ b/source/data_path/failure_share.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Duration half_life = 2s;
-// Requests without a failure that are assumed on top, so that few prove little.
+// Assumed successes that are added to the measured requests, so that a few failures have little effect.
 constexpr double assumed_successes = 4;
 
 }  // namespace
--- a/source/data_path/failure_share.hpp
+++ b/source/data_path/failure_share.hpp
@@ -1,6 +1,6 @@
-// The share of a backend's latest requests that failed, as the node beside it
-// measures it. Health answers may be wrong either way; this rests on real requests
-// only. Old ones fade, so that a backend that gets no requests is tried again.
+// The share of failed requests among a backend's latest ones, measured by its node. Unlike health
+// checks, which can be wrong either way, it is based on real requests only. Old requests lose weight,
+// so that a backend that gets no requests is tried again.
 #pragma once
 
 #include "transport/result.hpp"
@@ -11,9 +11,9 @@
 
 class FailureShare {
  public:
-  /// One request that reached the backend is over.
+  /// Records the end of one request that reached the backend.
   void add(Instant now, bool failed);
-  /// In percent, rounded down; 0 until there are several failures.
+  /// Returns the share in percent, rounded down; low while there are few requests.
   std::uint32_t percent(Instant now) const;
 
  private:
--- a/source/data_path/outliers.cpp
+++ b/source/data_path/outliers.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr std::uint32_t min_percent = 12;        // below this nobody is an outlier
-constexpr std::uint32_t median_factor = 3;       // and only who is this much over the others
-constexpr std::size_t max_outliers_divisor = 3;  // a third of all
+constexpr std::uint32_t min_percent = 12;        // at or below this no backend is an outlier
+constexpr std::uint32_t median_factor = 3;       // an outlier fails more than this many times the median
+constexpr std::size_t max_outliers_divisor = 3;  // at most a third of all backends
 
 }  // namespace
 
--- a/source/data_path/request_state.hpp
+++ b/source/data_path/request_state.hpp
@@ -1,5 +1,4 @@
-// A request's way through the node that took it, as a state chart: the phases
-// have names and only the listed steps are taken.
+// The state machine of a request in the node that accepted it.
 #pragma once
 
 #include <cstdint>
@@ -28,7 +27,7 @@
  public:
   RequestPhase phase() const { return phase_; }
 
-  /** Takes the step if the chart has it, and says whether it did. */
+  /** Moves to the phase if the transition is allowed; returns whether it is. */
   bool transition(RequestPhase const to) {
     if (!allowed(phase_, to)) return false;
     phase_ = to;
--- a/source/data_path/work_estimate.hpp
+++ b/source/data_path/work_estimate.hpp
@@ -1,5 +1,5 @@
-// How long requests of each class run on one backend: moving averages, from
-// which the wait of a queued request is foretold.
+// Moving averages of the run times of each class of requests on one backend, used to predict the wait
+// of a queued request.
 #pragma once
 
 #include "transport/result.hpp"
@@ -11,27 +11,27 @@
 
 class WorkEstimate {
  public:
-  /** One run of the class took `took`. */
+  /** Records the time of one run of the class. */
   void record_run(std::uint32_t const work_class, Duration const took) {
     double const ms = std::chrono::duration<double, std::milli>(took).count();
     update(overall_, ms);
     update(by_class_[work_class], ms);
   }
 
-  /** The expected run time of a request of the class. */
+  /** Returns the expected run time of a request of the class. */
   Duration expected(std::uint32_t const work_class) const {
     auto const it = by_class_.find(work_class);
     return milliseconds(it == by_class_.end() ? overall_.ms : it->second.ms);
   }
 
-  /** The expected run time over all classes. */
+  /** Returns the expected run time over all classes. */
   Duration overall() const { return milliseconds(overall_.ms); }
 
  private:
   static constexpr double weight_of_newest = 0.05;
   static constexpr double initial_estimate_ms = 50;
 
-  /** A mean that follows the newest runs, and at first all of them alike. */
+  /** An exponential moving average; the first runs have equal weight. */
   struct Mean {
     double ms = initial_estimate_ms;
     double runs = 0;
--- a/tests/data_path/access_control_test.cpp
+++ b/tests/data_path/access_control_test.cpp
@@ -1,4 +1,4 @@
-// Access by bearer keys: which key a request bears, who is let in, in whose name, and until when.
+// Access by bearer keys: parsing, the decision with its tenant, and the time limit of the access lease.
 #include "data_path/access_control.hpp"
 
 #include "data_path/access_lease.hpp"
@@ -46,7 +46,7 @@
   EXPECT_EQ(access_key_of(with({"Bearer k1", "Bearer k1"})), "");
 }
 
-TEST(AccessControl, lets_in_who_bears_a_known_key_in_its_owners_name) {
+TEST(AccessControl, admits_requests_with_a_known_key_for_its_tenant) {
   Router const router = router_with(two_tenants());
   Route const& closed = router.routes()[0];
   AccessDecision const known = decide_access(router, closed, with({"Bearer k3"}), true);
@@ -57,7 +57,7 @@
     EXPECT_EQ(decide_access(router, closed, with({"Bearer " + key}), true).verdict, Verdict::unknown_key) << key;
 }
 
-TEST(AccessControl, tells_nobody_that_a_key_is_unknown_while_it_cannot_know) {
+TEST(AccessControl, reports_no_key_as_unknown_while_keys_are_unconfirmed) {
   Router const router = router_with(two_tenants());
   Route const& closed = router.routes()[0];
   for (std::string const key : {"k1", "k9"})
@@ -66,18 +66,20 @@
 
 TEST(AccessControl, open_routes_and_configurations_without_tenants_need_no_key) {
   Router const tenants = router_with(two_tenants());
-  Router const nobody_named = router_with(std::nullopt);
+  Router const without_tenants = router_with(std::nullopt);
   for (bool const confirmed : {true, false}) {
     EXPECT_EQ(decide_access(tenants, tenants.routes()[1], with({}), confirmed).verdict, Verdict::granted);
-    EXPECT_EQ(decide_access(nobody_named, nobody_named.routes()[0], with({}), confirmed).verdict, Verdict::granted);
+    EXPECT_EQ(decide_access(without_tenants, without_tenants.routes()[0], with({}), confirmed).verdict,
+              Verdict::granted);
   }
-  Router const nobody = router_with(std::vector<Tenant>{});
-  EXPECT_EQ(decide_access(nobody, nobody.routes()[0], with({"Bearer k1"}), true).verdict, Verdict::unknown_key);
+  Router const empty_tenants = router_with(std::vector<Tenant>{});
+  EXPECT_EQ(decide_access(empty_tenants, empty_tenants.routes()[0], with({"Bearer k1"}), true).verdict,
+            Verdict::unknown_key);
 }
 
-TEST(AccessControl, keys_are_kept_back_and_other_credentials_are_not) {
+TEST(AccessControl, keys_are_removed_from_requests_and_other_credentials_are_not) {
   Router const router = router_with(two_tenants());
-  Router const nobody_named = router_with(std::nullopt);
+  Router const without_tenants = router_with(std::nullopt);
   auto const kept = [](Router const& by, std::size_t const route, std::string const& value) {
     HttpRequest request = with({value});
     remove_credentials(request, by, by.routes()[route], decide_access(by, by.routes()[route], request, true));
@@ -86,23 +88,23 @@
   EXPECT_FALSE(kept(router, 0, "Bearer k1"));
   EXPECT_FALSE(kept(router, 1, "Bearer k1"));
   EXPECT_TRUE(kept(router, 1, "Basic application"));
-  EXPECT_TRUE(kept(nobody_named, 0, "Bearer k1"));
+  EXPECT_TRUE(kept(without_tenants, 0, "Bearer k1"));
 }
 
-TEST(AccessLease, lasts_for_less_than_a_dropped_key_may_be_used_from_the_question) {
+TEST(AccessLease, ends_before_a_removed_key_must_not_be_used_any_more) {
   Instant const asked{std::chrono::hours(1)};
   AccessLease lease(5s);
   EXPECT_FALSE(lease.valid(asked));
   lease.confirm(asked);
   EXPECT_TRUE(lease.valid(asked + 4s));
   EXPECT_FALSE(lease.valid(asked + 5s));
-  lease.confirm(asked - 2s);  // an answer that was overtaken
+  lease.confirm(asked - 2s);  // a reply that arrives after a newer one
   EXPECT_TRUE(lease.valid(asked + 4s));
   lease.confirm(asked + 3s);
   EXPECT_TRUE(lease.valid(asked + 7s));
 }
 
-TEST(AccessLease, without_a_bound_keys_are_never_doubted) {
+TEST(AccessLease, without_a_limit_keys_are_always_valid) {
   EXPECT_TRUE(AccessLease(std::nullopt).valid(Instant{std::chrono::hours(1)}));
 }
 
--- a/tests/data_path/backend_queue_test.cpp
+++ b/tests/data_path/backend_queue_test.cpp
@@ -1,5 +1,5 @@
-// The queue before a backend: never more running than slots, ranks first, and
-// refusals as soon as a request can't be served in time.
+// The queue of a backend: it never runs more requests than slots, orders them by rank and run time,
+// and refuses a request as soon as it can't be served in time.
 #include "data_path/backend_queue.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
   return QueuedRequest{id, rank, 1, at(useful_until_ms)};
 }
 
-TEST(BackendQueue, runs_up_to_the_slots_and_then_by_rank_and_age) {
+TEST(BackendQueue, runs_as_many_as_slots_and_then_by_rank_and_age) {
   BackendQueue queue;
   queue.set_slots(2);
   EXPECT_EQ(queue.admit(at(0), request(1, 2, 1000)), Admission::run);
@@ -33,7 +33,7 @@
   EXPECT_EQ(queue.running(), 2u);
 }
 
-TEST(BackendQueue, refuses_at_once_what_cannot_be_served_in_time) {
+TEST(BackendQueue, refuses_requests_at_once_that_cannot_be_served_in_time) {
   BackendQueue queue;
   queue.set_slots(1);
   EXPECT_EQ(queue.admit(at(0), request(1, 0, 1000)), Admission::run);
@@ -41,7 +41,7 @@
   EXPECT_EQ(queue.admit(at(0), request(3, 0, 120)), Admission::wait);
 }
 
-TEST(BackendQueue, short_calls_pass_long_ones_of_the_same_rank) {
+TEST(BackendQueue, short_requests_overtake_long_ones_of_the_same_rank) {
   BackendQueue queue;
   queue.set_slots(1);
   constexpr std::uint32_t long_class = 1, short_class = 2;
@@ -58,7 +58,7 @@
   EXPECT_EQ(queue.take_decisions().run, (std::vector<std::uint64_t>{12}));
 }
 
-TEST(BackendQueue, a_higher_rank_pushes_out_what_then_comes_too_late) {
+TEST(BackendQueue, requests_of_a_higher_rank_cause_late_ones_to_be_refused) {
   BackendQueue queue;
   queue.set_slots(1);
   queue.admit(at(0), request(1, 0, 1000));
@@ -67,7 +67,7 @@
   EXPECT_EQ(queue.take_decisions().refuse, (std::vector<std::uint64_t>{2}));
 }
 
-TEST(BackendQueue, whatever_comes_each_request_is_decided_once_and_slots_are_kept) {
+TEST(BackendQueue, under_random_load_each_request_is_decided_once_and_slots_are_not_exceeded) {
   std::mt19937_64 chance(7);
   BackendQueue queue;
   queue.set_slots(5);
--- a/tests/data_path/outliers_test.cpp
+++ b/tests/data_path/outliers_test.cpp
@@ -1,4 +1,4 @@
-// How failures are measured beside a backend, and which backends count as outliers.
+// Measurement of a backend's share of failures, and outlier detection.
 #include "data_path/failure_share.hpp"
 #include "data_path/outliers.hpp"
 
@@ -11,7 +11,7 @@
 
 Instant const start{1000s};
 
-TEST(FailureShare, agrees_with_the_share_that_failed_when_there_are_many) {
+TEST(FailureShare, approximates_the_share_of_failures_of_many_requests) {
   FailureShare share;
   std::mt19937_64 random(3);
   Instant now = start;
@@ -19,7 +19,7 @@
   EXPECT_NEAR(share.percent(now), 38, 6);
 }
 
-TEST(FailureShare, says_little_of_few_requests_and_forgets) {
+TEST(FailureShare, is_low_for_few_requests_and_decays) {
   FailureShare share;
   EXPECT_EQ(share.percent(start), 0u);
   share.add(start, true);
@@ -27,7 +27,7 @@
   for (int i = 0; i < 50; ++i) share.add(start, true);
   EXPECT_GT(share.percent(start), 90u);
   EXPECT_LT(share.percent(start + 16s), 12u);
-  share.add(start - 1s, false);  // a clock that seems to step back changes no sums
+  share.add(start - 1s, false);  // a time before the last one causes no decay
   EXPECT_GT(share.percent(start), 85u);
 }
 
@@ -35,7 +35,7 @@
   EXPECT_EQ(find_outliers({0, 40, 1, 0, 2, 0}), std::vector<bool>({false, true, false, false, false, false}));
 }
 
-TEST(Outliers, none_where_all_fail_alike_or_little) {
+TEST(Outliers, there_are_none_if_all_fail_alike_or_rarely) {
   std::vector<bool> const none(6, false);
   EXPECT_EQ(find_outliers({40, 45, 38, 60, 41, 39}), none);
   EXPECT_EQ(find_outliers({0, 12, 0, 5, 0, 0}), none);
@@ -43,7 +43,7 @@
   EXPECT_EQ(find_outliers({90, 0}), std::vector<bool>({false, false}));
 }
 
-TEST(Outliers, never_more_than_a_third_and_the_worst_of_them) {
+TEST(Outliers, at_most_a_third_and_the_worst_of_them) {
   std::mt19937_64 random(9);
   for (int i = 0; i < 2000; ++i) {
     std::vector<std::uint32_t> failed(random() % 12);
