--- a/source/data_path/endpoint_selector.cpp
+++ b/source/data_path/endpoint_selector.cpp
@@ -13,14 +13,14 @@
 constexpr Duration first_ejection = 250ms;
 constexpr std::uint32_t max_ejection_doublings = 4;
 constexpr Duration outlier_update_interval = 100ms;
-constexpr Duration failure_report_lifetime = 5s;  // then an endpoint gets another chance
+constexpr Duration failure_report_lifetime = 5s;  // then an outlier is used again
 constexpr std::uint64_t probe_one_in = 24;
-constexpr Duration transfer_half_life = 1500ms;  // then a way that was slow is worth another look
-constexpr double weight_of_slower = 0.5;         // of a measurement, in the mean
+constexpr Duration transfer_half_life = 1500ms;  // then a path that was slow is tried again
+constexpr double weight_of_slower = 0.5;         // weight of a slower measurement in the mean
 constexpr double weight_of_faster = 0.3;
 constexpr double congested_transfer_us = 100000;
-constexpr double slowdown_of_full = 0.3;  // of a run, at a backend that is nearly full
-constexpr double wait_weight = 2;         // of the wait for a slot, in runs, when all look taken
+constexpr double slowdown_of_full = 0.3;  // part by which a run is slower at a nearly full backend
+constexpr double wait_weight = 2;         // expected wait for a slot, in run times, when all slots look taken
 constexpr double wait_power = 6;
 
 }  // namespace
@@ -101,9 +101,8 @@
   return it == history_.end() || it->second.run_us == 0 ? mean_run_us : it->second.run_us;
 }
 
-// The expected time until an answer, in microseconds: the way there and back, the run
-// itself, and the wait for a slot. What is known of the load is a moment old, so the wait grows well before
-// all slots look taken.
+// Returns the expected time until the reply, in microseconds: network time, run time, and the wait for a slot. The
+// known load is slightly out of date, so the wait grows well before all slots look taken.
 double EndpointSelector::cost(Endpoint const& endpoint, Instant const now, double const mean_run_us) const {
   double const slots = std::max<std::uint32_t>(endpoint.slots, 1);
   double const busy = expected_load(endpoint, now);
@@ -163,9 +162,8 @@
       is_last_resort);
 }
 
-// Two are drawn, the abler ones more often, and the better of them is taken. To take
-// the best of all would send the requests of every node, which know the same of it, to
-// one endpoint at a time.
+// Draws two endpoints, weighted by throughput, and picks the better one. If the best of all were
+// picked, all nodes, which have the same information, would send their requests to one endpoint.
 Endpoint const* EndpointSelector::pick_better_of_two(std::vector<Candidate> const& from, std::mt19937_64& chance) {
   if (from.empty()) return nullptr;
   Candidate const& first = from[draw(from, from.size(), chance)];
@@ -175,7 +173,7 @@
   return second.cost < first.cost ? second.endpoint : first.endpoint;
 }
 
-// One of all but the one at `skipped`, by their abilities.
+// Draws one of all candidates but the one at `skipped`, weighted by throughput.
 std::size_t EndpointSelector::draw(std::vector<Candidate> const& from, std::size_t const skipped,
                                    std::mt19937_64& chance) {
   double sum = 0;
--- a/source/data_path/local_backend.hpp
+++ b/source/data_path/local_backend.hpp
@@ -1,11 +1,9 @@
-// The backend beside this node, of which the node is the only caller: its
-// heartbeats, its queue, its connections, and the sending of one request to it.
-// A request that was not sent, or that the backend says it did not run, is
-// "not run"; an answer counts only when it is whole and names our attempt.
+// Manages the backend of this node, which is its only caller: heartbeats, queue, connections, and the
+// sending of requests. A request that was not sent, or that the backend reports as not executed, is
+// "not run"; a reply counts only if it is complete and has the ID of this attempt.
 //
-// A request that is cancelled gives its place in the queue back. One that runs is
-// ended with its connection if it may be repeated; any other runs to its end, so
-// that its outcome is known.
+// A cancelled request that waits leaves the queue. One that runs is aborted by closing its connection
+// if it is repeatable; any other runs to its end, so that its outcome is known.
 #pragma once
 
 #include "coordination/key_granter.hpp"
@@ -24,34 +22,34 @@
 
 struct LocalBackendSettings {
   std::string node;
-  /** A backend that has not sent a heartbeat for longer is taken for gone. */
+  /** A backend without a heartbeat for longer is considered gone. */
   Duration silent_after = 6s;
-  /** One that has not sent a heartbeat for longer gives way to another instance at once: it should have by now. */
+  /** A backend whose heartbeat is overdue by this age is replaced by another instance at its first heartbeat. */
   Duration replaceable_after = 1500ms;
-  /** After the acknowledgement of a drain, requests on their way are still taken for this long. */
+  /** After the acknowledgement of a drain, requests in transit are still accepted for this long. */
   Duration drain_grace = 700ms;
-  /** After this no request is sent to a draining backend, whatever waits. */
+  /** After this time no request is sent to a draining backend, not even one that waits. */
   Duration drain_end = 1500ms;
-  /** How often the load that the zone's feed tells is brought up to date. */
+  /** How often the load in the zone's feed is updated. */
   Duration load_announcement_interval = 2s;
-  /** The part of a route's aim, in percent, within which its answer is to be foreseen: runs differ in length. */
+  /** Percentage of a target latency within which the reply must be expected: a margin, as run times vary. */
   int target_latency_percent = 85;
 };
 
-/** Opens connections to a backend; made anew for each life of a backend. */
+/** Creates the connections to a backend; called for each incarnation of a backend. */
 using ConnectionsFactory = std::function<std::unique_ptr<BackendCaller>(Address const&, std::size_t limit)>;
 
 template <Environment Env>
 class LocalBackend {
  public:
   struct Events {
-    /** The record for the zone's feed changed. */
+    /** The backend's record for the zone's feed has changed. */
     std::function<void()> record_changed;
     /** An instance's process is proved to have ended. */
     std::function<void(std::string const& service, std::string const& instance, std::string const& reason)> ended;
-    /** An instance has signed off without having drained before: its process may serve on for a while. */
+    /** An instance has left without draining first: its process may go on serving for a while. */
     std::function<void(std::string const& instance)> left_undrained;
-    /** Connections that a backend of the service takes. */
+    /** Returns the number of connections that a backend of the service accepts. */
     std::function<std::size_t(std::string const& service)> connection_limit;
   };
 
@@ -63,14 +61,14 @@
         factory_(std::move(factory)),
         events_(std::move(events)) {}
 
-  /** Takes a heartbeat up. False: it is older than one already seen, or of an instance that doesn't count here. */
+  /** Handles a heartbeat. Returns false if it is older than one already seen, or of an instance not accepted here. */
   bool heartbeat(BackendHeartbeat const& heartbeat) {
     Instant const now = env_.now();
     if (ended_.contains(heartbeat.id) || !is_newest_heartbeat(heartbeat)) return false;
     bool changed = false;
     if (!instance_ || instance_->heartbeat.id != heartbeat.id) {
       if (instance_ && !replaces_current(heartbeat.id, now)) return false;
-      if (instance_) retire("another instance beats here");
+      if (instance_) retire("another instance sends heartbeats here");
       start(heartbeat);
       changed = true;
     }
@@ -86,19 +84,19 @@
     return true;
   }
 
-  /** The backend signs off. */
+  /** Handles the backend's message that it leaves. */
   void leave(std::string const& id) {
     if (!instance_ || instance_->heartbeat.id != id) return;
     bool const drained = instance_->heartbeat.leaving;
     if (!drained) events_.left_undrained(id);
     std::string const service = instance_->heartbeat.service;
     ended_.insert(id);
-    retire("it signed off");
-    if (drained) events_.ended(service, id, "it signed off");
+    retire("it has left");
+    if (drained) events_.ended(service, id, "it has left");
     events_.record_changed();
   }
 
-  /** What the zone is told of it; none while it isn't usable for new requests. */
+  /** Returns the backend's record for the zone's feed; none while it isn't usable for new requests. */
   std::vector<BackendRecord> records() const {
     if (!instance_) return {};
     Instance const& i = *instance_;
@@ -117,7 +115,7 @@
 
   std::size_t in_flight() const { return requests_.size() + awaiting_keys_.size(); }
   void set_keys(KeyGranter* const keys) { keys_ = keys; }
-  /** An answer to a heartbeat that is about to go out grants keys. */
+  /** To be called when a reply to a heartbeat that grants keys is about to be sent. */
   void keys_granted() { wake_awaiting_keys(); }
 
   EndpointLoad load() const {
@@ -136,8 +134,8 @@
   Task<ForwardReply> run(Forward forward, SharedCancellation const cancellation = nullptr) {
     Instant const arrived = env_.now();
     Instant const deadline = arrived + std::chrono::milliseconds(forward.remaining_ms);
-    // What would miss its aim is better refused early: another endpoint, or the
-    // client's next try, may still make it.
+    // Refuse early what would miss the target latency: another endpoint, or the client's next attempt, may
+    // still meet it.
     Duration const target_latency =
         std::chrono::milliseconds(forward.target_latency_ms) * settings_.target_latency_percent / 100;
     Duration const useful_time = std::min<Duration>(target_latency, deadline - arrived);
@@ -161,7 +159,7 @@
     co_return reply;
   }
 
-  /** Called now and then: what is silent or drained is let go. */
+  /** Must be called regularly: marks a silent backend, and refuses requests that wait for a drained one. */
   void tick() {
     if (!instance_) return;
     Instant const now = env_.now();
@@ -178,8 +176,8 @@
   }
 
  private:
-  // The feed goes to every node of the zone: load that changes with each request
-  // is told now and then; answers tell it fresher to those who send.
+  // The feed goes to every node of the zone, so the load, which changes with each request, is announced
+  // only at intervals; replies give senders newer values.
   void announce_load(Instant const now) {
     if (now - load_announced_ < settings_.load_announcement_interval) return;
     load_announced_ = now;
@@ -187,7 +185,7 @@
     announced_waiting_ = instance_->queue.waiting();
   }
 
-  /** One life of the backend. */
+  /** One incarnation of the backend. */
   struct Instance {
     BackendHeartbeat heartbeat;
     std::shared_ptr<BackendCaller> connections;
@@ -220,8 +218,9 @@
     return true;
   }
 
-  // A late heartbeat of a former life looks like the first one of a new life. Who beats again while the present
-  // instance says nothing is alive; whoever was taken for gone by mistake comes back in the same way.
+  // A late heartbeat of a former incarnation looks like the first one of a new incarnation. So another instance
+  // replaces the current one only if it sends a second heartbeat while the current one sends none, or if the current
+  // one is silent. An instance that was replaced by mistake returns in the same way.
   bool replaces_current(std::string const& id, Instant const now) {
     bool const current_is_silent = instance_->refused || now - instance_->last_heartbeat > settings_.replaceable_after;
     bool const has_returned = contender_ == id && instance_->last_heartbeat < contender_since_;
@@ -278,7 +277,7 @@
     return keys_->fence_to_run(forward.key, now, expected).has_value();
   }
 
-  // The table gives the key to the backend, which learns of it by its next heartbeat.
+  // Whether the table assigns the key to the backend, which will get it with the reply to its next heartbeat.
   bool is_key_pending(Forward const& forward, Instant const now) const {
     if (!forward.keyed || !instance_ || keys_ == nullptr || instance_->heartbeat.service != forward.service)
       return false;
@@ -287,7 +286,7 @@
            awaiting_keys_.size() < max_awaiting_keys;
   }
 
-  // Who is cancelled leaves the queue at once; who has been given a slot by then keeps it until `send`.
+  // A cancelled request leaves the queue at once; if it already has a slot it keeps it until `send`.
   Task<std::optional<bool>> wait_for_slot(Waiter& waiter, std::uint64_t const id, std::uint64_t const incarnation,
                                           Instant const deadline, SharedCancellation const cancellation) {
     CancellationListener const listener(cancellation, [this, &waiter, id, incarnation] {
@@ -304,7 +303,7 @@
     CancellationListener const listener(cancellation, [waiter] { waiter->turn.give(false); });
     std::optional<bool> const granted = co_await waiter->turn.wait(until);
     awaiting_keys_.erase(id);
-    // The answer that grants the key reaches the backend before a request does.
+    // The reply that grants the key must reach the backend before the request does.
     if (granted && *granted) co_await sleep_for(env_, grant_delivery_time);
   }
 
@@ -320,7 +319,7 @@
     return refuse(Refusal::busy, "no slot in time", expected_wait(forward));
   }
 
-  // Wakes the requests that the queue has decided about.
+  // Resumes the requests that the queue has decided about.
   void apply_queue_decisions() {
     if (!instance_) return;
     BackendQueue::Decisions const decisions = instance_->queue.take_decisions();
@@ -359,7 +358,7 @@
 
   Task<ForwardReply> send(Forward& forward, Instant const deadline, std::uint64_t const incarnation,
                           SharedCancellation const cancellation) {
-    // While it waited its keys may have moved, or its time have gone.
+    // While it waited, its key may have moved or its deadline may have passed.
     Instant const begun = env_.now();
     if (incarnation != incarnation_ || !instance_) co_return refuse(Refusal::no_backend, "backend ended", 100ms);
     bool const held = !forward.keyed || key_held(forward, begun);
@@ -371,7 +370,7 @@
     if (!held || drained || begun >= deadline) {
       finished(incarnation, forward.work_class, Duration::zero(), false);
       co_return refuse(held ? (drained ? Refusal::no_backend : Refusal::too_late) : Refusal::key_not_held,
-                       "not sendable any more", 50ms);
+                       "can no longer be sent", 50ms);
     }
     std::shared_ptr<BackendCaller> const connections = instance_->connections;
     std::string const instance = instance_->heartbeat.id;
@@ -388,7 +387,7 @@
     co_return reply;
   }
 
-  /** Whether the backend may have run the request, so that its outcome tells of the backend's health. */
+  /** Whether the backend may have run the request, so that its outcome says something about the backend's health. */
   bool reached_backend(Result<HttpReply> const& got) const {
     if (!got) return got.error().proof != Proof::not_run;
     return got->status != 421 && !has_header(got->headers, headers_.not_executed);
@@ -409,7 +408,7 @@
     }
     ForwardReply reply;
     reply.load = load();
-    // Without the mark these promise nothing, though they read like a promise.
+    // Without the header these statuses don't guarantee that the request was not run.
     bool const looks_like_refusal = http.status == 503 || http.status == 429 || http.status == 408;
     reply.outcome = looks_like_refusal ? Outcome::unknown : Outcome::answered;
     if (looks_like_refusal) reply.reason = "backend failed with " + std::to_string(http.status);
@@ -417,7 +416,7 @@
     return reply;
   }
 
-  // A full backend may refuse hundreds a second: they are counted, and told once a second.
+  // A full backend may refuse hundreds of requests per second: they are counted and logged once a second.
   void log_refusal(std::string const& instance, std::uint16_t const status) {
     ++refusals_;
     if (env_.now() - refusals_logged_at_ < 1s) return;
@@ -427,7 +426,7 @@
   }
 
   ForwardReply cancelled_reply(Proof const proof) const {
-    ForwardReply reply = refuse(Refusal::cancelled, "nobody waits for it", Duration::zero());
+    ForwardReply reply = refuse(Refusal::cancelled, "cancelled by the caller", Duration::zero());
     if (proof != Proof::not_run) reply.outcome = Outcome::unknown;
     return reply;
   }
@@ -460,12 +459,12 @@
   Events events_;
   KeyGranter* keys_ = nullptr;
   std::optional<Instance> instance_;
-  std::map<std::string, std::uint64_t> newest_sequences_;  // of each instance that ever beat here
-  std::set<std::string> ended_;                            // instances that have signed off
-  std::string contender_;                                  // an instance that beat while another one was here
+  std::map<std::string, std::uint64_t> newest_sequences_;  // by instance, of the newest heartbeat
+  std::set<std::string> ended_;                            // instances that have left
+  std::string contender_;  // an instance that sent a heartbeat while another one is current
   Instant contender_since_{};
   tsl::robin_map<std::uint64_t, std::shared_ptr<Waiter>> requests_;
-  std::map<std::uint64_t, std::shared_ptr<Waiter>> awaiting_keys_;  // in the order of their coming
+  std::map<std::uint64_t, std::shared_ptr<Waiter>> awaiting_keys_;  // in the order of arrival
   std::uint64_t last_id_ = 0;
   std::uint64_t incarnation_ = 0;
   std::uint64_t refusals_ = 0;
--- a/source/data_path/request_path.hpp
+++ b/source/data_path/request_path.hpp
@@ -247,9 +247,9 @@
         if (got.error().proof != Proof::not_run) record_unanswered(address, env_.now() - sent);
         reply.outcome = got.error().proof == Proof::not_run ? Outcome::not_run : Outcome::unknown;
         reply.refusal = reply.outcome == Outcome::not_run ? Refusal::unreachable : Refusal::none;
-        if (got.error().transition == rejected_step) reply = no_room();
+        if (got.error().step == rejected_step) reply = no_room();
         if (is_cancelled(cancellation)) reply.refusal = Refusal::cancelled;
-        reply.reason = got.error().transition + ": " + got.error().reason;
+        reply.reason = got.error().step + ": " + got.error().reason;
       }
     }
     update_selector(address, reply);
--- a/tests/data_path/endpoint_selector_test.cpp
+++ b/tests/data_path/endpoint_selector_test.cpp
@@ -1,5 +1,5 @@
-// Which endpoint is selected: local ones first, remote ones when none of those
-// has a free slot, and none that has just failed while another is there.
+// Selection of endpoints: local ones first, remote ones if no local one has a free slot, and none that
+// has just failed while there is another.
 #include "data_path/endpoint_selector.hpp"
 
 #include <gtest/gtest.h>
@@ -27,7 +27,7 @@
   return e == nullptr ? "" : e->address;
 }
 
-TEST(EndpointSelector, local_first_until_its_slots_are_full) {
+TEST(EndpointSelector, prefers_local_endpoints_until_their_slots_are_full) {
   std::mt19937_64 chance(1);
   EndpointSelector selector = with({endpoint("far", false, 4), endpoint("near", true, 2)});
   for (int i = 0; i < 2; ++i) {
@@ -39,7 +39,7 @@
   EXPECT_EQ(chosen(selector, chance), "near");
 }
 
-TEST(EndpointSelector, requests_of_other_nodes_count_as_the_answers_told) {
+TEST(EndpointSelector, counts_requests_of_other_nodes_as_last_reported) {
   std::mt19937_64 chance(1);
   EndpointSelector selector = with({endpoint("a", true, 8), endpoint("b", true, 8)});
   selector.sent("a");
@@ -47,7 +47,7 @@
   for (int i = 0; i < 20; ++i) EXPECT_EQ(chosen(selector, chance, {}, start + 1ms), "b");
 }
 
-TEST(EndpointSelector, a_refusal_for_being_busy_sends_the_next_elsewhere_for_a_while) {
+TEST(EndpointSelector, an_endpoint_that_refused_as_busy_is_avoided_for_a_while) {
   std::mt19937_64 chance(1);
   EndpointSelector selector = with({endpoint("near", true, 8), endpoint("far", false, 8)});
   selector.sent("near");
@@ -56,7 +56,7 @@
   EXPECT_EQ(chosen(selector, chance, {}, start + 5s), "near");
 }
 
-TEST(EndpointSelector, who_refuses_connections_is_avoided_for_longer_each_time) {
+TEST(EndpointSelector, an_endpoint_that_refuses_connections_is_avoided_for_longer_each_time) {
   std::mt19937_64 chance(1);
   EndpointSelector selector = with({endpoint("near", true, 8), endpoint("far", false, 8)});
   selector.sent("near");
@@ -68,7 +68,7 @@
   EXPECT_EQ(chosen(selector, chance, {}, start + 700ms), "far");
 }
 
-TEST(EndpointSelector, when_all_are_avoided_one_is_tried_all_the_same_and_never_one_twice) {
+TEST(EndpointSelector, if_all_are_avoided_one_is_still_tried_but_never_one_twice) {
   std::mt19937_64 chance(1);
   EndpointSelector selector = with({endpoint("near", true, 8)});
   selector.sent("near");
@@ -77,7 +77,7 @@
   EXPECT_EQ(chosen(selector, chance, {"near"}), "");
 }
 
-TEST(EndpointSelector, one_failure_alone_is_borne_but_not_three_in_a_row) {
+TEST(EndpointSelector, is_ejected_after_three_consecutive_failures_but_not_after_one) {
   std::mt19937_64 chance(1);
   EndpointSelector selector = with({endpoint("near", true, 8), endpoint("far", false, 8)});
   for (int i = 0; i < 3; ++i) {
@@ -88,7 +88,7 @@
   EXPECT_EQ(chosen(selector, chance), "far");
 }
 
-TEST(EndpointSelector, who_fails_far_more_than_the_others_gets_few_repeatable_requests_and_no_other) {
+TEST(EndpointSelector, an_outlier_gets_a_few_repeatable_requests_and_no_others) {
   std::mt19937_64 chance(7);
   EndpointSelector selector =
       with({endpoint("a", true, 8), endpoint("b", true, 8), endpoint("grey", true, 8), endpoint("far", false, 8)});
@@ -104,10 +104,10 @@
   }
   EXPECT_GT(probes, 10);
   EXPECT_LT(probes, 150);
-  EXPECT_EQ(chosen(selector, chance, {"a", "b", "far"}, later), "grey") << "better than nobody";
+  EXPECT_EQ(chosen(selector, chance, {"a", "b", "far"}, later), "grey") << "better than none";
 }
 
-TEST(EndpointSelector, what_was_told_of_failures_is_forgotten_after_a_while) {
+TEST(EndpointSelector, reported_failures_expire) {
   std::mt19937_64 chance(7);
   EndpointSelector selector = with({endpoint("a", false, 8), endpoint("b", false, 8), endpoint("grey", true, 8)});
   selector.sent("grey");
@@ -116,7 +116,7 @@
   EXPECT_EQ(chosen(selector, chance, {}, start + 6s), "grey");
 }
 
-TEST(EndpointSelector, a_zone_without_a_share_gets_nothing_while_there_is_any_other_place) {
+TEST(EndpointSelector, a_zone_with_share_0_gets_nothing_while_another_endpoint_exists) {
   std::mt19937_64 chance(1);
   EndpointSelector selector = with({endpoint("near", true, 8), endpoint("far", false, 1)});
   selector.set_zone_shares({{"here", 0}});
@@ -124,12 +124,12 @@
     EXPECT_EQ(chosen(selector, chance), "far");
     selector.sent("far");
   }
-  EXPECT_EQ(chosen(selector, chance, {"far"}), "") << "one that was tried is still there for others";
+  EXPECT_EQ(chosen(selector, chance, {"far"}), "") << "an endpoint that was tried still counts as reachable";
   selector.set_zone_shares({});
   EXPECT_EQ(chosen(selector, chance), "near");
 }
 
-TEST(EndpointSelector, a_zone_without_a_share_is_used_if_nothing_else_is_there) {
+TEST(EndpointSelector, a_zone_with_share_0_is_used_if_nothing_else_is_reachable) {
   std::mt19937_64 chance(1);
   EndpointSelector alone = with({endpoint("near", true, 8)});
   alone.set_zone_shares({{"here", 0}});
@@ -140,14 +140,14 @@
   selector.failed("far", true, start);
   EXPECT_EQ(chosen(selector, chance, {"far"}, start + 10ms), "near");
   EXPECT_EQ(chosen(selector, chance, {}, start + 10ms), "near");
-  EXPECT_EQ(chosen(selector, chance, {}, start + 1s), "far") << "looked at again after a while";
+  EXPECT_EQ(chosen(selector, chance, {}, start + 1s), "far") << "tried again after a while";
   selector.sent("far");
   selector.answered("far", EndpointLoad{0, 0, 8, 50000}, start + 1s);
   EXPECT_EQ(chosen(selector, chance, {}, start + 1s), "far");
 }
 
-// Failures that prove nothing must not send requests where machines may go dark.
-TEST(EndpointSelector, uncertain_failures_elsewhere_do_not_open_a_zone_without_a_share) {
+// Uncertain failures elsewhere must not send requests to a zone whose machines may be shut down.
+TEST(EndpointSelector, uncertain_failures_elsewhere_do_not_open_a_zone_with_share_0) {
   std::mt19937_64 chance(1);
   EndpointSelector selector = with({endpoint("near", true, 8), endpoint("far", false, 8)});
   selector.set_zone_shares({{"here", 0}});
@@ -158,7 +158,7 @@
   EXPECT_EQ(chosen(selector, chance, {}, start + 10ms), "far");
 }
 
-TEST(EndpointSelector, a_zone_that_returns_gets_its_share_of_the_requests) {
+TEST(EndpointSelector, a_returning_zone_gets_its_share_of_the_requests) {
   std::mt19937_64 chance(1);
   EndpointSelector selector = with({endpoint("near", true, 8), endpoint("far", false, 8)});
   for (double const share : {0.1, 0.5, 0.9}) {
@@ -169,7 +169,7 @@
   }
 }
 
-TEST(EndpointSelector, a_slow_way_to_an_endpoint_counts_like_a_long_run_and_is_forgotten) {
+TEST(EndpointSelector, a_slow_network_path_counts_like_a_long_run_and_decays) {
   std::mt19937_64 chance(1);
   EndpointSelector selector = with({endpoint("a", true, 8), endpoint("b", true, 8)});
   for (int i = 0; i < 4; ++i) selector.transferred("a", 90ms, start);
@@ -179,7 +179,7 @@
   EXPECT_LT(selector.expected_transfer("a", start + 15s), 1ms);
 }
 
-TEST(EndpointSelector, a_request_crosses_when_the_ways_to_all_local_endpoints_are_congested) {
+TEST(EndpointSelector, a_request_goes_to_another_zone_if_all_local_paths_are_congested) {
   std::mt19937_64 chance(1);
   EndpointSelector selector = with({endpoint("near", true, 8), endpoint("far", false, 8)});
   selector.transferred("near", 60ms, start);
@@ -190,21 +190,20 @@
   EXPECT_EQ(chosen(selector, chance), "near") << "the far one is no better";
 }
 
-TEST(EndpointSelector, who_answers_no_ping_is_avoided_while_there_is_another) {
+TEST(EndpointSelector, an_endpoint_that_answers_no_ping_is_avoided_while_there_is_another) {
   std::mt19937_64 chance(1);
   EndpointSelector selector = with({endpoint("near", true, 8), endpoint("far", false, 8)});
   std::set<Address> silent{"near"};
   selector.set_silence_check([&silent](Address const& address) { return silent.contains(address); });
   EXPECT_TRUE(selector.avoided("near", start));
   EXPECT_EQ(chosen(selector, chance), "far");
-  EXPECT_EQ(chosen(selector, chance, {"far"}), "near") << "better than nobody";
+  EXPECT_EQ(chosen(selector, chance, {"far"}), "near") << "better than none";
   silent.clear();
   EXPECT_EQ(chosen(selector, chance), "near");
 }
 
-// Many nodes that know the same, up to two seconds old, choose among four backends: a
-// plain model of what the feed and the answers tell.
-TEST(EndpointSelector, nodes_that_know_the_same_old_loads_do_not_all_choose_the_same_endpoint) {
+// Many nodes with the same load information, up to two seconds old, choose among four backends.
+TEST(EndpointSelector, nodes_with_the_same_outdated_loads_do_not_all_choose_the_same_endpoint) {
   std::mt19937_64 chance(5);
   std::vector<EndpointSelector> nodes;
   for (int n = 0; n < 24; ++n) {
@@ -217,8 +216,8 @@
   std::map<std::string, int> requests;
   for (int round = 0; round < 10; ++round)
     for (EndpointSelector& node : nodes) ++requests[chosen(node, chance)];
-  EXPECT_GT(requests["a"], 60) << "the emptiest gets more than the mean";
-  EXPECT_LT(requests["a"], 160) << "and not everything";
+  EXPECT_GT(requests["a"], 60) << "the least loaded gets more than the mean";
+  EXPECT_LT(requests["a"], 160) << "and not all requests";
   for (std::string const name : {"b", "c", "d"}) EXPECT_GT(requests[name], 12) << name;
 }
 
--- a/tests/data_path/local_backend_model_test.cpp
+++ b/tests/data_path/local_backend_model_test.cpp
@@ -1,6 +1,6 @@
-// One backend and its node under sign-offs, new lives, late heartbeats and freezes in any
-// order. The stand-in backend keeps what it ran: each reply belongs to its request, nothing
-// is sent twice, and what is told as not run has not run and never will.
+// A backend and its node under random leaves, new incarnations, late heartbeats and freezes. The fake
+// backend records what it ran: each reply must belong to its request, no request may be sent twice,
+// and a request reported as not run must never run.
 #include "data_path/local_backend.hpp"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
 
 using Runs = std::map<std::string, unsigned>;
 
-/// Refuses with a mark or without, runs and answers, fails, or never tells.
+/// At random refuses with or without the header, runs and answers, or fails with an unknown outcome.
 class FaultyBackend : public BackendCaller {
  public:
   FaultyBackend(SimProcess& process, Runs& runs) : process_(process), runs_(runs) {}
@@ -35,7 +35,7 @@
     ++runs_[id];
     if (!co_await work(std::chrono::milliseconds(1 + process_.chance()() % 120), call.cancellation))
       co_return make_error("cancelled", "backend", "nobody waits for it", Proof::unknown);
-    if (choice == 2) co_return reply;  // without the mark it may have run
+    if (choice == 2) co_return reply;  // without the header it may have run
     if (choice == 3) co_return make_error("read", "backend", "reset", Proof::unknown);
     reply.status = choice == 4 ? 500 : 200;
     reply.body = id;
@@ -44,7 +44,7 @@
   void close() override {}
 
  private:
-  /// Whether it was worked on to its end.
+  /// Returns whether the work was finished.
   Task<bool> work(Duration const takes, SharedCancellation const cancellation) {
     SimProcess::Alarm alarm(process_);
     CancellationListener const listener(cancellation, [&alarm] { alarm.wake(); });
@@ -57,7 +57,7 @@
 
 class LocalBackendTrial {
  public:
-  /// With leavers every second request is cancelled, early or late.
+  /// If `cancels` is set, every second request is cancelled, early or late.
   explicit LocalBackendTrial(std::uint64_t const seed, bool const cancels = false)
       : sim_(seed), net_(sim_), cancels_(cancels) {
     process_ = std::make_shared<SimProcess>(sim_, net_, "node", "node:1", 1);
@@ -92,11 +92,11 @@
     sim_.run_until(sim_.now + 5s);
     EXPECT_EQ(replies_.size(), steps);
     EXPECT_EQ(backend_->in_flight(), 0u);
-    EXPECT_EQ(backend_->load().running, 0u) << "every slot came back";
+    EXPECT_EQ(backend_->load().running, 0u) << "every slot is free again";
     EXPECT_EQ(backend_->load().waiting, 0u);
   }
 
-  void expect_every_promise_kept() {
+  void expect_guarantees_kept() {
     for (auto const& [id, reply] : replies_) {
       unsigned const ran = runs_.contains(id) ? runs_.at(id) : 0;
       EXPECT_LE(ran, 1u) << id;
@@ -161,7 +161,7 @@
     heartbeat.service = "orders";
     heartbeat.address = "backend:1";
     heartbeat.slots = 4;
-    // One in four is late: it was sent before one that has come.
+    // One in four is late: it was sent before one that has arrived.
     heartbeat.sequence = sim_.chance() % 4 == 0 && heartbeats_ > 3 ? heartbeats_ - 3 : ++heartbeats_;
     heartbeat.leaving = leaving;
     backend_->heartbeat(heartbeat);
@@ -179,19 +179,19 @@
 
 class LocalBackendTrials : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(LocalBackendTrials, replies_belong_to_their_requests_and_what_is_refused_never_runs) {
+TEST_P(LocalBackendTrials, replies_belong_to_their_requests_and_refused_requests_never_run) {
   LocalBackendTrial trial(GetParam());
   trial.run_steps(600);
-  trial.expect_every_promise_kept();
+  trial.expect_guarantees_kept();
   EXPECT_GT(trial.answered, 20u);
   EXPECT_GT(trial.refused, 20u);
   EXPECT_GT(trial.unknown, 5u);
 }
 
-TEST_P(LocalBackendTrials, requests_that_are_cancelled_break_no_promise_and_cost_no_slot) {
+TEST_P(LocalBackendTrials, cancelled_requests_break_no_guarantee_and_leak_no_slot) {
   LocalBackendTrial trial(GetParam(), true);
   trial.run_steps(2400);
-  trial.expect_every_promise_kept();
+  trial.expect_guarantees_kept();
   EXPECT_GT(trial.answered, 20u);
   EXPECT_GT(trial.cancelled, 20u);
 }
--- a/tests/data_path/local_backend_test.cpp
+++ b/tests/data_path/local_backend_test.cpp
@@ -1,5 +1,6 @@
-// One backend and its node: keyed requests wait a moment for a key that is about to be
-// granted, and for no other; what ends or drains keeps nobody waiting.
+// A backend and its node: keyed requests wait briefly for a key that is about to be granted, and for no
+// other; requests don't wait for a backend that ends or drains. Late heartbeats of a former
+// incarnation must not replace the current one.
 #include "data_path/local_backend.hpp"
 
 #include <gtest/gtest.h>
@@ -12,7 +13,7 @@
 constexpr DataPathHeaders header_names{"attempt", "remaining", "target",     "answering", "key",
                                        "caller",  "not-run",   "load-level", "seal",      "tenant"};
 
-/** Answers everything with 200 after a while, and counts. */
+/** Answers every request with 200 after a short time, and counts them. */
 class FastBackend : public BackendCaller {
  public:
   FastBackend(SimProcess& process, std::size_t& calls, std::function<void()> const& on_answer)
@@ -74,7 +75,7 @@
     made.fence = 1;
     return made;
   }
-  /** A heartbeat whose answer isn't given yet. */
+  /** Delivers a heartbeat without a reply yet. */
   void send_heartbeat(bool const leaving = false) {
     EXPECT_TRUE(handle(heartbeat_of("i-1", ++heartbeats, leaving)));
     KeyHeartbeat key_heartbeat;
@@ -94,7 +95,7 @@
     return heartbeat;
   }
   bool handle(BackendHeartbeat const& heartbeat) { return backend->heartbeat(heartbeat); }
-  /** The instance that requests go to. */
+  /** Returns the instance that requests go to. */
   std::string current_instance() const {
     std::vector<BackendRecord> const records = backend->records();
     return records.empty() ? "" : records.front().instance;
@@ -136,7 +137,7 @@
   Duration took{};
 };
 
-TEST(LocalBackend, a_request_waits_for_a_key_that_the_table_gives_to_the_backend_and_runs_once_granted) {
+TEST(LocalBackend, a_request_waits_for_a_key_that_the_table_assigns_to_the_backend_and_runs_once_granted) {
   LocalTrial t;
   t.send(7);
   t.run_for(200ms);
@@ -151,7 +152,7 @@
   EXPECT_EQ(t.backend->in_flight(), 0u);
   t.send(8);
   t.run_for(15ms);
-  EXPECT_EQ(t.replies.size(), 2u) << "a key that is held is waited for no more";
+  EXPECT_EQ(t.replies.size(), 2u) << "a request doesn't wait for a key that is held";
 }
 
 TEST(LocalBackend, a_request_on_a_key_of_another_backend_is_refused_at_once) {
@@ -162,7 +163,7 @@
   EXPECT_EQ(t.replies[0].refusal, Refusal::key_not_held);
 }
 
-TEST(LocalBackend, a_key_on_its_way_to_another_backend_is_not_waited_for) {
+TEST(LocalBackend, a_request_does_not_wait_for_a_key_that_moves_to_another_backend) {
   LocalTrial t;
   ++t.table.revision;
   t.table.services[0].rows[0].moving = 2;
@@ -173,7 +174,7 @@
   EXPECT_EQ(t.replies[0].refusal, Refusal::key_not_held);
 }
 
-TEST(LocalBackend, a_key_that_is_not_granted_in_time_is_refused_while_the_client_can_still_come_back) {
+TEST(LocalBackend, a_request_whose_key_is_not_granted_in_time_is_refused_while_the_client_can_still_retry) {
   LocalTrial t;
   t.send(7);
   t.run_for(1s);
@@ -185,7 +186,7 @@
   EXPECT_EQ(t.calls, 0u);
 }
 
-TEST(LocalBackend, who_waits_for_a_key_is_refused_at_once_when_the_backend_signs_off) {
+TEST(LocalBackend, a_request_that_waits_for_a_key_is_refused_at_once_when_the_backend_leaves) {
   LocalTrial t;
   t.send(7);
   t.backend->leave("i-1");
@@ -196,7 +197,7 @@
   EXPECT_EQ(t.backend->in_flight(), 0u);
 }
 
-TEST(LocalBackend, only_who_drained_before_has_ended_as_it_signs_off) {
+TEST(LocalBackend, a_backend_that_leaves_counts_as_ended_only_if_it_has_drained) {
   LocalTrial sudden;
   sudden.backend->leave("i-1");
   EXPECT_TRUE(sudden.ended.empty());
@@ -208,8 +209,9 @@
   EXPECT_TRUE(drained.left_undrained.empty());
 }
 
-// Guards against a living backend that is never served again: a late heartbeat of a former life came after its own.
-TEST(LocalBackend, a_late_heartbeat_of_a_former_life_costs_the_living_backend_nothing) {
+// Guards against a live backend that gets no more requests: a late heartbeat of a former incarnation arrived after its
+// own.
+TEST(LocalBackend, a_late_heartbeat_of_a_former_incarnation_does_not_replace_the_current_one) {
   LocalTrial t;
   t.run_for(300ms);
   EXPECT_FALSE(t.handle(LocalTrial::heartbeat_of("i-0", 7)));
@@ -220,40 +222,40 @@
   EXPECT_EQ(t.current_instance(), "i-1");
 }
 
-TEST(LocalBackend, whoever_lives_and_beats_is_served_within_two_heartbeats_whatever_their_order) {
+TEST(LocalBackend, a_live_instance_becomes_current_within_two_heartbeats_in_any_order) {
   for (bool const late_is_first : {false, true})
     for (int late = 1; late <= 3; ++late)
       for (Duration const pause : {Duration(50ms), Duration(400ms), Duration(1s), Duration(2500ms)}) {
         LocalTrial t;
-        std::uint64_t of_former = 0, of_living = 0;
-        if (late_is_first) t.handle(LocalTrial::heartbeat_of("i-old", ++of_former));
+        std::uint64_t former_sequence = 0, current_sequence = 0;
+        if (late_is_first) t.handle(LocalTrial::heartbeat_of("i-old", ++former_sequence));
         t.run_for(pause);
-        t.handle(LocalTrial::heartbeat_of("i-new", ++of_living));
-        for (int i = 0; i < late; ++i) t.handle(LocalTrial::heartbeat_of("i-old", ++of_former));
+        t.handle(LocalTrial::heartbeat_of("i-new", ++current_sequence));
+        for (int i = 0; i < late; ++i) t.handle(LocalTrial::heartbeat_of("i-old", ++former_sequence));
         for (int i = 0; i < 2; ++i) {
           t.run_for(pause);
-          t.handle(LocalTrial::heartbeat_of("i-new", ++of_living));
+          t.handle(LocalTrial::heartbeat_of("i-new", ++current_sequence));
         }
         EXPECT_EQ(t.current_instance(), "i-new") << late_is_first << " " << late << " " << pause.count();
         EXPECT_TRUE(t.ended.empty()) << "nothing proves that a process has ended";
       }
 }
 
-TEST(LocalBackend, a_heartbeat_from_before_the_sign_off_begins_no_life) {
+TEST(LocalBackend, a_heartbeat_sent_before_the_leave_starts_no_incarnation) {
   LocalTrial t;
   t.backend->leave("i-1");
   EXPECT_FALSE(t.handle(LocalTrial::heartbeat_of("i-1", 9)));
   EXPECT_EQ(t.current_instance(), "");
 }
 
-TEST(LocalBackend, only_so_many_requests_wait_for_keys) {
+TEST(LocalBackend, the_number_of_requests_that_wait_for_keys_is_limited) {
   LocalTrial t;
   for (int i = 0; i < 70; ++i) t.send(7);
   EXPECT_EQ(t.backend->in_flight(), 64u);
   EXPECT_EQ(t.replies.size(), 6u);
 }
 
-TEST(LocalBackend, who_is_cancelled_waits_for_no_key_any_more_and_never_runs) {
+TEST(LocalBackend, a_request_cancelled_while_it_waits_for_a_key_never_runs) {
   LocalTrial t;
   SharedCancellation const cancellation = std::make_shared<Cancellation>();
   t.send(7, cancellation);
@@ -267,10 +269,10 @@
   EXPECT_EQ(t.backend->in_flight(), 1u);
   t.grant();
   t.run_for(50ms);
-  EXPECT_EQ(t.calls, 1u) << "only the other one";
+  EXPECT_EQ(t.calls, 1u) << "only the other request";
 }
 
-TEST(LocalBackend, who_is_cancelled_in_the_queue_leaves_it_at_once_and_never_runs) {
+TEST(LocalBackend, a_request_cancelled_in_the_queue_leaves_it_at_once_and_never_runs) {
   LocalTrial t;
   t.grant();
   SharedCancellation const cancellation = std::make_shared<Cancellation>();
@@ -286,11 +288,11 @@
   EXPECT_EQ(t.backend->in_flight(), 0u);
 }
 
-TEST(LocalBackend, a_slot_that_was_given_a_moment_before_the_cancellation_is_given_on) {
+TEST(LocalBackend, a_slot_assigned_just_before_the_cancellation_is_released) {
   LocalTrial t;
   t.grant();
   SharedCancellation const cancellation = std::make_shared<Cancellation>();
-  // Runs once the slot is given, and before the request that gets it goes on.
+  // Runs after the slot is assigned and before the request that gets it resumes.
   t.on_answer = [&] { asio::post(t.sim.io, [cancellation] { cancellation->request(); }); };
   for (int i = 0; i < 4; ++i) t.send(7);
   t.send(7, cancellation);
--- a/tests/data_path/request_path_model_test.cpp
+++ b/tests/data_path/request_path_model_test.cpp
@@ -1,6 +1,6 @@
-// Requests among nodes that answer by lot, late or not at all, while connections are
-// reset and processes freeze, die and start again. Each node keeps what it ran: a client
-// gets the answer to its own request, and what may not be repeated runs once at most.
+// Requests among nodes that answer at random, late or not at all, while connections are reset and
+// processes freeze, die and restart. Each node records what it ran: a client must get the reply to its
+// own request, and a request that is not repeatable must run at most once.
 #include "data_path/request_path.hpp"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
   std::uint64_t unknown = 0, refused = 0, answered = 0;
 };
 
-/// A node beside a backend, which refuses, runs, or runs and never tells.
+/// A node of a backend, which at random refuses, runs, or runs with an unknown outcome.
 struct FaultyNode {
   std::shared_ptr<SimProcess> process;
   Runs* runs = nullptr;
@@ -41,7 +41,7 @@
     }
     ++runs->by_id[forward.attempt_id];
     co_await sleep_for(*process, std::chrono::milliseconds(process->chance()() % 300));
-    if (choice == 6) co_return reply;  // nobody knows
+    if (choice == 6) co_return reply;  // unknown outcome
     reply.outcome = Outcome::answered;
     reply.reply.status = choice == 7 ? 500 : 200;
     reply.reply.body = forward.attempt_id;
@@ -51,7 +51,7 @@
 
 class FaultyFleet {
  public:
-  /// With leavers one client in four leaves before its answer.
+  /// If `clients_leave` is set, one client in four disconnects before its reply.
   explicit FaultyFleet(std::uint64_t const seed, bool const clients_leave = false)
       : sim_(seed), net_(sim_), clients_leave_(clients_leave) {
     sim_.unreliable_links = true;
@@ -180,11 +180,11 @@
   }
 
   void check_reply(std::string const& id, bool const repeatable, HttpReply const& reply) {
-    bool const promises_no_run = reply.status == 503 || reply.status == 429;
+    bool const guarantees_no_run = reply.status == 503 || reply.status == 429;
     if (reply.status == 200) {
       ++runs.answered;
       EXPECT_EQ(reply.body, id);
-    } else if (promises_no_run) {
+    } else if (guarantees_no_run) {
       ++runs.refused;
       if (!repeatable) refused_.push_back(id);
     } else {
@@ -193,8 +193,8 @@
   }
 
  public:
-  /// Once all is over, as a run may come late.
-  void expect_every_promise_kept() {
+  /// To be called at the end, as a request may run late.
+  void expect_guarantees_kept() {
     for (auto const& [id, count] : runs.by_id) {
       bool const repeatable = std::stoul(id.substr(2)) % 2 == 0;
       EXPECT_LE(count, repeatable ? 3u : 1u) << id;
@@ -218,19 +218,19 @@
 
 class FaultyFleets : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(FaultyFleets, clients_get_their_own_answers_and_nothing_unrepeatable_runs_twice) {
+TEST_P(FaultyFleets, clients_get_their_own_replies_and_no_unrepeatable_request_runs_twice) {
   FaultyFleet fleet(GetParam());
   fleet.run_requests(400);
-  fleet.expect_every_promise_kept();
+  fleet.expect_guarantees_kept();
   EXPECT_GT(fleet.runs.answered, 50u);
   EXPECT_GT(fleet.runs.refused, 5u);
   EXPECT_GT(fleet.runs.unknown, 20u);
 }
 
-TEST_P(FaultyFleets, clients_that_leave_break_no_promise_to_anybody) {
+TEST_P(FaultyFleets, clients_that_leave_break_no_guarantee) {
   FaultyFleet fleet(GetParam(), true);
   fleet.run_requests(400);
-  fleet.expect_every_promise_kept();
+  fleet.expect_guarantees_kept();
   EXPECT_GT(fleet.departed(), 20u);
   EXPECT_GT(fleet.runs.answered, 50u);
 }
--- a/tests/data_path/request_path_test.cpp
+++ b/tests/data_path/request_path_test.cpp
@@ -1,5 +1,5 @@
-// A request's way among nodes that answer as they are told: what is sent again
-// follows from what is proved, and a refusal is given only if nothing ran.
+// Requests among nodes with scripted replies: retries depend on what the outcome proves, and a request
+// is refused only if it has not run anywhere.
 #include "data_path/request_path.hpp"
 
 #include <gtest/gtest.h>
@@ -30,7 +30,7 @@
 
 ForwardReply unknown() { return ForwardReply{}; }
 
-/** Takes what is forwarded and answers the same each time. */
+/** Accepts forwarded requests and returns the same reply each time. */
 struct AnsweringNode {
   ForwardReply reply;
   Duration answers_after{};
@@ -79,7 +79,7 @@
     return process;
   }
 
-  /** A node with a backend of `orders`; the selector hears of it at once. */
+  /** Adds a node with a backend of `orders`, which the selector knows at once. */
   AnsweringNode& add_node(std::string const& name, ForwardReply const& reply, bool const local_zone = true) {
     AnsweringNode& node = *nodes.emplace_back(std::make_unique<AnsweringNode>());
     node.reply = reply;
@@ -97,7 +97,7 @@
     return node;
   }
 
-  /** Every key of `accounts` is held by the backend beside this node. */
+  /** Assigns every key of `accounts` to the backend of this node. */
   void give_keys_to(std::string const& node) {
     std::shared_ptr<KeyTable> table = std::make_shared<KeyTable>();
     table->add_holder(KeyHolderRecord{"i-1", node, node + ":1", "zone-1"});
@@ -169,7 +169,7 @@
   EXPECT_EQ(trial.play(RequestTrial::request("nobody")).status, 404);
 }
 
-TEST(RequestPath, a_request_without_an_attempt_id_or_key_is_wrong) {
+TEST(RequestPath, a_request_without_an_attempt_id_or_key_is_invalid) {
   RequestTrial trial;
   trial.configure();
   HttpRequest nameless = RequestTrial::request("orders");
@@ -180,7 +180,7 @@
   EXPECT_EQ(trial.play(keyless).status, 400);
 }
 
-TEST(RequestPath, the_answer_of_the_chosen_node_is_given) {
+TEST(RequestPath, returns_the_reply_of_the_chosen_node) {
   RequestTrial trial;
   trial.configure();
   AnsweringNode const& node = trial.add_node("n-1", answer(201));
@@ -191,7 +191,7 @@
   EXPECT_FALSE(node.seen[0].crossed);
 }
 
-TEST(RequestPath, the_client_s_remaining_time_goes_along) {
+TEST(RequestPath, forwards_the_client_s_remaining_time) {
   RequestTrial trial;
   trial.configure();
   AnsweringNode const& node = trial.add_node("n-1", answer(200));
@@ -203,7 +203,7 @@
   EXPECT_GT(node.seen[0].remaining_ms, 0u);
 }
 
-TEST(RequestPath, what_was_not_run_goes_to_another_node_and_costs_no_retry) {
+TEST(RequestPath, a_request_that_was_not_run_goes_to_another_node_and_costs_no_retry) {
   RequestTrial trial;
   trial.configure();
   trial.add_node("n-1", refused(Refusal::busy, 40));
@@ -213,7 +213,7 @@
   EXPECT_EQ(trial.path->counts().retried, 0u);
 }
 
-TEST(RequestPath, a_node_that_is_gone_is_not_run) {
+TEST(RequestPath, a_request_to_a_node_that_is_gone_counts_as_not_run) {
   RequestTrial trial;
   trial.configure();
   trial.add_node("n-1", answer(200)).process->kill();
@@ -222,7 +222,7 @@
   for (int i = 0; i < 10; ++i) EXPECT_EQ(trial.play(RequestTrial::request("orders")).status, 200);
 }
 
-TEST(RequestPath, refused_everywhere_is_refused_with_a_time_to_come_back) {
+TEST(RequestPath, a_request_refused_everywhere_is_refused_with_a_retry_time) {
   RequestTrial trial;
   trial.configure();
   trial.add_node("n-1", refused(Refusal::busy, 90));
@@ -233,7 +233,7 @@
   EXPECT_EQ(reply.headers.back().value, "0.040");
 }
 
-TEST(RequestPath, an_unknown_outcome_is_not_sent_again_if_the_route_is_not_repeatable) {
+TEST(RequestPath, an_unknown_outcome_is_not_retried_if_the_route_is_not_repeatable) {
   RequestTrial trial;
   trial.configure();
   trial.add_node("n-1", unknown());
@@ -244,7 +244,7 @@
   EXPECT_EQ(trial.arrivals(), 1u);
 }
 
-TEST(RequestPath, an_unknown_outcome_is_sent_again_if_the_route_is_repeatable) {
+TEST(RequestPath, an_unknown_outcome_is_retried_if_the_route_is_repeatable) {
   RequestTrial trial;
   trial.make_repeatable(2);
   trial.configure();
@@ -256,7 +256,7 @@
   EXPECT_EQ(trial.path->counts().retried, 1u);
 }
 
-TEST(RequestPath, a_failed_answer_of_a_repeatable_route_is_asked_for_elsewhere) {
+TEST(RequestPath, a_failed_reply_of_a_repeatable_route_is_retried_elsewhere) {
   RequestTrial trial;
   trial.make_repeatable(3);
   trial.configure();
@@ -267,7 +267,7 @@
   EXPECT_EQ(trial.arrivals(), 2u);
 }
 
-TEST(RequestPath, nothing_is_refused_that_may_have_run) {
+TEST(RequestPath, a_request_that_may_have_run_is_not_refused) {
   RequestTrial trial;
   trial.make_repeatable(4);
   trial.configure();
@@ -283,11 +283,11 @@
   EXPECT_GT(second.seen.size(), 0u);
 }
 
-TEST(RequestPath, second_sendings_keep_to_the_budget) {
+TEST(RequestPath, retries_stay_within_the_budget) {
   RequestTrial trial;
   trial.make_repeatable(2);
   trial.configure();
-  // They fail, but are never left alone: an answer of status 500 is the backend's own.
+  // The nodes fail but are never avoided: a reply with status 500 is the backend's own.
   for (std::string const name : {"n-1", "n-2", "n-3"}) trial.add_node(name, answer(500));
   constexpr std::size_t requests = 60;
   std::vector<std::optional<HttpReply>> replies(requests);
@@ -307,7 +307,7 @@
   EXPECT_EQ(trial.arrivals(), requests + trial.path->counts().retried);
 }
 
-TEST(RequestPath, clients_that_leave_are_counted_with_the_time_that_the_node_was_still_busy) {
+TEST(RequestPath, clients_that_leave_are_counted_with_the_time_that_the_node_went_on_working) {
   RequestTrial trial;
   trial.configure();
   trial.add_node("n-1", answer(200)).answers_after = 700ms;
@@ -330,7 +330,7 @@
   EXPECT_EQ(counts.closed, 1u);
 }
 
-TEST(RequestPath, a_key_goes_to_its_holder_and_to_nobody_else) {
+TEST(RequestPath, a_keyed_request_goes_only_to_the_holder_of_its_key) {
   RequestTrial trial;
   trial.configure();
   trial.add_node("n-1", answer(200));
@@ -344,7 +344,7 @@
   EXPECT_EQ(trial.arrivals(), 2u);
 }
 
-TEST(RequestPath, a_key_without_a_holder_is_refused) {
+TEST(RequestPath, a_request_on_a_key_without_a_holder_is_refused) {
   RequestTrial trial;
   trial.configure();
   trial.add_node("n-1", answer(200));
@@ -354,7 +354,7 @@
   EXPECT_EQ(trial.arrivals(), 0u);
 }
 
-TEST(RequestPath, to_another_zone_a_request_is_marked_as_crossed) {
+TEST(RequestPath, a_request_to_another_zone_is_marked_as_crossed) {
   RequestTrial trial;
   trial.configure();
   AnsweringNode const& gateway = trial.add_node("n-far", answer(200), false);
@@ -363,7 +363,7 @@
   EXPECT_TRUE(gateway.seen[0].crossed);
 }
 
-TEST(RequestPath, a_gateway_passes_on_within_its_zone_only) {
+TEST(RequestPath, a_gateway_forwards_within_its_zone_only) {
   RequestTrial trial;
   AnsweringNode const& far = trial.add_node("n-far", answer(200), false);
   Forward forward;
@@ -393,8 +393,8 @@
   return q;
 }
 
-// Guards against UNASKED: a tenant's requests go by its own rank, and no other node gets its key.
-TEST(RequestPath, a_tenant_s_rank_goes_before_the_route_s_and_its_key_stays_here) {
+// Guards against UNASKED: requests use their tenant's rank, and no other node gets the access key.
+TEST(RequestPath, a_tenant_s_rank_overrides_the_route_s_and_its_key_is_not_forwarded) {
   RequestTrial t;
   for (Route& r : t.configuration.routes) r.rank = 3;
   t.configuration.tenants = std::vector<Tenant>{{"mill", {"k1"}, 6}, {"forge", {"k2"}, std::nullopt}};
@@ -410,8 +410,8 @@
   for (Forward const& seen : node.seen) EXPECT_FALSE(has_header(seen.request.headers, "Authorization"));
 }
 
-// Guards against UNASKED: a key that was passed on stands for its new owner from the next configuration on.
-TEST(RequestPath, a_key_that_was_passed_on_stands_for_its_new_tenant) {
+// Guards against UNASKED: an access key given to another tenant counts for it from the next configuration on.
+TEST(RequestPath, an_access_key_given_to_another_tenant_counts_for_it) {
   RequestTrial t;
   t.configuration.tenants = std::vector<Tenant>{{"mill", {"k1"}, std::nullopt}, {"forge", {}, std::nullopt}};
   t.configure();
