--- a/source/programs/operator_interface.hpp
+++ b/source/programs/operator_interface.hpp
@@ -81,7 +81,7 @@
       Result<RegisterValue> const catalogue =
           co_await register_client_.read(Register::catalogue, held(Register::catalogue), env_.now() + 2s);
       if (!catalogue) co_return not_taken(v, catalogue.error());
-      registry_.take(Register::catalogue, *catalogue);
+      registry_.apply(Register::catalogue, *catalogue);
       Result<Catalogue> const c =
           catalogue->revision > 0 ? Catalogue::read(catalogue->bytes, *l) : Result<Catalogue>(Catalogue{});
       if (!c)
@@ -95,7 +95,7 @@
       if (!routing) co_return not_taken(v, routing.error());
       if (routing->revision == 0)
         co_return bad_revision(v, Error{"check_references", "", "there is no routing revision yet", Proof::not_run});
-      registry_.take(Register::routing, *routing);
+      registry_.apply(Register::routing, *routing);
       Result<Layout> l = Layout::read(routing->bytes);
       if (!l) co_return bad_revision(v, l.error());
       layout = std::move(*l);
@@ -210,7 +210,7 @@
   Task<HttpReply> get(Register const r) {
     Result<RegisterValue> h = co_await register_client_.read(r, held(r), env_.now() + 2s);
     if (!h) co_return no_quorum(h.error());
-    registry_.take(r, *h);
+    registry_.apply(r, *h);
     if (h->revision == 0) co_return json_reply(404, {{"error", "no revision exists yet"}, {"revision", 0}});
     HttpReply reply;
     reply.status = 200;
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -119,7 +119,7 @@
   }
 
   /// Applies a value that a majority has accepted and sends it to the nodes.
-  void take(Register const r, RegisterValue const& h) {
+  void apply(Register const r, RegisterValue const& h) {
     RegisterValue& mine = held_.at(static_cast<std::size_t>(r));
     if (h.revision <= mine.revision) return;
     record_delta(r, mine, h);
@@ -130,9 +130,9 @@
       log_info("revision_known", {{"register", register_name(r)}, {"revision", std::to_string(h.revision)}});
     for (auto const& [zone, feed] : feeds_) send_to_nodes(*feed, r);
   }
-  /// As `take`, and sends the value to the other registries too.
+  /// As `apply`, and sends the value to the other registries too.
   void announce(Register const r, RegisterValue const& h) {
-    take(r, h);
+    apply(r, h);
     KeyDelta const* const delta = r == Register::keys ? key_deltas_.newest() : nullptr;
     if (delta != nullptr && delta->to == h.revision) {
       send_to_registries(ChosenValue{r, RegisterValue{}, *delta});
@@ -234,12 +234,12 @@
   Task<NoReply> chosen(ChosenValue q) {
     if (static_cast<std::size_t>(q.reg) >= held_.size()) co_return NoReply{};
     if (!q.key_delta) {
-      take(q.reg, q.held);
+      apply(q.reg, q.held);
       co_return NoReply{};
     }
     // A delta that doesn't apply can be ignored: the next reading of the register brings the table.
     Result<RegisterValue> const next = apply_key_deltas(held(Register::keys), {*q.key_delta});
-    if (next) take(Register::keys, *next);
+    if (next) apply(Register::keys, *next);
     co_return NoReply{};
   }
 
@@ -315,7 +315,7 @@
     }
     RegisterValue const known = held(r);
     Result<RegisterValue> const h = co_await register_client_.read(r, known, deadline);
-    if (h) take(r, *h);
+    if (h) apply(r, *h);
     co_return h.has_value();
   }
 
