--- a/source/data_path/request_path.hpp
+++ b/source/data_path/request_path.hpp
@@ -1,9 +1,8 @@
-// The way of one request through the node that took it from its client: its
-// route is found, an endpoint selected, the request forwarded there, and its
-// final answer given. What may be sent again follows from what is proved: a
-// request that was not run may go elsewhere; one of unknown outcome only if it
-// is repeatable and the shared retry budget allows it. Once its client has closed
-// its connection it is cancelled wherever it waits, and sent nowhere else.
+// Handles a request in the node that accepted it from its client: finds its route, selects an endpoint,
+// forwards it there and returns the reply. Whether it may be sent again depends on what is known: a
+// request that was not run may go elsewhere; one of unknown outcome only if it is repeatable and the
+// shared retry budget allows it. When its client closes the connection, the request is cancelled
+// wherever it waits, and not sent again.
 #pragma once
 
 #include "data_path/access_control.hpp"
@@ -26,23 +25,23 @@
 struct RequestPathSettings {
   Address own_address;
   std::string zone;
-  /** The service of the backend on this machine: in whose name its requests go out. */
+  /** The service of the backend on this machine, which its outgoing requests name as the caller. */
   std::string calling_service;
-  /** How often an attempt may go to another endpoint after a proof that it was not run. */
+  /** The most endpoints that a request is sent to, including those that did not run it. */
   std::uint32_t max_endpoints = 4;
-  /** Share of a service's requests, in percent, that this node may send a second time. */
+  /** The share of a service's requests, in percent, that this node may retry. */
   std::uint64_t retry_percent = 10;
   std::uint64_t retry_margin = 2;
   std::size_t max_in_flight = 4096;
-  /** How long an access key that was dropped may still be used anywhere; none: as long as this node knows it. */
+  /** How long a removed access key may still be used anywhere; none: as long as this node knows it. */
   std::optional<Duration> revocation_limit;
 };
 
-/** Counts for the log and the operator's state page. */
+/** Counters for the log and the operator's state page. */
 struct RequestCounts {
   std::uint64_t taken = 0, answered = 0, refused = 0, failed = 0, retried = 0;
-  std::uint64_t unknown_key = 0;      // refused as they bore no tenant's access key
-  std::uint64_t unconfirmed_key = 0;  // refused as the node couldn't tell whether access keys were dropped
+  std::uint64_t unknown_key = 0;      // refused because they had no tenant's access key
+  std::uint64_t unconfirmed_key = 0;  // refused because the node couldn't tell whether access keys were removed
 };
 
 template <Environment Env, class Backend>
@@ -62,18 +61,18 @@
 
   void set_router(std::shared_ptr<Router const> router) { router_ = std::move(router); }
   std::shared_ptr<Router const> const& router() const { return router_; }
-  /** The router in force is of the newest configuration that was chosen before `asked`. */
+  /** Confirms that the router in force is of the newest configuration chosen before `asked`. */
   void confirm_access_keys(Instant const asked) { access_lease_.confirm(asked); }
-  /** Whether requests that need an access key can be let in now; true if none needs one. */
+  /** Whether requests that need an access key can be admitted now; true if none needs one. */
   bool can_admit_tenants() const {
     return !router_ || !router_->configuration().tenants || access_lease_.valid(env_.now());
   }
-  /** The process ends then at the latest: requests that may last longer are refused from now on. */
+  /** Sets the time at which the process ends at the latest: requests that may last longer are refused from now on. */
   void end_by(Instant const end) { end_ = end; }
-  /** The newest table of who holds which keys. */
+  /** Sets the newest table of key assignments. */
   void set_keys(std::shared_ptr<KeyTable const> keys) { keys_ = std::move(keys); }
 
-  /** Handles one request of a client or of this machine's backend. */
+  /** Handles one request from a client or from this machine's backend. */
   Task<HttpReply> handle(HttpRequest request, std::shared_ptr<HttpExchange> exchange) {
     ++counts_.taken;
     std::shared_ptr<Router const> const router = router_;
@@ -100,7 +99,7 @@
     co_return reply;
   }
 
-  /** The gateway's part: a request from another zone that the own backend can't take goes to another of this zone. */
+  /** Used by gateways: forwards a request from another zone that the own backend can't take within this zone. */
   Task<ForwardReply> pass_on(Forward forward, ForwardReply refused, SharedCancellation cancellation = nullptr) {
     forward.crossed = false;
     std::set<Address> const tried{settings_.own_address};
@@ -113,7 +112,7 @@
     co_return reply;
   }
 
-  /** A refusal is a promise that the request has not run and never will. */
+  /** Returns a refusal, which guarantees that the request has not run and never will. */
   HttpReply refusal(std::string const& reason, Duration const retry_after) {
     ++counts_.refused;
     return refusal_of(reason, retry_after);
@@ -130,12 +129,12 @@
   static constexpr Duration key_move_patience = 120ms;
   static constexpr Duration key_move_pause = 15ms;
 
-  /** A request on its way, with what must be known to send it again. */
+  /** A request in progress, with the state needed to send it again. */
   struct Attempt {
     Forward forward;
     Instant started{};
     Instant deadline{};
-    Duration target_latency{};  // from `began`; zero: not stated
+    Duration target_latency{};  // from `began`; zero: not specified
     std::uint32_t attempt_limit = 1;
     SharedCancellation cancellation = std::make_shared<Cancellation>();
     RequestState state;
@@ -264,7 +263,7 @@
     return reply;
   }
 
-  // Without an answer the way took at least what was waited for it, as far as that tells more.
+  // Without a reply, the network time is at least the time waited, if that is more than expected.
   void record_unanswered(Address const& address, Duration const waited) {
     Duration const expected = selector_.expected_transfer(address, env_.now());
     selector_.transferred(address, std::max(waited, expected), env_.now());
@@ -283,13 +282,13 @@
       selector_.failed(address, reply.refusal == Refusal::unreachable || reply.refusal == Refusal::no_backend, now);
   }
 
-  /** Whether the backend's own answer should rather be asked for again elsewhere. */
+  /** Whether the backend's reply is a failure that should be retried elsewhere. */
   bool should_retry(Attempt const& attempt, ForwardReply const& reply) const {
     return attempt.forward.repeatable && reply.reply.status >= 500 && reply.reply.status != 504;
   }
 
-  // What is left of the aim when the request arrives there, if its answer is to be back
-  // in time. Once that is hopeless a part of it still says how long to wait for a slot.
+  // Returns the part of the target latency that is left when the request arrives there, minus the time
+  // for the reply. If it can't be met any more, a fixed part of it still limits the wait for a slot.
   std::uint32_t target_latency_left_ms(Attempt const& attempt, Address const& endpoint) const {
     Duration const spent = env_.now() - attempt.started + selector_.expected_transfer(endpoint, env_.now());
     Duration const left = std::max(attempt.target_latency - spent, attempt.target_latency / late_target_divisor);
@@ -331,7 +330,7 @@
       }
       if (last.retry_after_ms > 0)
         retry_after_ms = retry_after_ms == 0 ? last.retry_after_ms : std::min(retry_after_ms, last.retry_after_ms);
-      // The holder of a key is the only place for it.
+      // Only the holder of a key can serve its requests.
       if (!attempt.forward.keyed)
         tried.insert(*endpoint);
       else if (last.outcome == Outcome::not_run && last.refusal != Refusal::key_not_held)
@@ -344,8 +343,8 @@
     co_return finish(attempt, std::move(last), may_have_run, retry_after_ms);
   }
 
-  // A row on its way between two holders is let go a moment before the table that names
-  // the next one is here.
+  // A row that moves between two holders is released shortly before the table with the next holder
+  // arrives here.
   Task<void> wait_for_another_holder(Attempt const& attempt, Address const refusing) {
     Instant const until = std::min(env_.now() + key_move_patience, attempt.deadline);
     while (env_.now() < until && !attempt.cancellation->requested()) {
@@ -369,7 +368,7 @@
     return refusal(last.reason.empty() ? "no usable backend" : last.reason, wait);
   }
 
-  // Its client has closed, or ended its side and may still read; `departures` counts it.
+  // The client has closed the connection, or closed its side and may still read; `departures` counts it.
   static HttpReply client_left_reply(bool const may_have_run) {
     return may_have_run ? plain_reply(502, "client has left") : refusal_of("client has left", busy_retry);
   }
@@ -386,7 +385,7 @@
   RequestCounts counts_;
   DepartureCounts departures_;
   std::size_t in_flight_ = 0;
-  std::optional<Instant> end_;  // of this process, once it was told to go
+  std::optional<Instant> end_;  // of this process, once it was told to end
 };
 
 }  // namespace banktide
