--- a/source/coordination/membership.hpp
+++ b/source/coordination/membership.hpp
@@ -100,8 +100,8 @@
       bool const begun = co_await acceptor_.initialize(initial_set(seeds, settings_.losses));
       if (!begun) co_return;
     }
-    bool const heard = co_await discover_newest_set();
-    if (!heard) {
+    bool const discovered = co_await discover_newest_set();
+    if (!discovered) {
       if (acceptor_.phase() != Phase::voting && !acceptor_.set().voters.empty())
         co_await acceptor_.bootstrap_or_rejoin();
       co_return;
