--- a/source/transport/http_edge.hpp
+++ b/source/transport/http_edge.hpp
@@ -225,7 +225,7 @@
       reply.headers = {{"banktide-outcome", "not-run"}, {"Connection", "close"}};
     } else {
       std::vector<unsigned char> const body = co_await await_task(q.extract_vector());
-      request.body.assign(body.start(), body.end());
+      request.body.assign(body.begin(), body.end());
       if (body.size() > body_limit) {
         reply.status = 413;
         reply.headers = {{"banktide-outcome", "not-run"}};
@@ -234,7 +234,7 @@
       }
     }
     web::http::http_response out(reply.status);
-    out.set_body(std::vector<unsigned char>(reply.body.start(), reply.body.end()));
+    out.set_body(std::vector<unsigned char>(reply.body.begin(), reply.body.end()));
     out.headers().remove("Content-Type");
     // The library writes one line per header name and values unchanged: the value of the
     // first cookie therefore includes the lines of the others.
@@ -291,7 +291,7 @@
     if (!is_sent_unchanged(q.target)) co_return make_error("target", peer, "can't be sent unchanged", Proof::not_run);
     if (!q.body.empty()) {
       std::string const type = request.headers().content_type();
-      request.set_body(std::vector<unsigned char>(q.body.start(), q.body.end()));
+      request.set_body(std::vector<unsigned char>(q.body.begin(), q.body.end()));
       if (type.empty())
         request.headers().remove("Content-Type");
       else
@@ -355,7 +355,7 @@
     if (has_length && body.size() != std::stoul(length))
       co_return make_error("read_reply", peer, "body differs from its length");
     if (body.size() > body_limit) co_return make_error("read_reply", peer, "body over the limit");
-    reply.body.assign(body.start(), body.end());
+    reply.body.assign(body.begin(), body.end());
     co_return reply;
   }
 
--- a/tests/transport/backend_stand_in.hpp
+++ b/tests/transport/backend_stand_in.hpp
@@ -1,4 +1,4 @@
-// A backend's end of a connection, driven by a test, and the calls that it gets.
+// The backend's end of a connection, driven by a test, and the calls sent to it.
 #pragma once
 
 #include "transport/backend_connections.hpp"
@@ -20,14 +20,14 @@
  public:
   explicit Peer(tcp::socket s) : socket(std::move(s)) {}
 
-  // The next whole request, as bytes; empty when the connection ended first.
+  // The next complete request, as bytes; empty if the connection ended first.
   Task<std::string> next() {
     RequestParser parser(1u << 20, 1u << 30);
-    std::string taken;
+    std::string request;
     ErrorCode error;
     while (true) {
       std::size_t const used = parser.parse(unread, error, false);
-      taken += unread.substr(0, used);
+      request += unread.substr(0, used);
       unread.erase(0, used);
       if (error) throw std::runtime_error("not a request: " + error.message());
       if (parser.is_done()) break;
@@ -37,7 +37,7 @@
       if (error) co_return "";
       unread.append(bytes, count);
     }
-    co_return taken;
+    co_return request;
   }
   Task<void> send(std::string const bytes) {
     co_await asio::async_write(socket, asio::buffer(bytes), asio::use_awaitable);
@@ -48,7 +48,7 @@
   }
 
   tcp::socket socket;
-  std::string unread;  // what has come behind the last request
+  std::string unread;  // bytes received after the last request
 };
 
 inline std::string answer(std::string const& id, std::string const& body, std::string const& more = "") {
--- a/tests/transport/http_edge_test.cpp
+++ b/tests/transport/http_edge_test.cpp
@@ -1,4 +1,4 @@
-// Calls to crooked backends, and what listeners answer, byte for byte.
+// Calls to backends with fixed, partly malformed replies, and the exact bytes that listeners send.
 #include "transport/http_edge.hpp"
 
 #include "transport/socket_environment.hpp"
@@ -9,23 +9,23 @@
 namespace banktide {
 namespace {
 
-// A backend that answers with the given bytes, whatever it was asked, and
-// counts the connections made to it.
-class CrookedBackend {
+// A backend that answers every request with the given bytes and counts its
+// connections.
+class FixedReplyBackend {
  public:
-  CrookedBackend(asio::io_context& io, std::string bytes)
+  FixedReplyBackend(asio::io_context& io, std::string bytes)
       : acceptor_(io, {asio::ip::address_v4::loopback(), 0}), bytes_(std::move(bytes)) {
     asio::co_spawn(io, serve(), asio::detached);
   }
   std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
   std::size_t connections = 0;
-  std::string asked;
+  std::string received;
 
  private:
-  bool whole() const {
-    std::size_t const end = asked.find("\r\n\r\n"), at = asked.find("Content-Length:");
+  bool is_complete() const {
+    std::size_t const end = received.find("\r\n\r\n"), at = received.find("Content-Length:");
     return end != std::string::npos &&
-           (at == std::string::npos || asked.size() >= end + 4 + std::stoul(asked.substr(at + 15)));
+           (at == std::string::npos || received.size() >= end + 4 + std::stoul(received.substr(at + 15)));
   }
   Task<void> serve() {
     while (true) {
@@ -33,11 +33,11 @@
       ++connections;
       char raw[65536];
       boost::system::error_code ec;
-      asked.clear();
-      while (!ec && !whole()) {
+      received.clear();
+      while (!ec && !is_complete()) {
         std::size_t const n =
             co_await s.async_read_some(asio::buffer(raw), asio::redirect_error(asio::use_awaitable, ec));
-        asked.append(raw, n);
+        received.append(raw, n);
       }
       co_await asio::async_write(s, asio::buffer(bytes_), asio::redirect_error(asio::use_awaitable, ec));
       s.shutdown(asio::ip::tcp::socket::shutdown_both, ec);
@@ -55,21 +55,21 @@
   return p.get_future().get();
 }
 
-// What the library has still to do on the pool when the last test is over is
-// done before the process ends: the pool drops what it holds then.
-class PoolEmptied : public testing::Environment {
+// Runs the library's remaining work on the pool before the process ends, because the
+// pool discards queued work at exit.
+class DrainPool : public testing::Environment {
  public:
   void TearDown() override {
     for (int i = 0; i < 64; ++i) on_pool([]() { return true; });
   }
 };
-inline testing::Environment* const pool_emptied = testing::AddGlobalTestEnvironment(new PoolEmptied());
+inline testing::Environment* const drain_pool = testing::AddGlobalTestEnvironment(new DrainPool());
 
-// They stay for the whole test run, as the pool does.
-inline CrookedBackend* crooked(SocketEnvironment& env, std::string const& bytes) {
-  static std::vector<CrookedBackend*>* const all = new std::vector<CrookedBackend*>();
+// The backends live until the end of the test run, like the pool.
+inline FixedReplyBackend* start_backend(SocketEnvironment& env, std::string const& bytes) {
+  static std::vector<FixedReplyBackend*>* const all = new std::vector<FixedReplyBackend*>();
   return on_pool([&]() {
-    all->push_back(new CrookedBackend(env.io(), bytes));
+    all->push_back(new FixedReplyBackend(env.io(), bytes));
     return all->back();
   });
 }
@@ -87,32 +87,32 @@
   return p.get_future().get();
 }
 
-TEST(HttpEdge, only_a_whole_reply_is_an_answer_and_nothing_is_sent_twice) {
+TEST(HttpEdge, only_a_complete_reply_is_accepted_and_nothing_is_sent_twice) {
   start_pool();
   SocketEnvironment env;
-  struct Trap {
+  struct Case {
     std::string bytes;
     bool good;
   };
-  for (Trap const& t : {
-           Trap{"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", true},
-           Trap{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", true},
-           Trap{"HTTP/1.1 204 No Content\r\n\r\n", true},
-           Trap{"HTTP/1.1 302 Found\r\nLocation: http://127.0.0.1:1/\r\nContent-Length: 0\r\n\r\n", true},
-           Trap{"HTTP/1.1 200 OK\r\n\r\nhello", false},
-           Trap{"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhello", false},
-           Trap{"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nhello", false},
-           Trap{"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 3\r\n\r\nhello", false},
-           Trap{"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
+  for (Case const& t : {
+           Case{"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", true},
+           Case{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", true},
+           Case{"HTTP/1.1 204 No Content\r\n\r\n", true},
+           Case{"HTTP/1.1 302 Found\r\nLocation: http://127.0.0.1:1/\r\nContent-Length: 0\r\n\r\n", true},
+           Case{"HTTP/1.1 200 OK\r\n\r\nhello", false},
+           Case{"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhello", false},
+           Case{"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nhello", false},
+           Case{"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 3\r\n\r\nhello", false},
+           Case{"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
                 false},
-           Trap{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", false},
-           Trap{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n", false},
-           Trap{"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\nhello", false},
-           Trap{"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", false},
-           Trap{std::string("\0\1garbage\r\n\r\n", 13), false},
-           Trap{"", false},
+           Case{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", false},
+           Case{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n", false},
+           Case{"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\nhello", false},
+           Case{"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", false},
+           Case{std::string("\0\1garbage\r\n\r\n", 13), false},
+           Case{"", false},
        }) {
-    CrookedBackend* const b = crooked(env, t.bytes);
+    FixedReplyBackend* const b = start_backend(env, t.bytes);
     Result<HttpReply> const r = call_port(env, b->port(), HttpRequest{"POST", "/pay/1", {}, "x"});
     EXPECT_EQ(r.has_value(), t.good) << t.bytes << (r ? "" : r.error().reason);
     EXPECT_TRUE(r || r.error().proof == Proof::unknown) << t.bytes;
@@ -120,7 +120,7 @@
   }
 }
 
-TEST(HttpEdge, a_refused_connection_is_proof_that_nothing_ran) {
+TEST(HttpEdge, a_refused_connection_proves_not_run) {
   start_pool();
   SocketEnvironment env;
   std::uint16_t const port = on_pool([&]() {
@@ -132,10 +132,10 @@
   EXPECT_EQ(r.error().step, "connect");
 }
 
-TEST(HttpEdge, method_path_query_headers_and_body_go_as_they_came) {
+TEST(HttpEdge, method_path_query_headers_and_body_are_sent_unchanged) {
   start_pool();
   SocketEnvironment env;
-  CrookedBackend* const b = crooked(env, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+  FixedReplyBackend* const b = start_backend(env, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   for (std::string const bad : {"//a/../b", "x", "/a b"}) {
     Result<HttpReply> const r = call_port(env, b->port(), HttpRequest{"POST", bad, {}, ""});
     EXPECT_TRUE(!r && r.error().proof == Proof::not_run) << bad;
@@ -146,13 +146,13 @@
                       {{"x-odd", "a  b"}, {"Content-Type", "text/odd"}},
                       std::string("b\0dy", 4)};
   ASSERT_TRUE(call_port(env, b->port(), q));
-  EXPECT_TRUE(b->asked.starts_with("PURGE /a/../b%2Fc%20d?x=1&y=%41&& HTTP/1.1\r\n")) << b->asked;
-  EXPECT_NE(b->asked.find("x-odd:a  b\r\n"), std::string::npos);
-  EXPECT_NE(b->asked.find("Content-Type:text/odd\r\n"), std::string::npos);
-  EXPECT_TRUE(b->asked.ends_with(std::string("\r\n\r\nb\0dy", 8)));
+  EXPECT_TRUE(b->received.starts_with("PURGE /a/../b%2Fc%20d?x=1&y=%41&& HTTP/1.1\r\n")) << b->received;
+  EXPECT_NE(b->received.find("x-odd:a  b\r\n"), std::string::npos);
+  EXPECT_NE(b->received.find("Content-Type:text/odd\r\n"), std::string::npos);
+  EXPECT_TRUE(b->received.ends_with(std::string("\r\n\r\nb\0dy", 8)));
 }
 
-// What a plain client gets from a listener, byte for byte.
+// The exact bytes that a listener sends to a raw client.
 inline std::string raw_exchange(Address const& peer, std::string const& sent) {
   asio::io_context io;
   asio::ip::tcp::socket s(io);
@@ -171,10 +171,10 @@
          }));
 }
 
-TEST(HttpEdge, every_cookie_arrives_on_its_own_line_or_the_answer_is_no_answer) {
+TEST(HttpEdge, every_cookie_arrives_on_its_own_line_or_the_reply_is_rejected) {
   start_pool();
   SocketEnvironment env;
-  CrookedBackend* const b = crooked(
+  FixedReplyBackend* const b = start_backend(
       env,
       "HTTP/1.1 200 OK\r\nSet-Cookie: a=1; Expires=Wed, 21 Oct 2026 07:28:00 GMT\r\nSet-Cookie: b=2; Path=/\r\nSet-Cookie: c=\r\nVary: x\r\nVary: y\r\nContent-Length: 0\r\n\r\n");
   Result<HttpReply> const r = call_port(env, b->port(), HttpRequest{"GET", "/", {}, ""});
@@ -188,8 +188,8 @@
                                  "Set-Cookie: b=2; Path=/\r\n", "Set-Cookie: c=\r\n"})
     EXPECT_NE(got.find(line), std::string::npos) << got;
   EXPECT_NE(got.find("Vary: x, y\r\n"), std::string::npos) << got;
-  CrookedBackend* const odd =
-      crooked(env, "HTTP/1.1 200 OK\r\nSet-Cookie: a=\"1, b=2\"\r\nSet-Cookie: c=3\r\nContent-Length: 0\r\n\r\n");
+  FixedReplyBackend* const odd =
+      start_backend(env, "HTTP/1.1 200 OK\r\nSet-Cookie: a=\"1, b=2\"\r\nSet-Cookie: c=3\r\nContent-Length: 0\r\n\r\n");
   Result<HttpReply> const no = call_port(env, odd->port(), HttpRequest{"GET", "/", {}, ""});
   EXPECT_TRUE(!no && no.error().proof == Proof::unknown);
 }
--- a/tests/transport/http_server_test.cpp
+++ b/tests/transport/http_server_test.cpp
@@ -1,5 +1,5 @@
-// The HTTP server against raw sockets on the same io_context: what a client sees
-// byte by byte, whatever it sends.
+// The HTTP server against raw sockets on the same io_context: the exact bytes that
+// clients receive for valid and malformed input.
 #include "transport/http_server.hpp"
 
 #include "transport/http_codec.hpp"
@@ -20,9 +20,9 @@
 using tcp = asio::ip::tcp;
 using ErrorCode = boost::system::error_code;
 
-constexpr Duration watchdog = 60s;  // a hanging test ends; no bound on speed
+constexpr Duration watchdog = 60s;  // only ends hanging tests; not a bound on speed
 
-// Opened once, waited for by any number.
+// Opened once; any number of tasks may wait for it.
 class Gate {
  public:
   explicit Gate(asio::io_context& io) : timer_(io, Instant::max()) {}
@@ -51,7 +51,7 @@
     ErrorCode ignored;
     co_await asio::async_write(socket, asio::buffer(bytes), asio::redirect_error(asio::use_awaitable, ignored));
   }
-  // The next answer with its headers as they came; status 0 if the connection ended first.
+  // The next answer with its headers as received; status 0 if the connection ended first.
   Task<HttpReply> next(bool const to_head = false) {
     ReplyParser parser(1u << 20, 1u << 30);
     parser.skip(to_head);
@@ -118,14 +118,14 @@
   }
   void run(std::function<Task<void>()> script) {
     std::exception_ptr failure;
-    bool over = false;
+    bool ended = false;
     asio::co_spawn(io, script(), [&](std::exception_ptr const e) {
       failure = e;
-      over = true;
+      ended = true;
       io.stop();
     });
     io.run_for(watchdog);
-    EXPECT_TRUE(over) << "the script hangs";
+    EXPECT_TRUE(ended) << "the script hangs";
     if (failure) std::rethrow_exception(failure);
   }
   Task<HttpReply> one_answer(std::string const bytes) {
@@ -135,8 +135,8 @@
     HttpReply reply = co_await client.next();
     co_return reply;
   }
-  // Lets everything that is ready happen.
-  Task<void> turn() { co_await asio::post(io, asio::use_awaitable); }
+  // Lets all ready tasks run.
+  Task<void> run_ready_tasks() { co_await asio::post(io, asio::use_awaitable); }
 
   asio::io_context io{1};
   std::vector<HttpRequest> seen;
@@ -148,7 +148,7 @@
   return "GET " + target + " HTTP/1.1\r\nHost: a.example\r\n" + more + "\r\n";
 }
 
-TEST_F(HttpServerTest, pipelined_requests_are_handled_together_and_answered_in_their_order) {
+TEST_F(HttpServerTest, pipelined_requests_are_handled_concurrently_and_answered_in_order) {
   Gate gate(io);
   serve([&](HttpRequest request, std::shared_ptr<HttpExchange>) -> Task<HttpReply> {
     if (request.target == "/3") gate.open();
@@ -173,13 +173,13 @@
   });
 }
 
-TEST_F(HttpServerTest, at_most_sixteen_requests_of_a_connection_are_handled_at_once) {
+TEST_F(HttpServerTest, at_most_sixteen_requests_of_a_connection_are_handled_concurrently) {
   Gate gate(io);
   std::size_t most = 0;
-  std::size_t begun = 0;
+  std::size_t started = 0;
   serve([&](HttpRequest request, std::shared_ptr<HttpExchange>) -> Task<HttpReply> {
     most = std::max(most, server->in_flight());
-    if (++begun == 16) gate.open();
+    if (++started == 16) gate.open();
     co_await gate.wait();
     HttpReply reply;
     reply.status = 200;
@@ -200,7 +200,7 @@
   });
 }
 
-TEST_F(HttpServerTest, bodies_come_whole_by_length_and_in_chunks_in_whatever_pieces) {
+TEST_F(HttpServerTest, bodies_with_a_length_or_chunks_are_read_completely_in_pieces_of_any_size) {
   serve(echo());
   run([&]() -> Task<void> {
     std::string const bytes =
@@ -212,7 +212,7 @@
       co_await client.connect(address);
       for (std::size_t at = 0; at < bytes.size(); at += piece) {
         co_await client.send(bytes.substr(at, piece));
-        co_await turn();
+        co_await run_ready_tasks();
       }
       HttpReply const first = co_await client.next();
       HttpReply const second = co_await client.next();
@@ -223,7 +223,7 @@
   });
 }
 
-TEST_F(HttpServerTest, a_large_body_goes_there_and_back) {
+TEST_F(HttpServerTest, a_large_body_is_received_and_returned) {
   serve(echo());
   run([&]() -> Task<void> {
     std::string const body(3u << 20, 'b');
@@ -233,7 +233,7 @@
   });
 }
 
-TEST_F(HttpServerTest, what_is_malformed_ambiguous_or_too_long_is_refused_and_the_connection_ends_cleanly) {
+TEST_F(HttpServerTest, malformed_ambiguous_and_oversized_requests_are_rejected_and_the_connection_ends_cleanly) {
   HttpServerLimits limits;
   limits.header_bytes = 1000;
   limits.body_bytes = 100;
@@ -290,14 +290,14 @@
     co_await client.send("GET / HTTP/1.1\r\nHost: a\r\n");
     for (int i = 0; i < 200 && server->connections() > 0; ++i) {
       co_await client.send("X: 123456789\r\n");
-      co_await turn();
+      co_await run_ready_tasks();
     }
     HttpReply const reply = co_await client.next();
     EXPECT_EQ(reply.status, 431);
   });
 }
 
-TEST_F(HttpServerTest, a_refusal_reaches_a_client_that_is_still_sending) {
+TEST_F(HttpServerTest, a_rejection_reaches_a_client_that_is_still_sending) {
   HttpServerLimits limits;
   limits.body_bytes = 1000;
   serve(echo(), limits);
@@ -326,7 +326,7 @@
   });
 }
 
-TEST_F(HttpServerTest, continue_is_sent_to_who_waits_for_it) {
+TEST_F(HttpServerTest, continue_is_sent_to_clients_that_expect_it) {
   serve(echo());
   run([&]() -> Task<void> {
     RawClient client(io);
@@ -341,7 +341,7 @@
   });
 }
 
-TEST_F(HttpServerTest, over_the_buffered_bytes_requests_are_told_to_come_back) {
+TEST_F(HttpServerTest, over_the_limit_of_buffered_bytes_requests_are_answered_503_with_retry_after) {
   HttpServerLimits limits;
   limits.buffered_bytes = 1000;
   serve(echo(), limits);
@@ -361,7 +361,7 @@
   });
 }
 
-TEST_F(HttpServerTest, an_idle_connection_ends_without_a_byte) {
+TEST_F(HttpServerTest, an_idle_connection_is_closed_without_an_answer) {
   HttpServerLimits limits;
   limits.idle_timeout = 1ms;
   serve(echo(), limits);
@@ -374,14 +374,14 @@
   });
 }
 
-TEST_F(HttpServerTest, over_the_connections_the_oldest_idle_one_goes_or_the_new_one_is_refused) {
+TEST_F(HttpServerTest, over_the_connection_limit_the_oldest_idle_one_is_closed_or_the_new_one_is_rejected) {
   Gate gate(io);
-  Gate begun(io);
+  Gate started(io);
   HttpServerLimits limits;
   limits.connections = 2;
   serve(
       [&](HttpRequest request, std::shared_ptr<HttpExchange>) -> Task<HttpReply> {
-        if (server->in_flight() == 2) begun.open();
+        if (server->in_flight() == 2) started.open();
         if (request.target == "/wait") co_await gate.wait();
         HttpReply reply;
         reply.status = 200;
@@ -397,7 +397,7 @@
     EXPECT_EQ(rest, "");
     co_await second.send(get("/wait"));
     co_await third.send(get("/wait"));
-    co_await begun.wait();
+    co_await started.wait();
     co_await fourth.connect(address);
     co_await fourth.send(get("/"));
     HttpReply const refused = co_await fourth.next();
@@ -409,7 +409,7 @@
   });
 }
 
-TEST_F(HttpServerTest, the_clients_own_wish_to_close_or_keep_is_honoured) {
+TEST_F(HttpServerTest, close_and_keep_alive_requests_of_the_client_are_honoured) {
   serve(echo());
   run([&]() -> Task<void> {
     RawClient closing(io), old(io), old_kept(io);
@@ -436,7 +436,7 @@
   });
 }
 
-TEST_F(HttpServerTest, headers_pass_unchanged_but_for_those_of_one_connection) {
+TEST_F(HttpServerTest, headers_other_than_hop_by_hop_ones_pass_unchanged) {
   serve([&](HttpRequest request, std::shared_ptr<HttpExchange>) -> Task<HttpReply> {
     seen.push_back(request);
     HttpReply reply;
@@ -465,7 +465,7 @@
   });
 }
 
-TEST_F(HttpServerTest, answers_that_have_no_body_send_none) {
+TEST_F(HttpServerTest, answers_without_a_body_send_none) {
   serve([&](HttpRequest request, std::shared_ptr<HttpExchange>) -> Task<HttpReply> {
     HttpReply reply;
     reply.status = static_cast<std::uint16_t>(std::stoi(request.target.substr(1)));
@@ -504,12 +504,12 @@
   });
 }
 
-TEST_F(HttpServerTest, a_client_that_has_ended_its_side_is_noticed_and_still_answered) {
+TEST_F(HttpServerTest, a_client_that_finished_sending_is_noticed_and_still_answered) {
   Gate gate(io);
-  ClientState told = ClientState::connected;
+  ClientState reported_state = ClientState::connected;
   serve([&](HttpRequest, std::shared_ptr<HttpExchange> exchange) -> Task<HttpReply> {
     exchange->on_hang_up = [&](ClientState const state) {
-      told = state;
+      reported_state = state;
       gate.open();
     };
     co_await gate.wait();
@@ -526,19 +526,19 @@
     HttpReply const reply = co_await client.next();
     EXPECT_EQ(reply.body, "still");
     EXPECT_EQ(value_of(reply, "Connection"), "close");
-    EXPECT_EQ(told, ClientState::finished_sending);
+    EXPECT_EQ(reported_state, ClientState::finished_sending);
     std::string const rest = co_await client.rest();
     EXPECT_EQ(rest, "");
   });
 }
 
 TEST_F(HttpServerTest, a_reset_is_noticed_while_the_request_is_handled_and_its_answer_is_dropped) {
-  Gate begun(io), gone(io);
+  Gate started(io), gone(io);
   std::shared_ptr<HttpExchange> kept;
   serve([&](HttpRequest, std::shared_ptr<HttpExchange> exchange) -> Task<HttpReply> {
     kept = exchange;
     exchange->on_hang_up = [&](ClientState) { gone.open(); };
-    begun.open();
+    started.open();
     co_await gone.wait();
     HttpReply reply;
     reply.status = 200;
@@ -549,21 +549,21 @@
     RawClient client(io);
     co_await client.connect(address);
     co_await client.send(get("/"));
-    co_await begun.wait();
+    co_await started.wait();
     client.reset();
     co_await gone.wait();
     EXPECT_TRUE(kept->client_gone());
-    while (server->in_flight() > 0) co_await turn();
+    while (server->in_flight() > 0) co_await run_ready_tasks();
     EXPECT_EQ(server->connections(), 0u);
     EXPECT_EQ(server->buffered(), 0u);
   });
 }
 
-TEST_F(HttpServerTest, a_reset_after_the_client_ended_its_side_is_noticed_too) {
-  Gate begun(io), finished(io), gone(io);
+TEST_F(HttpServerTest, a_reset_after_the_client_finished_sending_is_noticed) {
+  Gate started(io), finished(io), gone(io);
   serve([&](HttpRequest, std::shared_ptr<HttpExchange> exchange) -> Task<HttpReply> {
     exchange->on_hang_up = [&](ClientState const state) { (state == ClientState::gone ? gone : finished).open(); };
-    begun.open();
+    started.open();
     co_await gone.wait();
     HttpReply reply;
     reply.status = 200;
@@ -581,11 +581,11 @@
   });
 }
 
-TEST_F(HttpServerTest, draining_answers_all_that_has_come_and_closes_with_the_last_answer) {
-  Gate gate(io), begun(io);
+TEST_F(HttpServerTest, draining_answers_all_received_requests_and_closes_with_the_last_answer) {
+  Gate gate(io), started(io);
   serve([&](HttpRequest request, std::shared_ptr<HttpExchange>) -> Task<HttpReply> {
     seen.push_back(request);
-    if (seen.size() == 2) begun.open();
+    if (seen.size() == 2) started.open();
     co_await gate.wait();
     HttpReply reply;
     reply.status = 200;
@@ -597,19 +597,19 @@
     co_await busy.connect(address);
     co_await idle.connect(address);
     co_await busy.send(get("/1") + get("/2"));
-    co_await begun.wait();
+    co_await started.wait();
     server->drain();
     co_await busy.send(get("/behind"));
-    co_await turn();
+    co_await run_ready_tasks();
     gate.open();
     HttpReply const first = co_await busy.next();
     HttpReply const second = co_await busy.next();
     EXPECT_EQ(value_of(first, "Connection"), "");
     EXPECT_EQ(second.body, "/2");
     EXPECT_EQ(value_of(second, "Connection"), "");
-    HttpReply const behind = co_await busy.next();
-    EXPECT_EQ(behind.body, "/behind");
-    EXPECT_EQ(value_of(behind, "Connection"), "close");
+    HttpReply const after = co_await busy.next();
+    EXPECT_EQ(after.body, "/behind");
+    EXPECT_EQ(value_of(after, "Connection"), "close");
     std::string const rest = co_await busy.rest();
     EXPECT_EQ(rest, "");
     EXPECT_EQ(seen.size(), 3u);
@@ -620,7 +620,7 @@
   });
 }
 
-TEST_F(HttpServerTest, a_closed_listener_refuses_and_open_connections_are_served_on) {
+TEST_F(HttpServerTest, a_closed_listener_refuses_connections_and_open_ones_are_still_served) {
   serve(echo());
   run([&]() -> Task<void> {
     RawClient client(io), late(io);
@@ -638,43 +638,43 @@
   });
 }
 
-TEST_F(HttpServerTest, a_taken_port_is_an_error) {
+TEST_F(HttpServerTest, a_port_in_use_is_an_error) {
   serve(echo());
   HttpServer other(io, echo(), HttpServerLimits());
   EXPECT_FALSE(other.listen(address));
   EXPECT_FALSE(other.listen("nowhere"));
 }
 
-// Sound requests, spoilt ones and noise, in random pieces: the server never
-// crashes, and each answer belongs to a request that was handled, in order, but
-// for one refusal that ends the connection.
-TEST_F(HttpServerTest, noise_never_yields_an_answer_without_a_request) {
+// Valid and corrupted requests and random bytes, in random pieces: the server never
+// crashes, and each answer belongs to a handled request, in order, except for one
+// rejection that ends the connection.
+TEST_F(HttpServerTest, corrupted_input_never_yields_an_answer_without_a_request) {
   HttpServerLimits limits;
   limits.header_bytes = 2000;
   limits.body_bytes = 2000;
   serve(echo(), limits);
-  std::mt19937_64 chance(20261202);
+  std::mt19937_64 random(20261202);
   run([&]() -> Task<void> {
     for (int round = 0; round < 400; ++round) {
       std::string bytes;
-      for (std::uint64_t parts = 1 + chance() % 6; parts > 0; --parts) {
-        std::string part = chance() % 2 == 0
-                               ? get("/" + std::to_string(chance() % 100))
+      for (std::uint64_t parts = 1 + random() % 6; parts > 0; --parts) {
+        std::string part = random() % 2 == 0
+                               ? get("/" + std::to_string(random() % 100))
                                : "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n";
-        if (chance() % 3 == 0) part[chance() % part.size()] = static_cast<char>(chance());
-        if (chance() % 6 == 0) part.resize(chance() % part.size());
-        if (chance() % 10 == 0)
-          for (int i = 0; i < 40; ++i) part.push_back(static_cast<char>(chance()));
+        if (random() % 3 == 0) part[random() % part.size()] = static_cast<char>(random());
+        if (random() % 6 == 0) part.resize(random() % part.size());
+        if (random() % 10 == 0)
+          for (int i = 0; i < 40; ++i) part.push_back(static_cast<char>(random()));
         bytes += part;
       }
       seen.clear();
       RawClient client(io);
       co_await client.connect(address);
       for (std::size_t at = 0; at < bytes.size();) {
-        std::size_t const piece = 1 + chance() % 200;
+        std::size_t const piece = 1 + random() % 200;
         co_await client.send(bytes.substr(at, piece));
         at += piece;
-        if (chance() % 2 == 0) co_await turn();
+        if (random() % 2 == 0) co_await run_ready_tasks();
       }
       ErrorCode ignored;
       client.socket.shutdown(tcp::socket::shutdown_send, ignored);
@@ -694,7 +694,7 @@
       EXPECT_LE(answered, seen.size());
       EXPECT_EQ(client.unread, "");
     }
-    while (server->connections() > 0) co_await turn();
+    while (server->connections() > 0) co_await run_ready_tasks();
     EXPECT_EQ(server->buffered(), 0u);
   });
 }
--- a/tests/transport/log_test.cpp
+++ b/tests/transport/log_test.cpp
@@ -1,4 +1,4 @@
-// Log lines.
+// Quoting of values in log lines.
 #include "transport/log.hpp"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace banktide {
 namespace {
 
-TEST(Log, a_line_stays_a_line_whatever_a_peer_sent) {
+TEST(Log, values_from_peers_are_quoted_and_stay_on_one_line) {
   EXPECT_EQ(log_line("carry", {{"peer", "127.0.0.1:1"}, {"reason", "bad\n\"x\""}}),
             "event=carry peer=127.0.0.1:1 reason=\"bad?\\\"x\\\"\"");
   EXPECT_EQ(log_value(""), "\"\"");
