--- a/source/coordination/call_handler.hpp
+++ b/source/coordination/call_handler.hpp
@@ -36,7 +36,7 @@
   Json calls_json() const {
     return {{"taken", last_call_}, {"in_flight", calls_in_flight_}, {"extra_tries", extra_tries_}};
   }
-  Json budget_json() const { return {{"firsts", budget_.firsts()}, {"extras", budget_.extras()}}; }
+  Json budget_json() const { return {{"firsts", budget_.first_tries()}, {"extras", budget_.extra_tries()}}; }
 
   Task<HttpReply> call(HttpRequest q) {
     std::uint64_t const id = ++last_call_;
--- a/source/coordination/node_state.hpp
+++ b/source/coordination/node_state.hpp
@@ -71,8 +71,8 @@
   }
 
   bool fit(BackendRecord const& b, Instant const now) const {
-    if (broken_on_purpose("drain_unheard")) return view.usable_node(b.node);
-    if (b.liveness != Liveness::alive || !view.usable_node(b.node)) return false;
+    if (broken_on_purpose("drain_unheard")) return view.is_usable_node(b.node);
+    if (b.liveness != Liveness::alive || !view.is_usable_node(b.node)) return false;
     auto const d = drained_until.find({b.service, b.instance});
     if (d != drained_until.end() && now < d->second) return false;
     if (b.node == settings.id) {
--- a/source/coordination/zone_feed.hpp
+++ b/source/coordination/zone_feed.hpp
@@ -181,7 +181,7 @@
       if (m.role == Role::gateway && m.liveness == Liveness::alive) e.gateways.push_back(m);
     std::map<std::pair<std::string, std::string>, ServiceOffer> by_node;
     for (auto const& [key, b] : view_.backends) {
-      if (b.liveness != Liveness::alive || !view_.usable_node(b.node)) continue;
+      if (b.liveness != Liveness::alive || !view_.is_usable_node(b.node)) continue;
       if (e.offers.empty() || e.offers.back() != b.service) e.offers.push_back(b.service);
       Member const& host = view_.members.at(b.node);
       if (host.role != Role::gateway) continue;
--- a/source/programs/fleet_main.cpp
+++ b/source/programs/fleet_main.cpp
@@ -441,11 +441,11 @@
     acks.insert(acks.end(), acknowledged.begin(), acknowledged.end());
   std::this_thread::sleep_for(500ms);
 
-  std::uint64_t extras = 0;
+  std::uint64_t extra_tries = 0;
   for (auto const& [name, c] : fleet.children_) {
     if (c.program != "banktide-proxy" || c.pid == 0) continue;
     Result<HttpReply> const r = fleet.http(c.local, "GET", "/state");
-    if (r && r->status == 200) extras += Json::parse(r->body)["calls"]["extra_tries"].get<std::uint64_t>();
+    if (r && r->status == 200) extra_tries += Json::parse(r->body)["calls"]["extra_tries"].get<std::uint64_t>();
   }
   std::string readback = "none";
   for (Address const& at : operators) {
@@ -461,7 +461,7 @@
     actions.phases = {Stage{"before", zero, out}, Stage{"out", out, back},
                       Stage{"back", back, zero + static_cast<std::int64_t>(length) * 1000}};
   }
-  FleetReport const report(folder, acks, extras, readback, actions);
+  FleetReport const report(folder, acks, extra_tries, readback, actions);
   report.print(std::cout);
   for (auto& [name, c] : fleet.children_) Fleet::end(c, SIGKILL);
   std::cout.flush();
--- a/source/programs/fleet_report.hpp
+++ b/source/programs/fleet_report.hpp
@@ -38,9 +38,9 @@
 
 class FleetReport {
  public:
-  FleetReport(std::filesystem::path const& folder, std::vector<Acknowledged> const& acks, std::uint64_t const extras,
-              std::string const& readback, FleetActions actions)
-      : extras_(extras), actions_(std::move(actions)) {
+  FleetReport(std::filesystem::path const& folder, std::vector<Acknowledged> const& acks,
+              std::uint64_t const extra_tries, std::string const& readback, FleetActions actions)
+      : extras_(extra_tries), actions_(std::move(actions)) {
     for (Stage const& p : actions_.phases) phases_.emplace_back().phase = p;
     for (Stage const& f : actions_.faults) faults_.emplace_back().phase = f;
     read_runs(folder / "runs.txt");
--- a/source/programs/mesh_node.hpp
+++ b/source/programs/mesh_node.hpp
@@ -265,7 +265,7 @@
     std::map<std::string, EndpointSelector::Endpoints> all;
     ZoneView const& view = follower_.view();
     for (auto const& [key, b] : view.backends) {
-      if (b.node == settings_.follower.id || b.liveness != Liveness::alive || !view.usable_node(b.node)) continue;
+      if (b.node == settings_.follower.id || b.liveness != Liveness::alive || !view.is_usable_node(b.node)) continue;
       Endpoint const e{b.node, view.members.at(b.node).address, settings_.follower.zone,
                        true,   std::max(b.slots, 1u),           b.running + b.waiting};
       all[b.service].push_back(e);
--- a/source/state/key_rebalancer.cpp
+++ b/source/state/key_rebalancer.cpp
@@ -89,7 +89,7 @@
     demand += backend.demand;
     capacity += backend.capacity;
   }
-  split_threshold_ = settings_.part_share * demand / static_cast<double>(backends_.size());
+  split_threshold_ = settings_.split_share * demand / static_cast<double>(backends_.size());
   mean_ = capacity > 0 ? demand / capacity : 0;
   std::vector<KeyRow const*> single;
   for (KeyRow const& row : service_.rows)
@@ -372,14 +372,15 @@
   for (std::size_t i = 0; i + 1 < service_.rows.size() && begun < settings_.merge_moves_limit; ++i) {
     bool const left_goes = rate_of(service_.rows[i]) < rate_of(service_.rows[i + 1]);
     std::size_t const row = left_goes ? i : i + 1;
-    KeyRow const& goes = service_.rows[row];
-    KeyRow const& stays = service_.rows[left_goes ? i + 1 : i];
-    if (goes.holder == stays.holder || !mergeable(goes, stays) || !movable(goes)) continue;
-    if (width_of(goes) > narrow || width_of(goes) > width_left_) continue;
-    LoadedBackend* const donor = backend(goes.holder);
-    LoadedBackend* const recipient = backend(stays.holder);
+    KeyRow const& moving_row = service_.rows[row];
+    KeyRow const& staying_row = service_.rows[left_goes ? i + 1 : i];
+    if (moving_row.holder == staying_row.holder || !mergeable(moving_row, staying_row) || !movable(moving_row))
+      continue;
+    if (width_of(moving_row) > narrow || width_of(moving_row) > width_left_) continue;
+    LoadedBackend* const donor = backend(moving_row.holder);
+    LoadedBackend* const recipient = backend(staying_row.holder);
     if (donor == nullptr || recipient == nullptr || recipient->rows >= room) continue;
-    begin(Move{row, recipient, rate_of(goes)}, *donor);
+    begin(Move{row, recipient, rate_of(moving_row)}, *donor);
     ++begun;
     ++i;  // the row that stays must not be moved by the next pair
   }
@@ -389,7 +390,8 @@
 bool KeyRebalancer::merge_cool_rows() {
   sum_loads();
   if (backends_.size() < 2) return false;
-  std::size_t const many = static_cast<std::size_t>(static_cast<double>(rows_limit()) * settings_.many_rows_share);
+  std::size_t const many =
+      static_cast<std::size_t>(static_cast<double>(rows_limit()) * settings_.merge_threshold_share);
   if (service_.rows.size() <= many) return false;
   find_means();
   if (mean_ <= 0) return false;
--- a/source/state/key_table.hpp
+++ b/source/state/key_table.hpp
@@ -40,8 +40,8 @@
   double load_gap = 0.12;               // excess over the mean utilisation, as a part of it, that triggers moves
   double load_gap_coarse = 0.2;         // the same, above which a step is coarse: it moves several rows at once
   double moving_width_limit = 0.12;     // the share of a service's keys that may move for load at a time
-  double part_share = 0.2;              // of the mean load of a backend: rows above it are split
-  double many_rows_share = 0.65;        // of the limit of rows: above it, cool narrow rows are merged
+  double split_share = 0.2;             // of the mean load of a backend: rows above it are split
+  double merge_threshold_share = 0.65;  // of the limit of rows: above it, cool narrow rows are merged
   std::size_t rows_per_backend = 12;
   std::size_t first_rows_limit = 600;         // of one service, when it is created
   std::size_t rows_limit = 960;               // of one service
--- a/source/state/retry_budget.hpp
+++ b/source/state/retry_budget.hpp
@@ -33,8 +33,8 @@
     ++extra_total_;
     return true;
   }
-  std::uint64_t firsts() const { return first_total_; }
-  std::uint64_t extras() const { return extra_total_; }
+  std::uint64_t first_tries() const { return first_total_; }
+  std::uint64_t extra_tries() const { return extra_total_; }
 
  private:
   void advance(Instant const now) {
--- a/source/state/slice_moves.hpp
+++ b/source/state/slice_moves.hpp
@@ -67,10 +67,10 @@
       // Consecutive slices with equal content are reported as one row.
       row["slices"] = {i, i};
       if (!out.empty()) {
-        Json last = out.back(), mine = row;
+        Json last = out.back(), current = row;
         last.erase("slices");
-        mine.erase("slices");
-        if (last == mine && out.back()["slices"][1] == i - 1) {
+        current.erase("slices");
+        if (last == current && out.back()["slices"][1] == i - 1) {
           out.back()["slices"][1] = i;
           continue;
         }
--- a/source/state/zone_view.hpp
+++ b/source/state/zone_view.hpp
@@ -62,7 +62,7 @@
     return s;
   }
 
-  bool usable_node(std::string const& id) const {
+  bool is_usable_node(std::string const& id) const {
     auto const it = members.find(id);
     return it != members.end() && it->second.liveness == Liveness::alive;
   }
--- a/tests/coordination/key_trial_test.cpp
+++ b/tests/coordination/key_trial_test.cpp
@@ -526,7 +526,7 @@
 // A row merged from two parts takes the higher fence of the two.
 TEST(KeyTrial, rows_merged_during_faults_are_neither_refused_nor_held_twice) {
   KeySettings merging;
-  merging.many_rows_share = 0.05;
+  merging.merge_threshold_share = 0.05;
   std::size_t rows_merged = 0;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     Trial trial(seed, 5, merging);
--- a/tests/state/retry_budget_test.cpp
+++ b/tests/state/retry_budget_test.cpp
@@ -16,14 +16,14 @@
   for (int i = 0; i < 50000; ++i) {
     ms += static_cast<std::int64_t>(r() % 40) * (r() % 500 == 0 ? 1000 : 1);
     while (!model.empty() && model.front().first <= ms / 100 - 100) model.pop_front();
-    std::uint64_t firsts = 0, extras = 0;
-    for (auto const& [t, e] : model) (e ? extras : firsts) += 1;
+    std::uint64_t first_tries = 0, extra_tries = 0;
+    for (auto const& [t, e] : model) (e ? extra_tries : first_tries) += 1;
     Instant const now{std::chrono::milliseconds(ms)};
     if (r() % 3 != 0) {
       b.record_first(now);
       model.emplace_back(ms / 100, false);
     } else {
-      bool const may = extras + 1 <= firsts / 5 + RetryBudget::margin;
+      bool const may = extra_tries + 1 <= first_tries / 5 + RetryBudget::margin;
       ASSERT_EQ(b.try_extra(now), may);
       if (may) model.emplace_back(ms / 100, true);
     }
