--- a/source/state/catalogue_edit.hpp
+++ b/source/state/catalogue_edit.hpp
@@ -28,9 +28,9 @@
   Service const& service = layout.services[s];
   auto const needs = [&](char const* field) { return change.contains(field); };
   if (what == "move" && (!needs("slices") || !needs("to")))
-    return make_error("check_schema", "/change", "a move needs slices and to", Proof::not_run);
+    return make_error("check_schema", "/change", "`move` needs `slices` and `to`", Proof::not_run);
   if (what == "place" && !needs("cells"))
-    return make_error("check_schema", "/change", "a place needs cells", Proof::not_run);
+    return make_error("check_schema", "/change", "`place` needs `cells`", Proof::not_run);
   if (what == "move" && !service.keyed())
     return make_error("check_references", "/service", "service is not keyed", Proof::not_run);
   if (what == "place" && service.keyed())
--- a/source/state/layout.hpp
+++ b/source/state/layout.hpp
@@ -106,7 +106,7 @@
       if (route.service == no_index)
         return make_error("check_references", pointer + "/service", "no such service", Proof::not_run);
       if (!prefixes.insert(route.prefix).second)
-        return make_error("check_references", pointer + "/prefix", "prefix stands twice", Proof::not_run);
+        return make_error("check_references", pointer + "/prefix", "duplicate prefix", Proof::not_run);
       l.path_routes.push_back(std::move(route));
     }
     std::sort(l.path_routes.begin(), l.path_routes.end(),
--- a/source/state/placement.hpp
+++ b/source/state/placement.hpp
@@ -80,7 +80,7 @@
         return make_error("check_references", "/services/" + service, "no such service", Proof::not_run);
       for (Json const& zone : w.value("cells", Json::array()))
         if (!want["cells"].contains(zone.get<std::string>()))
-          return make_error("check_references", "/services/" + service + "/cells", "a cell that isn't among the cells",
+          return make_error("check_references", "/services/" + service + "/cells", "names a cell that isn't in `cells`",
                             Proof::not_run);
     }
     std::size_t at = 0;
@@ -88,7 +88,7 @@
       for (Json const& service : pair)
         if (!want["services"].contains(service.get<std::string>()))
           return make_error("check_references", "/apart/" + std::to_string(at),
-                            "a service that isn't among the services", Proof::not_run);
+                            "names a service that isn't in `services`", Proof::not_run);
       ++at;
     }
     return true;
@@ -160,7 +160,7 @@
     best.minimize(places);
     z3::check_result const r = best.check();
     if (r == z3::unsat) return report_conflict();
-    if (r == z3::unknown) return make_error("solve", "", "no answer in 20 s", Proof::not_run);
+    if (r == z3::unknown) return make_error("solve", "", "no solution within 20 s", Proof::not_run);
     z3::model const m = best.get_model();
     for (Assignment const& p : assignments_)
       counts_.push_back(static_cast<std::size_t>(m.eval(p.n, true).get_numeral_int()));
@@ -180,7 +180,7 @@
       names.insert(pointers_[std::stoul(core[static_cast<int>(i)].decl().name().str().substr(1))]);
     std::string all;
     for (std::string const& n : names) all += (all.empty() ? "" : " ") + n;
-    return make_error("solve", all, "these can't be met together", Proof::not_run);
+    return make_error("solve", all, "these constraints can't be met together", Proof::not_run);
   }
 
   // Returns the current catalogue with the services of the file placed anew: each zone keeps as many
--- a/source/state/slice_moves.hpp
+++ b/source/state/slice_moves.hpp
@@ -50,7 +50,7 @@
         if (!there)
           row["waits_for"] = l["in_flight"].get<int>() > 0
                                  ? std::to_string(l["in_flight"].get<int>()) + " calls in flight"
-                                 : "calls of unknown outcome, or the node to let go";
+                                 : "calls of unknown outcome, or the node to release the lease";
       } else {
         row["state"] = choice.refusal.empty() ? "waiting" : "nowhere";
         if (!choice.refusal.empty())
