--- a/source/coordination/acceptor.hpp
+++ b/source/coordination/acceptor.hpp
@@ -17,7 +17,7 @@
 /// that epoch (`active_epoch`). Otherwise it has been sealed in the previous epoch
 /// and isn't active in the new one yet.
 struct VoterRecord {
-  Phase phase = Phase::blank;
+  BootstrapPhase phase = BootstrapPhase::blank;
   std::uint64_t bootstrap_id = 0;
   RegisterSlots slots;
   VoterSet set;
@@ -61,7 +61,7 @@
     dispatcher.on<Activate>([this](Activate request) { return activate(std::move(request)); });
   }
 
-  Phase phase() const { return record_.phase; }
+  BootstrapPhase phase() const { return record_.phase; }
   RegisterSlot const& slot(Register const r) const { return record_.slots[static_cast<std::size_t>(r)]; }
   VoterSet const& set() const { return record_.set; }
   std::uint64_t disk_id() const { return record_.disk; }
@@ -86,26 +86,26 @@
   /// Makes one attempt to bootstrap the recorded set or to rejoin it.
   Task<void> bootstrap_or_rejoin() {
     std::vector<Address> const others = other_voters(record_.set);
-    Bootstrap request{Phase::blank, record_.bootstrap_id};
+    Bootstrap request{BootstrapPhase::blank, record_.bootstrap_id};
     auto const replies =
         co_await ask_all<Bootstrap>(env_, others, request, env_.now() + 1s, [](auto const&) { return false; });
     std::size_t answered = 0, voting = 0, same_bootstrap = 0;
     for (auto const& [i, r] : replies) {
       if (!r) continue;
       ++answered;
-      if (r->phase == Phase::voting) {
+      if (r->phase == BootstrapPhase::voting) {
         ++voting;
-        same_bootstrap += record_.phase == Phase::prepared && r->bootstrap_id == record_.bootstrap_id;
+        same_bootstrap += record_.phase == BootstrapPhase::prepared && r->bootstrap_id == record_.bootstrap_id;
       }
     }
     if (same_bootstrap > 0) {
       co_await change([](VoterRecord& r) {
-        if (r.phase != Phase::prepared) return false;
-        r.phase = Phase::voting;
+        if (r.phase != BootstrapPhase::prepared) return false;
+        r.phase = BootstrapPhase::voting;
         return true;
       });
     } else if (voting > 0 && broken_on_purpose("votes_blank")) {
-      record_.phase = Phase::voting;
+      record_.phase = BootstrapPhase::voting;
     } else if (voting > 0) {
       co_await rejoin(record_.set);
     } else if (initiates_bootstrap() && answered == others.size()) {
@@ -154,11 +154,11 @@
       next.slots[static_cast<std::size_t>(reg)] = *recovered;
     }
     if (next.slots[static_cast<std::size_t>(Register::voters)].held.revision > set.epoch) co_return std::nullopt;
-    next.phase = Phase::voting;
+    next.phase = BootstrapPhase::voting;
     next.set = set;
     next.active_epoch = set.epoch;
     co_await change([&](VoterRecord& r) {
-      if (r.phase == Phase::voting) return false;
+      if (r.phase == BootstrapPhase::voting) return false;
       next.disk = r.disk;
       r = next;
       return true;
@@ -171,7 +171,7 @@
   static constexpr int recovery_attempts = 20;
   static constexpr Duration log_interval = 1s;
 
-  static bool votes(VoterRecord const& r) { return r.phase == Phase::voting && r.active_epoch == r.set.epoch; }
+  static bool votes(VoterRecord const& r) { return r.phase == BootstrapPhase::voting && r.active_epoch == r.set.epoch; }
 
   // Applies changes one at a time: syncing the disk may take long, and answers may
   // only contain state that has been synced. `f` returns whether it changed anything.
@@ -216,7 +216,7 @@
   // has voted in the newer set or in the one before reports the newer set.
   bool may_vote(std::uint64_t const epoch, std::optional<VoterSet>& newer) {
     highest_seen_epoch_ = std::max(highest_seen_epoch_, epoch);
-    if (record_.phase == Phase::voting && record_.set.epoch > epoch) newer = record_.set;
+    if (record_.phase == BootstrapPhase::voting && record_.set.epoch > epoch) newer = record_.set;
     return voting() && record_.set.epoch == epoch;
   }
 
@@ -286,7 +286,7 @@
   Task<VotersReply> voters(VotersRequest request) {
     VotersReply reply;
     if (!request.from.empty()) last_requester_ = request.from;
-    reply.member = record_.phase == Phase::voting;
+    reply.member = record_.phase == BootstrapPhase::voting;
     reply.active = voting();
     if (reply.member) reply.set = record_.set;
     co_return reply;
@@ -297,7 +297,7 @@
   Task<SealReply> seal(Seal request) {
     SealReply reply;
     bool const stored = co_await change([&](VoterRecord& r) {
-      if (r.phase != Phase::voting) return false;
+      if (r.phase != BootstrapPhase::voting) return false;
       if (r.set.epoch > request.set.epoch) reply.newer = r.set;
       bool const from_before = r.set.epoch < request.set.epoch;
       if (from_before) r.set = request.set;
@@ -319,15 +319,15 @@
     ActivateReply reply;
     bool const stored = co_await change([&](VoterRecord& r) {
       VoterEntry const* const own_entry = find_entry(request.set, own_address_);
-      if (r.phase == Phase::voting && r.set.epoch > request.set.epoch) reply.newer = r.set;
+      if (r.phase == BootstrapPhase::voting && r.set.epoch > request.set.epoch) reply.newer = r.set;
       reply.active = votes(r) && r.set.epoch == request.set.epoch;
       bool const continuing =
-          r.phase == Phase::voting && r.active_epoch < request.set.epoch && r.set.epoch <= request.set.epoch;
-      bool const added =
-          r.phase != Phase::voting && own_entry != nullptr && own_entry->disk != 0 && own_entry->disk == r.disk;
+          r.phase == BootstrapPhase::voting && r.active_epoch < request.set.epoch && r.set.epoch <= request.set.epoch;
+      bool const added = r.phase != BootstrapPhase::voting && own_entry != nullptr && own_entry->disk != 0 &&
+                         own_entry->disk == r.disk;
       if (reply.active || own_entry == nullptr || !(continuing || added)) return false;
       for (std::size_t i = 0; i < register_count; ++i) merge_newer(r.slots[i], request.slots[i]);
-      r.phase = Phase::voting;
+      r.phase = BootstrapPhase::voting;
       r.bootstrap_id = request.bootstrap_id;
       r.set = request.set;
       r.active_epoch = request.set.epoch;
@@ -339,19 +339,19 @@
   }
 
   Task<BootstrapReply> bootstrap(Bootstrap request) {
-    if (request.want == Phase::prepared && record_.phase != Phase::voting && !initiates_bootstrap() &&
+    if (request.want == BootstrapPhase::prepared && record_.phase != BootstrapPhase::voting && !initiates_bootstrap() &&
         find_entry(record_.set, own_address_) != nullptr)
       co_await change([&](VoterRecord& r) {
-        if (r.phase == Phase::voting || find_entry(r.set, own_address_) == nullptr) return false;
-        r.phase = Phase::prepared;
+        if (r.phase == BootstrapPhase::voting || find_entry(r.set, own_address_) == nullptr) return false;
+        r.phase = BootstrapPhase::prepared;
         r.bootstrap_id = request.bootstrap_id;
         return true;
       });
-    if (request.want == Phase::voting && record_.phase == Phase::prepared &&
+    if (request.want == BootstrapPhase::voting && record_.phase == BootstrapPhase::prepared &&
         record_.bootstrap_id == request.bootstrap_id)
       co_await change([&](VoterRecord& r) {
-        if (r.phase != Phase::prepared || r.bootstrap_id != request.bootstrap_id) return false;
-        r.phase = Phase::voting;
+        if (r.phase != BootstrapPhase::prepared || r.bootstrap_id != request.bootstrap_id) return false;
+        r.phase = BootstrapPhase::voting;
         return true;
       });
     co_return BootstrapReply{record_.phase, record_.bootstrap_id};
@@ -360,19 +360,19 @@
   Task<void> bootstrap_all(std::vector<Address> others) {
     std::uint64_t const id = env_.chance()() | 1;
     bool const began = co_await change([&](VoterRecord& r) {
-      r.phase = Phase::prepared;
+      r.phase = BootstrapPhase::prepared;
       r.bootstrap_id = id;
       return true;
     });
     if (!began) co_return;
-    Bootstrap const prepared{Phase::prepared, id}, open{Phase::voting, id};
+    Bootstrap const prepared{BootstrapPhase::prepared, id}, open{BootstrapPhase::voting, id};
     auto const replies =
         co_await ask_all<Bootstrap>(env_, others, prepared, env_.now() + 2s, [](auto const&) { return false; });
     std::size_t ready = 0;
-    for (auto const& [i, r] : replies) ready += r && r->phase == Phase::prepared && r->bootstrap_id == id;
+    for (auto const& [i, r] : replies) ready += r && r->phase == BootstrapPhase::prepared && r->bootstrap_id == id;
     if (ready != others.size()) co_return;
     bool const opened = co_await change([](VoterRecord& r) {
-      r.phase = Phase::voting;
+      r.phase = BootstrapPhase::voting;
       return true;
     });
     if (!opened) co_return;
@@ -386,7 +386,7 @@
       std::map<std::uint64_t, std::size_t> named;
       std::pair<std::uint64_t, std::size_t> best_count{0, 0};
       for (auto const& [i, r] : replies) {
-        if (!r || r->phase != Phase::voting) continue;
+        if (!r || r->phase != BootstrapPhase::voting) continue;
         std::size_t const n = ++named[r->bootstrap_id];
         if (n > best_count.second) best_count = {r->bootstrap_id, n};
       }
--- a/source/coordination/backend_handler.hpp
+++ b/source/coordination/backend_handler.hpp
@@ -98,7 +98,7 @@
     if (!choice.in_own_zone && !choice.by_home && !broken_on_purpose("old_catalogue"))
       co_return not_run("catalogue", settings_.id, "this node's catalogue places the slice in another zone");
     auto const it = n_.local_backends.find(key);
-    if (it == n_.local_backends.end() || !n_.usable(it->second, now))
+    if (it == n_.local_backends.end() || !n_.is_local_backend_usable(it->second, now))
       co_return not_run("backend", settings_.id, "the backend is gone, leaving or silent");
     if (it->second.last_heartbeat < resumed_at_ + resume_settling_time && !broken_on_purpose("trusts_thawed"))
       co_return not_run("backend", settings_.id, "no heartbeat from the backend since this node was suspended");
@@ -254,7 +254,7 @@
         Service const& service = rules->layout.services[s];
         for (std::uint32_t slice = 0; slice < service.slices; ++slice) {
           if (!n_.choose(*rules, s, slice).in_own_zone) continue;
-          BackendRecord const* const owner = n_.owner_of(service.name, slice, now);
+          BackendRecord const* const owner = n_.slice_owner(service.name, slice, now);
           if (owner != nullptr && owner->node == settings_.id)
             wanted[Slice{service.name, service.mapping(), slice}] = owner->instance;
         }
--- a/source/coordination/call_handler.hpp
+++ b/source/coordination/call_handler.hpp
@@ -10,7 +10,7 @@
 
 namespace banktide {
 
-struct Target {
+struct CallTarget {
   Address node;
   std::string instance;  // empty: a gateway
   std::string zone;
@@ -93,16 +93,16 @@
     co_return reply;
   }
 
-  std::optional<Target> pick_target(std::string const& service, bool const keyed, std::uint32_t const slice,
-                                    ZoneChoice const& choice, std::set<std::string> const& tried,
-                                    bool const may_cross) {
+  std::optional<CallTarget> pick_target(std::string const& service, bool const keyed, std::uint32_t const slice,
+                                        ZoneChoice const& choice, std::set<std::string> const& tried,
+                                        bool const may_cross) {
     Instant const now = env_.now();
-    std::vector<Target> targets, ejected;
+    std::vector<CallTarget> targets, ejected;
     std::vector<Candidate> candidates;
     if (choice.in_own_zone && keyed) {
-      BackendRecord const* const owner = n_.owner_of(service, slice, now);
+      BackendRecord const* const owner = n_.slice_owner(service, slice, now);
       if (owner == nullptr) return std::nullopt;
-      Target t = to_backend(*owner);
+      CallTarget t = to_backend(*owner);
       if (tried.contains(t.history_key)) return std::nullopt;
       return t;
     }
@@ -110,8 +110,8 @@
       for (auto it = n_.view.backends.lower_bound({service, ""});
            it != n_.view.backends.end() && it->first.first == service; ++it) {
         BackendRecord const& b = it->second;
-        if (!n_.fit(b, now)) continue;
-        Target t = to_backend(b);
+        if (!n_.is_backend_usable(b, now)) continue;
+        CallTarget t = to_backend(b);
         if (tried.contains(t.history_key)) continue;
         if (histories_.ejected(t.history_key, now) || histories_.ejected("n:" + t.node, now)) {
           ejected.push_back(std::move(t));
@@ -132,7 +132,7 @@
           continue;
         if (tried.contains("c:" + name) || histories_.ejected("c:" + name + "/" + service, now)) continue;
         for (Member const& g : zone.gateways) {
-          Target t{g.address, "", name, "g:" + g.address};
+          CallTarget t{g.address, "", name, "g:" + g.address};
           if (tried.contains(t.history_key)) continue;
           if (histories_.ejected(t.history_key, now) || histories_.ejected("n:" + g.address, now)) {
             ejected.push_back(std::move(t));
@@ -150,7 +150,7 @@
     return std::nullopt;
   }
 
-  Task<ForwardCallReply> forward_to(Target const& t, ForwardCall const& c, Instant const deadline) {
+  Task<ForwardCallReply> forward_to(CallTarget const& t, ForwardCall const& c, Instant const deadline) {
     ++histories_.at(t.history_key, env_.now()).in_flight;
     ForwardCallReply r;
     if (t.node == settings_.address && !t.instance.empty()) {
@@ -229,7 +229,7 @@
     bool may_have_run = false;
     for (int n = 0; n < 4; ++n) {
       state_machine.step(CallState::picking);
-      std::optional<Target> const t =
+      std::optional<CallTarget> const t =
           pick_target(forwarded.service, forwarded.keyed, forwarded.slice, choice, tried, true);
       std::int64_t const left = as_ms(deadline - env_.now());
       if (!t || left <= 0) {
@@ -286,9 +286,9 @@
     if (histories_.record_failure(history_key, env_.now(), at_once)) log_info("ejected", {{"target", history_key}});
   }
 
-  Target to_backend(BackendRecord const& b) const {
-    return Target{b.node == settings_.id ? settings_.address : n_.view.members.at(b.node).address, b.instance,
-                  settings_.zone, "b:" + b.service + "/" + b.instance};
+  CallTarget to_backend(BackendRecord const& b) const {
+    return CallTarget{b.node == settings_.id ? settings_.address : n_.view.members.at(b.node).address, b.instance,
+                      settings_.zone, "b:" + b.service + "/" + b.instance};
   }
 
   NodeState<Env>& n_;
--- a/source/coordination/forwarded_call_handler.hpp
+++ b/source/coordination/forwarded_call_handler.hpp
@@ -25,7 +25,7 @@
  private:
   // Once the nodes had time to learn that this node is leaving, calls that are still forwarded here are refused as
   // not run, so that the node drains.
-  bool refusing() const { return n_.leaving && env_.now() - n_.left_at > 2s; }
+  bool refusing() const { return n_.leaving && env_.now() - n_.leaving_since > 2s; }
 
   std::int64_t clock_us() const {
     return std::chrono::duration_cast<std::chrono::microseconds>(env_.now().time_since_epoch()).count();
@@ -78,7 +78,7 @@
     ZoneChoice const choice = n_.choose(*rules, s, c.slice);
     if (!choice.in_own_zone)
       co_return not_run("gateway", settings_.id, "this node's catalogue places the slice in another zone");
-    std::optional<Target> const t = call_handler_.pick_target(c.service, c.keyed, c.slice, choice, {}, false);
+    std::optional<CallTarget> const t = call_handler_.pick_target(c.service, c.keyed, c.slice, choice, {}, false);
     if (!t) co_return not_run("pick", settings_.zone, "no usable backend");
     c.instance = t->instance;
     Instant const deadline = env_.now() + std::chrono::milliseconds(c.budget_ms);
--- a/source/coordination/membership.hpp
+++ b/source/coordination/membership.hpp
@@ -33,7 +33,7 @@
         settings_(std::move(settings)),
         client_(env, StoreSeeds{settings_.seeds}),
         change_(env, client_) {
-    if (acceptor_.phase() == Phase::voting) client_.adopt_if_newer(acceptor_.set());
+    if (acceptor_.phase() == BootstrapPhase::voting) client_.adopt_if_newer(acceptor_.set());
   }
 
   void attach(Dispatcher& dispatcher) {
@@ -102,7 +102,7 @@
     }
     bool const discovered = co_await discover_newest_set();
     if (!discovered) {
-      if (acceptor_.phase() != Phase::voting && !acceptor_.set().voters.empty())
+      if (acceptor_.phase() != BootstrapPhase::voting && !acceptor_.set().voters.empty())
         co_await acceptor_.bootstrap_or_rejoin();
       co_return;
     }
@@ -110,7 +110,7 @@
     VoterEntry const* const own_entry = find_entry(newest, acceptor_.own_address());
     if (own_entry == nullptr) {
       co_await request_addition(newest);
-    } else if (acceptor_.phase() == Phase::voting ||
+    } else if (acceptor_.phase() == BootstrapPhase::voting ||
                (own_entry->disk != 0 && own_entry->disk == acceptor_.disk_id() && newest.epoch > 0)) {
       co_await change_.finish(newest);
     } else if (newest.epoch == 0 && acceptor_.set() == newest) {
@@ -124,7 +124,7 @@
   // Only a set reported by a voter counts; the set on this store's own disk is of no
   // use while nobody votes. An outdated set is corrected by the voters contacted next.
   Task<bool> discover_newest_set() {
-    if (acceptor_.phase() == Phase::voting) client_.adopt_if_newer(acceptor_.set());
+    if (acceptor_.phase() == BootstrapPhase::voting) client_.adopt_if_newer(acceptor_.set());
     if (!acceptor_.last_requester().empty()) client_.add_contacts({acceptor_.last_requester()});
     co_return co_await client_.discover(env_.now() + probe_timeout, true);
   }
@@ -132,7 +132,7 @@
   Task<void> request_addition(VoterSet const set) {
     std::vector<Address> const active = co_await active_voters(set);
     if (active.size() < quorum_size(set)) co_return;
-    if (acceptor_.phase() == Phase::voting) {
+    if (acceptor_.phase() == BootstrapPhase::voting) {
       // The slots on this disk were needed until the set without this store is active.
       bool const empty = co_await acceptor_.reset_record();
       if (!empty) co_return;
@@ -218,7 +218,7 @@
 
   VoterSetReply current_set_reply() const {
     VoterSetReply reply;
-    if (acceptor_.phase() == Phase::voting) reply.set = acceptor_.set();
+    if (acceptor_.phase() == BootstrapPhase::voting) reply.set = acceptor_.set();
     return reply;
   }
 
--- a/source/coordination/node_state.hpp
+++ b/source/coordination/node_state.hpp
@@ -53,11 +53,11 @@
   bool ready() const { return has_confirmed_values && has_view && !leaving; }
 
   // The zones that have a backend of the service, by this view.
-  std::set<std::string> offering(std::string const& service, Instant const now) const {
+  std::set<std::string> zones_offering(std::string const& service, Instant const now) const {
     std::set<std::string> zones;
     for (auto it = view.backends.lower_bound({service, ""});
          it != view.backends.end() && it->first.first == service && zones.empty(); ++it)
-      if (fit(it->second, now)) zones.insert(settings.zone);
+      if (is_backend_usable(it->second, now)) zones.insert(settings.zone);
     for (auto const& [name, c] : view.zones)
       if (name != settings.zone && !c.gateways.empty() &&
           std::find(c.offers.begin(), c.offers.end(), service) != c.offers.end())
@@ -67,33 +67,33 @@
 
   ZoneChoice choose(Rules const& rules, Index const service, std::uint32_t const slice) const {
     return choose_zones(rules.layout, rules.catalogue, settings.zone, service, slice,
-                        [&] { return offering(rules.layout.services[service].name, env.now()); });
+                        [&] { return zones_offering(rules.layout.services[service].name, env.now()); });
   }
 
-  bool fit(BackendRecord const& b, Instant const now) const {
+  bool is_backend_usable(BackendRecord const& b, Instant const now) const {
     if (broken_on_purpose("drain_unheard")) return view.is_usable_node(b.node);
     if (b.liveness != Liveness::alive || !view.is_usable_node(b.node)) return false;
     auto const d = drained_until.find({b.service, b.instance});
     if (d != drained_until.end() && now < d->second) return false;
     if (b.node == settings.id) {
       auto const l = local_backends.find({b.service, b.instance});
-      return l != local_backends.end() && usable(l->second, now);
+      return l != local_backends.end() && is_local_backend_usable(l->second, now);
     }
     return true;
   }
 
-  bool usable(LocalBackendState const& l, Instant const now) const {
+  bool is_local_backend_usable(LocalBackendState const& l, Instant const now) const {
     return (l.record.liveness == Liveness::alive || broken_on_purpose("drain_unheard")) && !l.refused &&
            now - l.last_heartbeat <= settings.heartbeat_expiry;
   }
 
   // The one backend of the zone that should hold the slice, by this view (rendezvous hashing).
-  BackendRecord const* owner_of(std::string const& service, std::uint32_t const slice, Instant const now) const {
+  BackendRecord const* slice_owner(std::string const& service, std::uint32_t const slice, Instant const now) const {
     BackendRecord const* best = nullptr;
     std::uint64_t top = 0;
     for (auto it = view.backends.lower_bound({service, ""}); it != view.backends.end() && it->first.first == service;
          ++it) {
-      if (!fit(it->second, now)) continue;
+      if (!is_backend_usable(it->second, now)) continue;
       std::uint64_t const score = digest_of(it->second.instance + "/" + std::to_string(slice));
       if (best == nullptr || score > top) {
         best = &it->second;
@@ -127,7 +127,7 @@
   std::vector<RegistryEntry> directory;
   std::uint32_t registry_count = 0;
   RecentErrors recent_errors;
-  Instant left_at{};
+  Instant leaving_since{};
   bool has_confirmed_values = false, has_view = false, leaving = false;
 };
 
--- a/source/coordination/slice_leases.hpp
+++ b/source/coordination/slice_leases.hpp
@@ -40,7 +40,7 @@
   }
 
   // Ends a call. `until` is when it is certainly over: its deadline if the outcome is unknown.
-  void done(Slice const& s, Instant const until) {
+  void finish_call(Slice const& s, Instant const until) {
     auto const it = held_.find(s);
     if (it == held_.end()) return;
     if (it->second.in_flight > 0) --it->second.in_flight;
@@ -49,8 +49,8 @@
 
   // One round: claims the slices that this node should serve, renews its leases, and releases the slices that it
   // should no longer serve and that have no calls in flight.
-  Task<void> round(std::string const holder, std::map<Slice, std::string> const wanted,
-                   std::vector<Address> const registries, std::size_t const majority) {
+  Task<void> run_round(std::string const holder, std::map<Slice, std::string> const wanted,
+                       std::vector<Address> const registries, std::size_t const majority) {
     Instant const start = env_.now();
     LeaseRequest q;
     q.holder = holder;
--- a/source/coordination/transit_delay.hpp
+++ b/source/coordination/transit_delay.hpp
@@ -19,13 +19,13 @@
   // The delay of a message; none if the sender's clock isn't known.
   std::optional<Duration> delay_of(std::string const& sender, std::int64_t const sent_us, Instant const now) {
     auto const it = offsets_.find(sender);
-    if (it == offsets_.end() || now - it->second.last > sender_timeout) return std::nullopt;
-    ClockOffset& l = it->second;
+    if (it == offsets_.end() || now - it->second.last_message > sender_timeout) return std::nullopt;
+    ClockOffset& known = it->second;
     std::int64_t const offset = microseconds_of(now) - sent_us;
-    if (now - l.from > window) l = ClockOffset{now, now, offset, l.smallest};
-    l.last = now;
-    l.smallest = std::min(l.smallest, offset);
-    return std::chrono::microseconds(offset - std::min(l.smallest, l.previous_smallest));
+    if (now - known.window_start > window) known = ClockOffset{now, now, offset, known.smallest};
+    known.last_message = now;
+    known.smallest = std::min(known.smallest, offset);
+    return std::chrono::microseconds(offset - std::min(known.smallest, known.previous_smallest));
   }
 
   // The same for a message that arrived at `came`, when its sender's clock wasn't known. The sender was asked for its
@@ -34,7 +34,7 @@
   Duration learn_clock(std::string const& sender, std::int64_t const clock_us, Instant const asked, Instant const now,
                        std::int64_t const sent_us, Instant const came) {
     if (offsets_.size() > 1024)
-      std::erase_if(offsets_, [&](auto const& s) { return now - s.second.last > sender_timeout; });
+      std::erase_if(offsets_, [&](auto const& s) { return now - s.second.last_message > sender_timeout; });
     std::int64_t const offset = microseconds_of(asked) - clock_us;
     if (now - asked < quick_answer) offsets_[sender] = ClockOffset{now, now, offset, offset};
     return std::chrono::microseconds(std::max<std::int64_t>(0, microseconds_of(came) - sent_us - offset));
@@ -45,7 +45,7 @@
     return std::chrono::duration_cast<std::chrono::microseconds>(t.time_since_epoch()).count();
   }
   struct ClockOffset {
-    Instant from{}, last{};
+    Instant window_start{}, last_message{};
     std::int64_t smallest = 0, previous_smallest = 0;
   };
   std::map<std::string, ClockOffset> offsets_;
--- a/source/protocol/register_messages.hpp
+++ b/source/protocol/register_messages.hpp
@@ -158,16 +158,16 @@
 
 // ---- bootstrap and rejoining
 
-enum class Phase : std::uint8_t { blank = 0, prepared = 1, voting = 2 };
+enum class BootstrapPhase : std::uint8_t { blank = 0, prepared = 1, voting = 2 };
 struct BootstrapReply {
-  Phase phase = Phase::blank;
+  BootstrapPhase phase = BootstrapPhase::blank;
   std::uint64_t bootstrap_id = 0;
   BANKTIDE_FIELDS(phase, bootstrap_id)
 };
 struct Bootstrap {
   static constexpr std::uint8_t kind = 4;
   using Reply = BootstrapReply;
-  Phase want = Phase::blank;  // blank: only query
+  BootstrapPhase want = BootstrapPhase::blank;  // blank: only query
   std::uint64_t bootstrap_id = 0;
   BANKTIDE_FIELDS(want, bootstrap_id)
 };
--- a/source/simulation/sim_faults.hpp
+++ b/source/simulation/sim_faults.hpp
@@ -139,8 +139,9 @@
 
   // The next disk may only be lost once every voter is voting again.
   bool disk_loss_allowed() const {
-    return std::all_of(voters_.begin(), voters_.end(),
-                       [](Voter const& v) { return v.process->alive && v.acceptor->phase() == Phase::voting; });
+    return std::all_of(voters_.begin(), voters_.end(), [](Voter const& v) {
+      return v.process->alive && v.acceptor->phase() == BootstrapPhase::voting;
+    });
   }
 
   struct PendingPowerLoss {
--- a/source/simulation/sim_machines.hpp
+++ b/source/simulation/sim_machines.hpp
@@ -381,7 +381,7 @@
     if (!c.process->alive || c.process->frozen) return false;
     std::size_t n = 0;
     for (Voter const& v : voters_)
-      n += v.process->alive && v.acceptor->phase() == Phase::voting && v.disk.stalled_until <= sim_.now &&
+      n += v.process->alive && v.acceptor->phase() == BootstrapPhase::voting && v.disk.stalled_until <= sim_.now &&
            connected_both_ways(c.machine, v.machine);
     return n >= voters_.size() / 2 + 1;
   }
--- a/source/simulation/sim_main.cpp
+++ b/source/simulation/sim_main.cpp
@@ -102,7 +102,7 @@
     for (std::string const& kind : s.list("only")) scenario.only.insert(kind);
     return scenario;
   };
-  std::uint64_t failed_seeds = 0, extra_tries = 0, calls = 0;
+  std::uint64_t failed_seeds = 0, extra_attempts = 0, calls = 0;
   std::map<std::string, std::uint64_t> outcomes, fault_counts;
   std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> after_fault;
   auto const add_result = [&](Json const& j) {
@@ -116,7 +116,7 @@
     for (auto const& [kind, n] : j["mishaps"].items()) fault_counts[kind] += n.get<std::uint64_t>();
     for (auto const& [kind, n] : j["after"].items())
       after_fault[kind].first += n[0].get<std::uint64_t>(), after_fault[kind].second += n[1].get<std::uint64_t>();
-    extra_tries += j["extras"].get<std::uint64_t>();
+    extra_attempts += j["extras"].get<std::uint64_t>();
     std::cout.flush();
   };
   std::deque<std::pair<std::uint64_t, Job>> running;
@@ -132,7 +132,7 @@
     running.emplace_back(i, begin(scenario_of(i)));
   }
   for (auto& [i, job] : running) add_result(finish(job, s.number("seed") + i));
-  std::cout << seeds << " seeds, " << failed_seeds << " broken; " << calls << " calls, " << extra_tries
+  std::cout << seeds << " seeds, " << failed_seeds << " broken; " << calls << " calls, " << extra_attempts
             << " extra tries;";
   for (auto const& [what, n] : outcomes) std::cout << " " << what << "=" << n;
   std::cout << "\nmishaps, and the share answered of calls in the 3 s after:";
--- a/source/state/sqlite_disk.hpp
+++ b/source/state/sqlite_disk.hpp
@@ -13,7 +13,7 @@
 
 /// A voter's record in format 2, before the register `maintenance` was added.
 struct VoterRecordFormat2 {
-  Phase phase = Phase::blank;
+  BootstrapPhase phase = BootstrapPhase::blank;
   std::uint64_t bootstrap_id = 0;
   std::array<RegisterSlot, 4> slots;
   VoterSet set;
--- a/source/transport/log.hpp
+++ b/source/transport/log.hpp
@@ -14,7 +14,7 @@
 
 namespace banktide {
 
-using Pair = std::pair<std::string_view, std::string>;
+using LogField = std::pair<std::string_view, std::string>;
 
 inline std::string log_value(std::string_view const raw) {
   bool plain = !raw.empty();
@@ -34,9 +34,9 @@
   return out + "\"";
 }
 
-inline std::string log_line(std::string_view const event, std::initializer_list<Pair> const pairs) {
+inline std::string log_line(std::string_view const event, std::initializer_list<LogField> const fields) {
   std::string line = "event=" + log_value(event);
-  for (Pair const& p : pairs) line += " " + std::string(p.first) + "=" + log_value(p.second);
+  for (LogField const& p : fields) line += " " + std::string(p.first) + "=" + log_value(p.second);
   return line;
 }
 
@@ -45,11 +45,11 @@
   return root;
 }
 
-inline void log_info(std::string_view const event, std::initializer_list<Pair> const pairs) {
-  LOG4CPLUS_INFO(logger(), log_line(event, pairs));
+inline void log_info(std::string_view const event, std::initializer_list<LogField> const fields) {
+  LOG4CPLUS_INFO(logger(), log_line(event, fields));
 }
-inline void log_warn(std::string_view const event, std::initializer_list<Pair> const pairs) {
-  LOG4CPLUS_WARN(logger(), log_line(event, pairs));
+inline void log_warn(std::string_view const event, std::initializer_list<LogField> const fields) {
+  LOG4CPLUS_WARN(logger(), log_line(event, fields));
 }
 
 inline void start_logging(std::string const& level, std::string const& program, std::string const& id) {
--- a/tests/coordination/voter_set_test.cpp
+++ b/tests/coordination/voter_set_test.cpp
@@ -42,7 +42,7 @@
   SingleVoters() : trial(1, 3, 1), client(*trial.clients[0]) {
     before = initial_set({"store-0:1", "a:1", "b:1"}, 1);
     after = with_voter_added(before, VoterEntry{"store-1:1", 77});
-    trial.disks[0].durable.phase = Phase::voting;
+    trial.disks[0].durable.phase = BootstrapPhase::voting;
     trial.disks[0].durable.bootstrap_id = 9;
     trial.disks[0].durable.set = before;
     trial.disks[0].durable.disk = 5;
@@ -154,7 +154,7 @@
   StoreTrial t(8, 3, 1);
   VoterSet const before = initial_set({"store-0:1", "store-1:1"}, 0);
   for (std::size_t i = 0; i < 3; ++i) {
-    t.disks[i].durable.phase = Phase::voting;
+    t.disks[i].durable.phase = BootstrapPhase::voting;
     t.disks[i].durable.bootstrap_id = 9;
     t.disks[i].durable.disk = i + 1;
     t.disks[i].durable.set = with_voter_added(before, VoterEntry{"store-2:1", 3});
--- a/tests/protocol/wire_format_test.cpp
+++ b/tests/protocol/wire_format_test.cpp
@@ -114,8 +114,8 @@
       "0104e40b540200000005e40b540200000006e40b540200000007e40b540200000008e40b5402000000000be40b54020000007c110100010000000300000073313510e40b54020000000100000003000000733138");
   expect_bytes(ReadRevisions{.epoch = 10000000002u}, "02e40b5402000000");
   EXPECT_EQ(ReadRevisions::kind, 20);
-  expect_bytes(BootstrapReply{.phase = Phase::prepared, .bootstrap_id = 10000000003u}, "0103e40b5402000000");
-  expect_bytes(Bootstrap{.want = Phase::prepared, .bootstrap_id = 10000000003u}, "0103e40b5402000000");
+  expect_bytes(BootstrapReply{.phase = BootstrapPhase::prepared, .bootstrap_id = 10000000003u}, "0103e40b5402000000");
+  expect_bytes(Bootstrap{.want = BootstrapPhase::prepared, .bootstrap_id = 10000000003u}, "0103e40b5402000000");
   EXPECT_EQ(Bootstrap::kind, 4);
   expect_bytes(VotersReply{.member = true,
                            .active = true,
@@ -813,7 +813,7 @@
 TEST(WireFormat, StoredRecords) {
   expect_bytes(
       VoterRecord{
-          .phase = Phase::prepared,
+          .phase = BootstrapPhase::prepared,
           .bootstrap_id = 10000000003u,
           .slots = {{RegisterSlot{
                          .promised = Ballot{.epoch = 10000000007u, .round = 10000000008u, .coordinator = 10000000009u},
@@ -871,7 +871,7 @@
                "020000007332020000007333020000007334020000007335");
   expect_bytes(
       VoterRecordFormat2{
-          .phase = Phase::prepared,
+          .phase = BootstrapPhase::prepared,
           .bootstrap_id = 10000000003u,
           .slots = {{RegisterSlot{
                          .promised = Ballot{.epoch = 10000000007u, .round = 10000000008u, .coordinator = 10000000009u},
--- a/tests/state/sqlite_disk_test.cpp
+++ b/tests/state/sqlite_disk_test.cpp
@@ -53,12 +53,12 @@
   std::filesystem::create_directories(dir);
   std::string const file = dir / "voter.db";
   VoterRecord r;
-  r.phase = Phase::voting;
+  r.phase = BootstrapPhase::voting;
   r.slots[1].held.bytes = std::string("a\0b", 3);
   asio::io_context io;
   {
     std::unique_ptr<SqliteDisk> d = std::move(*SqliteDisk::open(file));
-    EXPECT_EQ(d->load()->phase, Phase::blank);
+    EXPECT_EQ(d->load()->phase, BootstrapPhase::blank);
     bool kept = false;
     asio::co_spawn(io, d->save(r), [&](std::exception_ptr, Result<bool> ok) { kept = ok.has_value(); });
     io.run();
@@ -78,7 +78,7 @@
 
 TEST_F(SqliteDiskFile, the_voter_set_and_all_registers_survive_reopening) {
   VoterRecord record;
-  record.phase = Phase::voting;
+  record.phase = BootstrapPhase::voting;
   record.set = initial_set({"a:1", "b:1"}, 1);
   record.set.epoch = record.active_epoch = 7;
   record.disk = 99;
@@ -110,7 +110,7 @@
 // Writes a record in format 2, which has four registers, directly into the database.
 TEST_F(SqliteDiskFile, a_record_of_format_2_is_read_and_then_written_in_the_current_format) {
   VoterRecordFormat2 before;
-  before.phase = Phase::voting;
+  before.phase = BootstrapPhase::voting;
   before.bootstrap_id = 5;
   before.set = initial_set({"a:1", "b:1"}, 1);
   before.set.epoch = before.active_epoch = 7;
@@ -126,7 +126,7 @@
   std::unique_ptr<SqliteDisk> disk = std::move(*SqliteDisk::open(file));
   Result<VoterRecord> loaded = disk->load();
   ASSERT_TRUE(loaded) << loaded.error().reason;
-  EXPECT_EQ(loaded->phase, Phase::voting);
+  EXPECT_EQ(loaded->phase, BootstrapPhase::voting);
   EXPECT_EQ(loaded->bootstrap_id, 5u);
   EXPECT_EQ(loaded->set, before.set);
   EXPECT_EQ(loaded->active_epoch, 7u);
