--- a/source/coordination/acceptor.hpp
+++ b/source/coordination/acceptor.hpp
@@ -70,7 +70,7 @@
   /// The store that last requested the voter set. It may be a voter unknown to this one.
   Address const& last_requester() const { return last_requester_; }
   /// Whether a request has arrived for a newer epoch than this voter's.
-  bool behind() const { return highest_seen_epoch_ > record_.set.epoch; }
+  bool is_outdated() const { return highest_seen_epoch_ > record_.set.epoch; }
 
   // For a voter of a fixed list: returns once it votes.
   Task<void> run_until_voting() {
--- a/source/coordination/maintenance_keeper.hpp
+++ b/source/coordination/maintenance_keeper.hpp
@@ -63,9 +63,9 @@
   static constexpr Duration register_timeout = 900ms;
 
   bool write_due() const {
-    if (!view_.written().current()) return false;
+    if (!view_.plan_as_written().current()) return false;
     Duration const elapsed = env_.now() - view_.counted_at();
-    MaintenancePlan plan = view_.written();
+    MaintenancePlan plan = view_.plan_as_written();
     return plan.advance(elapsed) || elapsed >= write_interval;
   }
 
--- a/source/coordination/maintenance_view.hpp
+++ b/source/coordination/maintenance_view.hpp
@@ -30,7 +30,7 @@
   Revision revision() const { return revision_; }
   Instant counted_at() const { return counted_at_; }
   /** The plan as written, with the remaining times at `counted_at`. */
-  MaintenancePlan const& written() const { return plan_; }
+  MaintenancePlan const& plan_as_written() const { return plan_; }
   MaintenancePlan at(Instant const now) const {
     MaintenancePlan plan = plan_;
     plan.advance(now - counted_at_);
--- a/source/coordination/membership.hpp
+++ b/source/coordination/membership.hpp
@@ -44,14 +44,14 @@
   /// Runs until the store leaves.
   Task<void> run() {
     for (std::uint64_t tick = 0; !leaving_; ++tick) {
-      bool const was = acceptor_.voting();
-      if (!was)
+      bool const was_voting = acceptor_.voting();
+      if (!was_voting)
         co_await try_to_become_voter();
       else if (acceptor_.slot(Register::voters).held.revision > acceptor_.set().epoch)
         co_await change_.complete(acceptor_.set());
-      else if (acceptor_.behind() || tick % ticks_per_probe == 0)
+      else if (acceptor_.is_outdated() || tick % ticks_per_probe == 0)
         co_await maintain_voter_set();
-      if (acceptor_.voting() && !was) {
+      if (acceptor_.voting() && !was_voting) {
         log_info("voting", {{"epoch", std::to_string(acceptor_.set().epoch)},
                             {"voters", std::to_string(acceptor_.set().voters.size())}});
       }
@@ -97,8 +97,8 @@
     if (acceptor_.disk_id() == 0) {
       std::vector<Address> seeds = settings_.initial_start ? settings_.seeds : std::vector<Address>{};
       std::sort(seeds.begin(), seeds.end());
-      bool const begun = co_await acceptor_.initialize(initial_set(seeds, settings_.losses));
-      if (!begun) co_return;
+      bool const initialized = co_await acceptor_.initialize(initial_set(seeds, settings_.losses));
+      if (!initialized) co_return;
     }
     bool const discovered = co_await discover_newest_set();
     if (!discovered) {
@@ -202,7 +202,7 @@
     if (!last_probe_finished_ || env_.now() - *last_probe_finished_ > probe_validity) return std::nullopt;
     std::optional<Address> const silent = monitor_.least_responsive();
     if (!silent) return with_voter_added(now, newcomer);
-    if (monitor_.missed(*silent) < missed_probes_before_replacement) return std::nullopt;
+    if (monitor_.missed_probes(*silent) < missed_probes_before_replacement) return std::nullopt;
     return with_voter_replaced(now, *silent, newcomer);
   }
 
@@ -238,7 +238,7 @@
     }
     std::uint64_t const max_missed = static_cast<std::uint64_t>(settings_.remove_after / probe_interval);
     std::optional<Address> const silent = monitor_.least_responsive();
-    if (!silent || monitor_.missed(*silent) < max_missed || !can_remove_voter(now)) co_return;
+    if (!silent || monitor_.missed_probes(*silent) < max_missed || !can_remove_voter(now)) co_return;
     RemoveVoter removal;
     removal.address = *silent;
     VoterSetReply const reply = co_await remove(removal);
--- a/source/coordination/voter_monitor.hpp
+++ b/source/coordination/voter_monitor.hpp
@@ -38,7 +38,7 @@
   void record_probe(std::vector<std::string> const& peers, std::vector<bool> const& answered);
 
   /// How many of the latest probes in a row this peer has not answered.
-  std::uint64_t missed(std::string const& peer) const;
+  std::uint64_t missed_probes(std::string const& peer) const;
 
   /// The peer with the most missed probes, if any peer has missed one.
   std::optional<std::string> least_responsive() const;
--- a/source/programs/mesh_node.hpp
+++ b/source/programs/mesh_node.hpp
@@ -472,7 +472,7 @@
     while (true) {
       co_await sleep_for(env_, tick_period);
       local_.tick();
-      if (maintenance_.written().current()) update_zone_shares();
+      if (maintenance_.plan_as_written().current()) update_zone_shares();
       if (env_.now() - counts_logged_at_ > count_log_period) log_counts();
       EndpointLoad const load = local_.load();
       double const share = load.slots == 0 ? 0 : static_cast<double>(load.running + load.waiting) / load.slots;
