--- a/source/coordination/backend_handler.hpp
+++ b/source/coordination/backend_handler.hpp
@@ -127,7 +127,7 @@
     }
     Result<HttpReply> reply = co_await edge_.run(port, std::move(q), deadline);
     bool const unknown = !reply && reply.error().proof == Proof::unknown;
-    if (c.keyed) leases_.done(slice, unknown ? deadline : env_.now());
+    if (c.keyed) leases_.finish_call(slice, unknown ? deadline : env_.now());
     auto const after = n_.local_backends.find(key);
     if (after != n_.local_backends.end()) {
       if (after->second.in_flight > 0) --after->second.in_flight;
@@ -262,7 +262,7 @@
       std::vector<Address> registries;
       for (RegistryEntry const& e : n_.directory) registries.push_back(e.address);
       if (n_.registry_count == 0) continue;
-      co_await leases_.round(n_.lease_holder_id, wanted, registries, n_.registry_count / 2 + 1);
+      co_await leases_.run_round(n_.lease_holder_id, wanted, registries, n_.registry_count / 2 + 1);
     }
   }
 
--- a/source/programs/proxy.hpp
+++ b/source/programs/proxy.hpp
@@ -36,7 +36,7 @@
   }
   void leave() {
     node_.leaving = true;
-    node_.left_at = node_.env.now();
+    node_.leaving_since = node_.env.now();
     node_.rejoin();
   }
   // Applies the settings that may change at run time.
