--- a/source/programs/backend_main.cpp
+++ b/source/programs/backend_main.cpp
@@ -22,27 +22,29 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  Settings s("banktide-backend");
-  s.text("service", "", "the service that it stands for");
-  s.text("instance", "", "its own name, new for each start");
-  s.text("address", "", "ip:port to listen at");
-  s.text("node", "", "ip:port of the node's local door");
-  s.text("record", "", "file for the record of runs");
-  s.number("work-ms", 5, 0, 60000, "how long a run takes");
-  s.number("beat-ms", 500, 10, 60000, "time between beats");
-  s.require_name("service");
-  s.require_name("instance");
-  s.require_address("address");
-  s.require_address("node");
-  if (std::optional<int> const code = s.read(argc, argv)) return *code;
-  start_logging(s.text("log-level"), "banktide-backend", s.text("instance"));
-  int const record =
-      s.text("record").empty() ? -1 : ::open(s.text("record").c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
+  Settings settings("banktide-backend");
+  settings.text("service", "", "the service that it stands for");
+  settings.text("instance", "", "its own name, new for each start");
+  settings.text("address", "", "ip:port to listen at");
+  settings.text("node", "", "ip:port of the node's local door");
+  settings.text("record", "", "file for the record of runs");
+  settings.number("work-ms", 5, 0, 60000, "how long a run takes");
+  settings.number("beat-ms", 500, 10, 60000, "time between beats");
+  settings.require_name("service");
+  settings.require_name("instance");
+  settings.require_address("address");
+  settings.require_address("node");
+  if (std::optional<int> const code = settings.read(argc, argv)) return *code;
+  start_logging(settings.text("log-level"), "banktide-backend", settings.text("instance"));
+  int const record = settings.text("record").empty()
+                         ? -1
+                         : ::open(settings.text("record").c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
   Process process;
   SocketEnvironment env;
-  std::string const service = s.text("service"), instance = s.text("instance"), node = s.text("node");
-  Duration const work = std::chrono::milliseconds(s.number("work-ms")),
-                 every = std::chrono::milliseconds(s.number("beat-ms"));
+  std::string const service = settings.text("service"), instance = settings.text("instance"),
+                    node = settings.text("node");
+  Duration const work = std::chrono::milliseconds(settings.number("work-ms")),
+                 every = std::chrono::milliseconds(settings.number("beat-ms"));
   std::uint32_t running = 0;
   bool leaving = false;
   Instant leave_reported_at{};
@@ -52,7 +54,7 @@
                              "\n";
     if (record >= 0 && ::write(record, line.data(), line.size()) < 0) log_warn("record_failed", {});
   };
-  HttpListener listener(env.io(), s.text("address"), [&](HttpRequest q) -> Task<HttpReply> {
+  HttpListener listener(env.io(), settings.text("address"), [&](HttpRequest q) -> Task<HttpReply> {
     HttpReply reply;
     reply.headers = {{"Content-Type", "application/json"}};
     if (header(q, "banktide-service") != service || header(q, "banktide-instance") != instance) {
@@ -77,7 +79,7 @@
     log_warn("start_failed", {{"step", open.error().step}, {"reason", open.error().reason}});
     return 1;
   }
-  std::uint16_t const port = static_cast<std::uint16_t>(parse_address(s.text("address"))->port());
+  std::uint16_t const port = static_cast<std::uint16_t>(parse_address(settings.text("address"))->port());
   HttpClient<SocketEnvironment> caller(env);
   auto const heartbeat_loop = [&]() -> Task<void> {
     while (true) {
@@ -100,7 +102,7 @@
     spawn(env, heartbeat_loop());
     return true;
   });
-  log_info("started", {{"address", s.text("address")}});
+  log_info("started", {{"address", settings.text("address")}});
   process.run_until_shutdown(
       [&] { leaving = true; },
       [&] { return leave_reported_at != Instant{} && env.now() - leave_reported_at > 2s && running == 0; }, [] {}, 6s);
--- a/source/programs/caller_main.cpp
+++ b/source/programs/caller_main.cpp
@@ -17,17 +17,17 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  Settings s("banktide-caller");
-  s.list("node", "ip:port of a node's caller door; repeat");
-  s.list("mix", "name:METHOD:path:calls a second:keys (0: not keyed); repeat");
-  s.text("record", "", "file for the record of answers");
-  s.number("seconds", 10, 1, 86400, "how long to call");
-  s.number("seed", 1, 0, UINT64_MAX, "seed of keys and nodes");
-  s.require_addresses("node", 1);
-  if (std::optional<int> const code = s.read(argc, argv)) return *code;
-  start_logging(s.text("log-level"), "banktide-caller", "caller");
+  Settings settings("banktide-caller");
+  settings.list("node", "ip:port of a node's caller door; repeat");
+  settings.list("mix", "name:METHOD:path:calls a second:keys (0: not keyed); repeat");
+  settings.text("record", "", "file for the record of answers");
+  settings.number("seconds", 10, 1, 86400, "how long to call");
+  settings.number("seed", 1, 0, UINT64_MAX, "seed of keys and nodes");
+  settings.require_addresses("node", 1);
+  if (std::optional<int> const code = settings.read(argc, argv)) return *code;
+  start_logging(settings.text("log-level"), "banktide-caller", "caller");
   std::vector<MixEntry> mix;
-  for (std::string const& m : s.list("mix")) {
+  for (std::string const& m : settings.list("mix")) {
     std::vector<std::string> parts;
     std::stringstream in(m);
     for (std::string p; std::getline(in, p, ':');) parts.push_back(p);
@@ -39,13 +39,13 @@
   }
   Process process;
   SocketEnvironment env;
-  std::ofstream record(s.text("record"), std::ios::app);
-  std::vector<std::string> const nodes = s.list("node");
-  std::mt19937_64 chance(s.number("seed"));
+  std::ofstream record(settings.text("record"), std::ios::app);
+  std::vector<std::string> const nodes = settings.list("node");
+  std::mt19937_64 chance(settings.number("seed"));
   HttpClient<SocketEnvironment> caller(env);
   std::uint64_t last = 0, in_flight = 0;
   bool ended = false;
-  Instant const start = env.now(), end = start + std::chrono::seconds(s.number("seconds"));
+  Instant const start = env.now(), end = start + std::chrono::seconds(settings.number("seconds"));
   auto const send_call = [&](MixEntry const line, std::string const id, std::string const node,
                              std::string const key) -> Task<void> {
     ++in_flight;
@@ -89,7 +89,7 @@
     for (Instant next = start + std::chrono::nanoseconds(chance() % static_cast<std::uint64_t>(gap.count()));
          next < end; next += gap) {
       co_await alarm.wait(next);
-      std::string const id = l.name + "-" + std::to_string(s.number("seed")) + "-" + std::to_string(++last);
+      std::string const id = l.name + "-" + std::to_string(settings.number("seed")) + "-" + std::to_string(++last);
       std::string const key = l.keys > 0 ? "k" + std::to_string(chance() % l.keys) : "";
       spawn(env, send_call(l, id, nodes[chance() % nodes.size()], key));
     }
--- a/source/programs/mesh_node.hpp
+++ b/source/programs/mesh_node.hpp
@@ -136,11 +136,11 @@
   bool in_contact() const { return follower_.since_contact() < isolated_after; }
 
   LocalBackendSettings local_settings() const {
-    LocalBackendSettings l;
-    l.node = settings_.follower.id;
-    l.drain_end = settings_.bounds.drain_limit * 3 / 4;
-    l.drain_grace = settings_.bounds.drain_limit * 35 / 100;
-    return l;
+    LocalBackendSettings backend_settings;
+    backend_settings.node = settings_.follower.id;
+    backend_settings.drain_end = settings_.bounds.drain_limit * 3 / 4;
+    backend_settings.drain_grace = settings_.bounds.drain_limit * 35 / 100;
+    return backend_settings;
   }
 
   typename LocalBackend<Env>::Events local_events() {
@@ -168,13 +168,13 @@
   }
 
   RequestPathSettings path_settings() const {
-    RequestPathSettings p;
-    p.own_address = settings_.follower.address;
-    p.zone = settings_.follower.zone;
-    p.calling_service = settings_.service;
-    p.revocation_limit = settings_.bounds.revocation_limit;
-    p.retry_percent = static_cast<std::uint64_t>(settings_.bounds.retry_ratio * 50);
-    return p;
+    RequestPathSettings request_path_settings;
+    request_path_settings.own_address = settings_.follower.address;
+    request_path_settings.zone = settings_.follower.zone;
+    request_path_settings.calling_service = settings_.service;
+    request_path_settings.revocation_limit = settings_.bounds.revocation_limit;
+    request_path_settings.retry_percent = static_cast<std::uint64_t>(settings_.bounds.retry_ratio * 50);
+    return request_path_settings;
   }
 
   FollowerEvents follower_events() {
--- a/source/programs/mesh_proxy.cpp
+++ b/source/programs/mesh_proxy.cpp
@@ -9,34 +9,34 @@
 
 namespace {
 
-void define(Settings& s) {
-  define_mesh_settings(s);
-  s.text("region", "", "the region that the zone belongs to; not used");
-  s.text("client-address", "", "ip:port for requests of this machine's clients and backend (HTTP)");
-  s.text("inbound-address", "", "ip:port kept for requests from outside; not used");
-  s.text("readiness-address", "", "ip:port at which the platform asks whether the node is ready (HTTP)");
-  s.text("local-address", "", "ip:port for the heartbeats of this machine's backend (HTTP)");
-  s.text("service", "", "the service of this machine's backend");
-  s.text("backend-address", "", "ip:port of this machine's backend; not used: backends tell theirs");
-  s.text("heartbeat-interval", "", "seconds between two heartbeats of a backend; not used");
-  s.text("memory-mb", "0", "the memory that the process may use, in MB; 0: not stated");
-  s.text("cpu-share", "", "the part of a core that the process may use; not used");
-  s.list("contracts", "parts of the operators' rules in force; not used");
-  s.require_address("client-address");
-  s.require_address("readiness-address");
-  s.require_address("local-address");
+void define(Settings& settings) {
+  define_mesh_settings(settings);
+  settings.text("region", "", "the region that the zone belongs to; not used");
+  settings.text("client-address", "", "ip:port for requests of this machine's clients and backend (HTTP)");
+  settings.text("inbound-address", "", "ip:port kept for requests from outside; not used");
+  settings.text("readiness-address", "", "ip:port at which the platform asks whether the node is ready (HTTP)");
+  settings.text("local-address", "", "ip:port for the heartbeats of this machine's backend (HTTP)");
+  settings.text("service", "", "the service of this machine's backend");
+  settings.text("backend-address", "", "ip:port of this machine's backend; not used: backends tell theirs");
+  settings.text("heartbeat-interval", "", "seconds between two heartbeats of a backend; not used");
+  settings.text("memory-mb", "0", "the memory that the process may use, in MB; 0: not stated");
+  settings.text("cpu-share", "", "the part of a core that the process may use; not used");
+  settings.list("contracts", "parts of the operators' rules in force; not used");
+  settings.require_address("client-address");
+  settings.require_address("readiness-address");
+  settings.require_address("local-address");
 }
 
-MeshNodeSettings node_settings(Settings const& s, TimingBounds const& bounds) {
+MeshNodeSettings node_settings(Settings const& settings, TimingBounds const& bounds) {
   MeshNodeSettings n;
-  n.follower.id = s.text("id");
-  n.follower.zone = s.text("zone");
-  n.follower.address = s.text("address");
+  n.follower.id = settings.text("id");
+  n.follower.zone = settings.text("zone");
+  n.follower.address = settings.text("address");
   n.follower.gateway = true;
-  n.follower.seeds = seed_peers(s);
+  n.follower.seeds = seed_peers(settings);
   n.follower.timing = mesh_timing();
-  n.service = s.text("service");
-  n.store_port = store_port(s);
+  n.service = settings.text("service");
+  n.store_port = store_port(settings);
   n.bounds = bounds;
   n.keys = key_settings(bounds);
   n.shutdown_timeout = shutdown_timeout(bounds);
@@ -53,10 +53,10 @@
 }
 
 // A body from a peer is in memory twice while it is unpacked, and the kernel buffers part of the next ones.
-PeerLimits peer_limits(Settings const& s) {
+PeerLimits peer_limits(Settings const& settings) {
   constexpr std::size_t part_for_requests = 5;
   PeerLimits limits;
-  std::size_t const memory = number_of(s, "memory-mb", 0) << 20;
+  std::size_t const memory = number_of(settings, "memory-mb", 0) << 20;
   if (memory > 0) limits.accepted_request_bytes = memory / part_for_requests;
   return limits;
 }
@@ -65,21 +65,21 @@
 
 int run_mesh_proxy(std::vector<std::string> const& arguments, InterfaceAdapter const& adapter) {
   CommandLine line(arguments);
-  Settings s("banktide-proxy");
-  define(s);
-  if (std::optional<int> const code = s.read(line.count(), line.words())) return *code;
-  start_logging(s.text("log-level"), "banktide-proxy", s.text("id"));
-  Result<TimingBounds> const bounds = adapter.read_bounds(s.list("bounds"));
+  Settings settings("banktide-proxy");
+  define(settings);
+  if (std::optional<int> const code = settings.read(line.count(), line.words())) return *code;
+  start_logging(settings.text("log-level"), "banktide-proxy", settings.text("id"));
+  Result<TimingBounds> const bounds = adapter.read_bounds(settings.list("bounds"));
   if (!bounds) return start_failed(bounds.error());
   Process process;
-  SocketEnvironment env(peer_limits(s));
+  SocketEnvironment env(peer_limits(settings));
   Dispatcher dispatcher;
-  Result<Address> const bound = env.listen(s.text("address"));
+  Result<Address> const bound = env.listen(settings.text("address"));
   if (!bound) return start_failed(bound.error());
   ConnectionsFactory const factory = [&env](Address const& address, std::size_t const limit) {
     return std::make_unique<BackendConnections>(env.io(), address, limit);
   };
-  MeshNode<SocketEnvironment> node(env, node_settings(s, *bounds), adapter, factory);
+  MeshNode<SocketEnvironment> node(env, node_settings(settings, *bounds), adapter, factory);
   HttpServer clients(
       env.io(),
       [&node](HttpRequest q, std::shared_ptr<HttpExchange> x) { return node.request(std::move(q), std::move(x)); }, {});
@@ -92,13 +92,14 @@
   Result<Address> const open = process.run_on_thread([&]() -> Result<Address> {
     env.serve(dispatcher);
     node.start(dispatcher);
-    Result<Address> listening = readiness.listen(s.text("readiness-address"));
-    if (listening) listening = local.listen(s.text("local-address"));
-    if (listening) listening = clients.listen(s.text("client-address"));
+    Result<Address> listening = readiness.listen(settings.text("readiness-address"));
+    if (listening) listening = local.listen(settings.text("local-address"));
+    if (listening) listening = clients.listen(settings.text("client-address"));
     return listening;
   });
   if (!open) return start_failed(open.error());
-  log_info("started", {{"address", *bound}, {"clients", s.text("client-address")}, {"zone", s.text("zone")}});
+  log_info("started",
+           {{"address", *bound}, {"clients", settings.text("client-address")}, {"zone", settings.text("zone")}});
   auto const leave = [&] {
     node.leave();
     clients.drain();
@@ -107,7 +108,7 @@
     if (node.refusing()) clients.close_listener();
     return node.may_exit(clients.busy());
   };
-  auto const reload = [&] { reload_mesh_settings(s, define, line); };
+  auto const reload = [&] { reload_mesh_settings(settings, define, line); };
   process.run_until_shutdown(leave, idle, reload, shutdown_timeout(*bounds));
   std::_Exit(0);
 }
--- a/source/programs/mesh_registry.cpp
+++ b/source/programs/mesh_registry.cpp
@@ -11,34 +11,36 @@
 
 namespace {
 
-void define(Settings& s) {
-  define_mesh_settings(s);
-  s.text("control-address", "", "ip:port for operators (HTTP)");
-  s.flag("counted", "this machine counts among those that may be lost; not used");
-  s.list("zones", "names of all zones");
-  s.number("maintenance-lead", 60, 1, 3600, "seconds before a maintenance window at which traffic moves, by default");
-  s.number("maintenance-return", 30, 1, 3600, "seconds over which traffic comes back after a maintenance window");
-  s.require_address("control-address");
+void define(Settings& settings) {
+  define_mesh_settings(settings);
+  settings.text("control-address", "", "ip:port for operators (HTTP)");
+  settings.flag("counted", "this machine counts among those that may be lost; not used");
+  settings.list("zones", "names of all zones");
+  settings.number("maintenance-lead", 60, 1, 3600,
+                  "seconds before a maintenance window at which traffic moves, by default");
+  settings.number("maintenance-return", 30, 1, 3600,
+                  "seconds over which traffic comes back after a maintenance window");
+  settings.require_address("control-address");
 }
 
-RegistrySettings registry_settings(Settings const& s) {
+RegistrySettings registry_settings(Settings const& settings) {
   RegistrySettings r;
-  r.id = s.text("id");
-  r.zone = s.text("zone");
-  r.address = s.text("address");
-  r.seeds = seed_peers(s);
+  r.id = settings.text("id");
+  r.zone = settings.text("zone");
+  r.address = settings.text("address");
+  r.seeds = seed_peers(settings);
   r.timing = mesh_timing();
-  r.store_port = store_port(s);
+  r.store_port = store_port(settings);
   return r;
 }
 
 // The lead must be longer than a backend's drain and a key hold may last.
-MaintenanceSettings maintenance_settings(Settings const& s, TimingBounds const& bounds) {
+MaintenanceSettings maintenance_settings(Settings const& settings, TimingBounds const& bounds) {
   constexpr Duration until_known = 2s;
   MaintenanceSettings m;
   m.min_lead = std::max(bounds.drain_limit, bounds.hold_limit) + until_known;
-  m.default_lead = std::max<Duration>(std::chrono::seconds(s.number("maintenance-lead")), m.min_lead);
-  m.return_time = std::chrono::seconds(s.number("maintenance-return"));
+  m.default_lead = std::max<Duration>(std::chrono::seconds(settings.number("maintenance-lead")), m.min_lead);
+  m.return_time = std::chrono::seconds(settings.number("maintenance-return"));
   return m;
 }
 
@@ -46,19 +48,20 @@
 
 int run_mesh_registry(std::vector<std::string> const& arguments, InterfaceAdapter const& adapter) {
   CommandLine line(arguments);
-  Settings s("banktide-registry");
-  define(s);
-  if (std::optional<int> const code = s.read(line.count(), line.words())) return *code;
-  start_logging(s.text("log-level"), "banktide-registry", s.text("id"));
-  Result<TimingBounds> const bounds = adapter.read_bounds(s.list("bounds"));
+  Settings settings("banktide-registry");
+  define(settings);
+  if (std::optional<int> const code = settings.read(line.count(), line.words())) return *code;
+  start_logging(settings.text("log-level"), "banktide-registry", settings.text("id"));
+  Result<TimingBounds> const bounds = adapter.read_bounds(settings.list("bounds"));
   if (!bounds) return start_failed(bounds.error());
   Process process;
   SocketEnvironment env;
   Dispatcher dispatcher;
-  Result<Address> const bound = env.listen(s.text("address"));
+  Result<Address> const bound = env.listen(settings.text("address"));
   if (!bound) return start_failed(bound.error());
-  Registry<SocketEnvironment> registry(env, registry_settings(s));
-  MeshRegistry<SocketEnvironment> mesh(env, registry, adapter, key_settings(*bounds), maintenance_settings(s, *bounds));
+  Registry<SocketEnvironment> registry(env, registry_settings(settings));
+  MeshRegistry<SocketEnvironment> mesh(env, registry, adapter, key_settings(*bounds),
+                                       maintenance_settings(settings, *bounds));
   HttpServer operators(
       env.io(),
       [&mesh](HttpRequest q, std::shared_ptr<HttpExchange>) { return mesh.handle_interface_request(std::move(q)); },
@@ -67,11 +70,12 @@
     env.serve(dispatcher);
     registry.start(dispatcher);
     mesh.start(dispatcher);
-    return operators.listen(s.text("control-address"));
+    return operators.listen(settings.text("control-address"));
   });
   if (!open) return start_failed(open.error());
-  log_info("started", {{"address", *bound}, {"operators", s.text("control-address")}, {"zone", s.text("zone")}});
-  auto const reload = [&] { reload_mesh_settings(s, define, line); };
+  log_info("started",
+           {{"address", *bound}, {"operators", settings.text("control-address")}, {"zone", settings.text("zone")}});
+  auto const reload = [&] { reload_mesh_settings(settings, define, line); };
   auto const leave = [&] {
     registry.leave();
     operators.drain();
--- a/source/programs/mesh_settings.hpp
+++ b/source/programs/mesh_settings.hpp
@@ -23,38 +23,40 @@
   std::vector<char*> pointers_;
 };
 
-inline void define_mesh_settings(Settings& s) {
-  s.text("interface", "", "the interface that the process meets; not used");
-  s.text("id", "", "name of this process");
-  s.text("zone", "", "the zone that it stands in");
-  s.text("address", "", "ip:port for other processes");
-  s.list("seed-control", "ip:port of a registry's operator interface; repeat for three");
-  s.text("peer-port", "0", "the port at which registries listen for other processes");
-  s.text("store-port", "0", "the port at which stores listen");
-  s.flag("initial-start", "the whole system starts for the first time");
-  s.text("losses", "1", "how many machines with a disk may be lost at once");
-  s.list("bounds", "name=value, as the operators state them");
-  s.require_name("id");
-  s.require_name("zone");
-  s.require_address("address");
-  s.require_addresses("seed-control", 1);
+inline void define_mesh_settings(Settings& settings) {
+  settings.text("interface", "", "the interface that the process meets; not used");
+  settings.text("id", "", "name of this process");
+  settings.text("zone", "", "the zone that it stands in");
+  settings.text("address", "", "ip:port for other processes");
+  settings.list("seed-control", "ip:port of a registry's operator interface; repeat for three");
+  settings.text("peer-port", "0", "the port at which registries listen for other processes");
+  settings.text("store-port", "0", "the port at which stores listen");
+  settings.flag("initial-start", "the whole system starts for the first time");
+  settings.text("losses", "1", "how many machines with a disk may be lost at once");
+  settings.list("bounds", "name=value, as the operators state them");
+  settings.require_name("id");
+  settings.require_name("zone");
+  settings.require_address("address");
+  settings.require_addresses("seed-control", 1);
 }
 
 /** A number that is set as text, as the platform's templates do; `fallback` if the text is not a number. */
-inline std::uint64_t number_of(Settings const& s, std::string const& name, std::uint64_t const fallback) {
-  std::string const text = s.text(name);
+inline std::uint64_t number_of(Settings const& settings, std::string const& name, std::uint64_t const fallback) {
+  std::string const text = settings.text(name);
   if (text.empty() || text.size() > 9 || text.find_first_not_of("0123456789") != std::string::npos) return fallback;
   return std::stoull(text);
 }
 
 /** The port of the stores. */
-inline std::uint16_t store_port(Settings const& s) { return static_cast<std::uint16_t>(number_of(s, "store-port", 0)); }
+inline std::uint16_t store_port(Settings const& settings) {
+  return static_cast<std::uint16_t>(number_of(settings, "store-port", 0));
+}
 
 /** The seeds' addresses for traffic between processes: their hosts with the port that all registries use. */
-inline std::vector<Address> seed_peers(Settings const& s) {
+inline std::vector<Address> seed_peers(Settings const& settings) {
   std::vector<Address> peers;
-  std::string const port = ":" + s.text("peer-port");
-  for (std::string const& seed : s.list("seed-control")) peers.push_back(seed.substr(0, seed.rfind(':')) + port);
+  std::string const port = ":" + settings.text("peer-port");
+  for (std::string const& seed : settings.list("seed-control")) peers.push_back(seed.substr(0, seed.rfind(':')) + port);
   return peers;
 }
 
@@ -85,8 +87,8 @@
 
 /** Reloads the settings. `initial-start` matters at the start only, so a change of it needs no restart. */
 template <class Define>
-void reload_mesh_settings(Settings& s, Define define, CommandLine& line) {
-  Process::reload(s, define, line.count(), line.words(),
+void reload_mesh_settings(Settings& settings, Define define, CommandLine& line) {
+  Process::reload(settings, define, line.count(), line.words(),
                   [](std::string const& name, Settings const&) { return name == "initial-start"; });
 }
 
--- a/source/programs/registry_main.cpp
+++ b/source/programs/registry_main.cpp
@@ -10,19 +10,19 @@
 
 namespace {
 
-void define(Settings& s) {
-  s.text("id", "", "name of this registry");
-  s.text("cell", "", "the cell that it serves");
-  s.text("address", "", "ip:port for other processes");
-  s.text("operator", "", "ip:port for operators and the platform (HTTP)");
-  s.list("seed", "ip:port of another process; repeat for three");
-  s.list("voter", "ip:port of a store; repeat for every voter");
-  s.require_name("id");
-  s.require_name("cell");
-  s.require_address("address");
-  s.require_address("operator");
-  s.require_addresses("seed", 1);
-  s.require_addresses("voter", 1);
+void define(Settings& settings) {
+  settings.text("id", "", "name of this registry");
+  settings.text("cell", "", "the cell that it serves");
+  settings.text("address", "", "ip:port for other processes");
+  settings.text("operator", "", "ip:port for operators and the platform (HTTP)");
+  settings.list("seed", "ip:port of another process; repeat for three");
+  settings.list("voter", "ip:port of a store; repeat for every voter");
+  settings.require_name("id");
+  settings.require_name("cell");
+  settings.require_address("address");
+  settings.require_address("operator");
+  settings.require_addresses("seed", 1);
+  settings.require_addresses("voter", 1);
 }
 
 }  // namespace
@@ -30,22 +30,22 @@
 int main(int argc, char** argv) {
   std::vector<std::string> const on_platform = platform::command_line(argc, argv);
   if (!on_platform.empty()) return run_mesh_registry(on_platform, platform::adapter());
-  Settings s("banktide-registry");
-  define(s);
-  if (std::optional<int> const code = s.read(argc, argv)) return *code;
-  start_logging(s.text("log-level"), "banktide-registry", s.text("id"));
+  Settings settings("banktide-registry");
+  define(settings);
+  if (std::optional<int> const code = settings.read(argc, argv)) return *code;
+  start_logging(settings.text("log-level"), "banktide-registry", settings.text("id"));
   Process process;
   SocketEnvironment env;
   Dispatcher dispatcher;
-  Result<Address> const bound = env.listen(s.text("address"));
+  Result<Address> const bound = env.listen(settings.text("address"));
   if (!bound) {
     log_warn("start_failed",
              {{"step", bound.error().step}, {"peer", bound.error().peer}, {"reason", bound.error().reason}});
     return 1;
   }
-  Registry<SocketEnvironment> registry(
-      env, RegistrySettings{s.text("id"), s.text("cell"), *bound, s.list("seed"), s.list("voter")});
-  HttpListener operators(env.io(), s.text("operator"),
+  Registry<SocketEnvironment> registry(env, RegistrySettings{settings.text("id"), settings.text("cell"), *bound,
+                                                             settings.list("seed"), settings.list("voter")});
+  HttpListener operators(env.io(), settings.text("operator"),
                          [&](HttpRequest q) { return registry.handle_operator_request(std::move(q)); });
   OperatorStreams<SocketEnvironment> streams(registry);
   operators.on_line_request("/changes",
@@ -65,10 +65,10 @@
              {{"step", open.error().step}, {"peer", open.error().peer}, {"reason", open.error().reason}});
     return 1;
   }
-  log_info("started", {{"address", *bound}, {"operator", s.text("operator")}});
+  log_info("started", {{"address", *bound}, {"operator", settings.text("operator")}});
   process.run_until_shutdown(
       [&] { registry.leave(); }, [&] { return registry.idle(); },
-      [&] { Process::reload(s, define, argc, argv, [](std::string const&, Settings const&) { return false; }); },
+      [&] { Process::reload(settings, define, argc, argv, [](std::string const&, Settings const&) { return false; }); },
       5500ms);
   std::_Exit(0);
 }
--- a/source/programs/store_main.cpp
+++ b/source/programs/store_main.cpp
@@ -17,28 +17,28 @@
 /// How long a store that shuts down waits to be removed from the set of voters.
 constexpr Duration removal_timeout = 2s;
 
-void define(Settings& s) {
-  s.text("id", "", "name of this store");
-  s.text("address", "", "ip:port for other processes");
-  s.list("voter", "ip:port of a store; repeat for every voter, this one included, in the same order everywhere");
-  s.list("seed-voter", "instead of --voter: ip:port of a store to ask; repeat");
-  s.list("seed-control", "like seed-voter, by the operator interfaces on their machines; with peer-port");
-  s.text("peer-port", "0", "the port at which all stores listen");
-  s.flag("counted", "this machine counts among those that may be lost; not used");
-  s.flag("initial-start", "the seeds found the register: their disks are empty");
-  s.number("losses", 1, 0, 9, "with --seed-voter: how many stores may lose their disks at once");
-  s.text("data", "", "folder for its file");
-  s.require_name("id");
-  s.require_address("address");
-  s.require_addresses("voter", 0);
-  s.require_addresses("seed-voter", 0);
-  s.check([&s](std::vector<std::string>& errors) {
-    std::vector<std::string> const v = s.list("voter");
-    if (v.empty() == (s.list("seed-voter").empty() && s.list("seed-control").empty()))
+void define(Settings& settings) {
+  settings.text("id", "", "name of this store");
+  settings.text("address", "", "ip:port for other processes");
+  settings.list("voter", "ip:port of a store; repeat for every voter, this one included, in the same order everywhere");
+  settings.list("seed-voter", "instead of --voter: ip:port of a store to ask; repeat");
+  settings.list("seed-control", "like seed-voter, by the operator interfaces on their machines; with peer-port");
+  settings.text("peer-port", "0", "the port at which all stores listen");
+  settings.flag("counted", "this machine counts among those that may be lost; not used");
+  settings.flag("initial-start", "the seeds found the register: their disks are empty");
+  settings.number("losses", 1, 0, 9, "with --seed-voter: how many stores may lose their disks at once");
+  settings.text("data", "", "folder for its file");
+  settings.require_name("id");
+  settings.require_address("address");
+  settings.require_addresses("voter", 0);
+  settings.require_addresses("seed-voter", 0);
+  settings.check([&settings](std::vector<std::string>& errors) {
+    std::vector<std::string> const v = settings.list("voter");
+    if (v.empty() == (settings.list("seed-voter").empty() && settings.list("seed-control").empty()))
       errors.push_back("voter: needed, or else seed-voter, not both");
-    if (!v.empty() && std::count(v.begin(), v.end(), s.text("address")) != 1)
+    if (!v.empty() && std::count(v.begin(), v.end(), settings.text("address")) != 1)
       errors.push_back("voter: must name this address once");
-    if (s.text("data").empty()) errors.push_back("data: needed");
+    if (settings.text("data").empty()) errors.push_back("data: needed");
   });
 }
 
@@ -47,13 +47,13 @@
 int main(int argc, char** argv) {
   std::vector<std::string> const on_platform = platform::command_line(argc, argv);
   CommandLine line(on_platform.empty() ? std::vector<std::string>(argv, argv + argc) : on_platform);
-  Settings s("banktide-store");
-  define(s);
-  if (std::optional<int> const code = s.read(line.count(), line.words())) return *code;
-  start_logging(s.text("log-level"), "banktide-store", s.text("id"));
+  Settings settings("banktide-store");
+  define(settings);
+  if (std::optional<int> const code = settings.read(line.count(), line.words())) return *code;
+  start_logging(settings.text("log-level"), "banktide-store", settings.text("id"));
   std::error_code ec;
-  std::filesystem::create_directories(s.text("data"), ec);
-  Result<std::unique_ptr<SqliteDisk>> disk = SqliteDisk::open(s.text("data") + "/voter.db");
+  std::filesystem::create_directories(settings.text("data"), ec);
+  Result<std::unique_ptr<SqliteDisk>> disk = SqliteDisk::open(settings.text("data") + "/voter.db");
   if (!disk) {
     log_warn("start_failed",
              {{"step", disk.error().step}, {"peer", disk.error().peer}, {"reason", disk.error().reason}});
@@ -62,22 +62,23 @@
   Process process;
   SocketEnvironment env;
   Dispatcher dispatcher;
-  std::vector<std::string> const voters = s.list("voter");
+  std::vector<std::string> const voters = settings.list("voter");
   std::size_t const own =
-      static_cast<std::size_t>(std::find(voters.begin(), voters.end(), s.text("address")) - voters.begin());
+      static_cast<std::size_t>(std::find(voters.begin(), voters.end(), settings.text("address")) - voters.begin());
   bool const fixed = !voters.empty();
   using Voter = Acceptor<SocketEnvironment, SqliteDisk>;
   std::unique_ptr<Voter> const owned = fixed ? std::make_unique<Voter>(env, **disk, voters, own)
-                                             : std::make_unique<Voter>(env, **disk, s.text("address"));
+                                             : std::make_unique<Voter>(env, **disk, settings.text("address"));
   Voter& acceptor = *owned;
   Result<bool> loaded = acceptor.load();
   MembershipSettings membership_settings;
-  membership_settings.seeds = s.list("seed-control").empty() ? s.list("seed-voter") : seed_peers(s);
-  membership_settings.initial_start = s.flag("initial-start");
-  membership_settings.losses = static_cast<std::uint32_t>(s.number("losses"));
+  membership_settings.seeds =
+      settings.list("seed-control").empty() ? settings.list("seed-voter") : seed_peers(settings);
+  membership_settings.initial_start = settings.flag("initial-start");
+  membership_settings.losses = static_cast<std::uint32_t>(settings.number("losses"));
   Membership<SocketEnvironment, SqliteDisk> membership(env, acceptor, membership_settings);
   Result<Address> bound =
-      loaded ? env.listen(s.text("address")) : Result<Address>(tl::unexpected<Error>(loaded.error()));
+      loaded ? env.listen(settings.text("address")) : Result<Address>(tl::unexpected<Error>(loaded.error()));
   if (!bound) {
     log_warn("start_failed",
              {{"step", bound.error().step}, {"peer", bound.error().peer}, {"reason", bound.error().reason}});
@@ -92,7 +93,8 @@
   });
   log_info("started", {{"address", *bound}});
   auto const reload = [&] {
-    Process::reload(s, define, line.count(), line.words(), [](std::string const&, Settings const&) { return false; });
+    Process::reload(settings, define, line.count(), line.words(),
+                    [](std::string const&, Settings const&) { return false; });
   };
   auto const leave = [&] {
     if (!fixed) spawn(env, membership.leave(removal_timeout));
