--- a/source/simulation/history.hpp
+++ b/source/simulation/history.hpp
@@ -26,7 +26,7 @@
   std::string outcome;
   bool correct = false, retry_after = false;
   bool must_stay = false;        // an undisturbed backend of its own zone was able to serve it
-  bool must_serve = false;       // so was one in a reachable zone
+  bool must_serve = false;       // a backend of its own or of a reachable zone was able to serve it
   bool no_recent_fault = false;  // at least 15 s after the last fault and with no fault during the call
   std::string after_fault;       // the last fault kind, if it was injected within 3 s before
   std::string reason;
--- a/tests/coordination/voter_replacement_trial.hpp
+++ b/tests/coordination/voter_replacement_trial.hpp
@@ -40,7 +40,8 @@
   return "";
 }
 
-/// A fault that affects the oldest or the newest member.
+/// A fault that affects the oldest or the newest member. The age of a disk must not matter: a value acknowledged
+/// just now survives the loss of the oldest voters right after others were replaced.
 struct FaultStep {
   Fault fault{};
   bool oldest = true;
--- a/tests/simulation/sim_fleet_test.cpp
+++ b/tests/simulation/sim_fleet_test.cpp
@@ -71,7 +71,7 @@
     EXPECT_EQ(violations_under("kibble", seed, {"reuse_port_naive", "reuse_port_intruder"}), "");
 }
 
-// Regression: another service took over the port while the node was frozen.
+// Seeds that failed: another service took over the port while the node was frozen.
 TEST(SimFleet, nothing_reaches_an_address_that_was_taken_over_while_its_node_was_frozen) {
   for (std::uint64_t const seed : {17, 42, 53}) {
     Scenario s;
@@ -83,8 +83,8 @@
   }
 }
 
-// Regression: a sender's first call to a node that had just started was held up by a
-// cut link and ran past its deadline.
+// Seeds that failed: a sender's first call to a node that had just started was held up
+// by a cut link and ran past its deadline.
 TEST(SimFleet, a_senders_first_call_to_a_new_node_runs_in_time_or_not_at_all) {
   for (std::uint64_t const seed : {7, 31})
     EXPECT_EQ(violations_under("kibble", seed, {"kill_herd", "drain_then_cut"}, 30s), "");
