--- a/source/coordination/voter_monitor.cpp
+++ b/source/coordination/voter_monitor.cpp
@@ -37,7 +37,7 @@
   missed_ = std::move(missed);
 }
 
-std::uint64_t VoterMonitor::missed(std::string const& peer) const {
+std::uint64_t VoterMonitor::missed_probes(std::string const& peer) const {
   auto const it = missed_.find(peer);
   return it == missed_.end() ? 0 : it->second;
 }
