--- a/source/simulation/sim_traffic.hpp
+++ b/source/simulation/sim_traffic.hpp
@@ -126,7 +126,7 @@
   // when the call starts and again when it ends.
   void update_expectations(std::size_t const at, CallRecord& c, bool const begins) {
     Node const& n = nodes_[at];
-    bool stay = false, serve = false;
+    bool must_stay_now = false, must_serve_now = false;
     Duration const unchanged = sim_.now - std::max(changed_[c.service], diverged_at_);
     bool const up = matches_operator_intent() && c.service != "promo" && undisturbed_for(n.machine) >= 4s &&
                     undisturbed_for(core_machine_of(n.zone)) >= 4s;
@@ -142,7 +142,7 @@
         return allowed.contains(zone) && zone_undisturbed(zone, recovery_time) &&
                service_undisturbed_for(c.service, zone) > recovery_time && healthy_backends(c.service, zone) > 0;
       };
-      stay = can_serve(n.zone);
+      must_stay_now = can_serve(n.zone);
       bool const none = !allowed.contains(n.zone) ||
                         (healthy_backends(c.service, n.zone) == 0 && service_undisturbed_for(c.service, n.zone) > 6s);
       bool elsewhere = none, any_zone = false;
@@ -151,7 +151,7 @@
         elsewhere = elsewhere && zone_undisturbed(zone, 4s) && service_undisturbed_for(c.service, zone) > 4s;
         any_zone = any_zone || can_serve(zone);
       }
-      serve = stay || (elsewhere && any_zone);
+      must_serve_now = must_stay_now || (elsewhere && any_zone);
     }
     if (up && !closed && c.service == keyed_service_ && unchanged > 14s) {
       std::uint64_t const slice =
@@ -165,17 +165,17 @@
             here = here || (range[0].get<std::uint64_t>() <= slice && slice <= range[1].get<std::uint64_t>());
         if (here && cores && zone_undisturbed(zone, 14s) && service_undisturbed_for(keyed_service_, zone) > 14s &&
             healthy_backends(keyed_service_, zone) > 0)
-          serve = true;
+          must_serve_now = true;
       }
     }
     bool const no_recent_fault = c.service != "promo" && sim_.now >= faults_until_ + 15s && unchanged > 15s;
     if (begins) {
-      c.must_stay = stay;
-      c.must_serve = serve;
+      c.must_stay = must_stay_now;
+      c.must_serve = must_serve_now;
       c.no_recent_fault = no_recent_fault;
     } else {
-      c.must_stay = c.must_stay && stay;
-      c.must_serve = c.must_serve && serve;
+      c.must_stay = c.must_stay && must_stay_now;
+      c.must_serve = c.must_serve && must_serve_now;
       c.no_recent_fault = c.no_recent_fault && no_recent_fault;
     }
   }
--- a/source/simulation/sim_world.hpp
+++ b/source/simulation/sim_world.hpp
@@ -91,18 +91,18 @@
 
   class Alarm {
    public:
-    explicit Alarm(SimProcess& p) : p_(p), s_(std::make_shared<Pending>()), id_(++p.last_alarm_) {
-      p_.pending_[id_] = s_.get();
+    explicit Alarm(SimProcess& p) : process_(p), state_(std::make_shared<Pending>()), id_(++p.last_alarm_) {
+      process_.pending_[id_] = state_.get();
     }
     Alarm(Alarm const&) = delete;
-    ~Alarm() { p_.pending_.erase(id_); }
+    ~Alarm() { process_.pending_.erase(id_); }
 
     Task<bool> wait(Instant const until) {
-      if (s_->woken) {
-        s_->woken = false;
+      if (state_->woken) {
+        state_->woken = false;
         co_return false;
       }
-      std::uint64_t const own_wait = ++s_->wait;
+      std::uint64_t const own_wait = ++state_->wait;
       bool const ran_out = co_await asio::async_initiate<asio::use_awaitable_t<> const, void(bool)>(
           [](auto handler, SimProcess* p, std::shared_ptr<Pending> s, Instant t, std::uint64_t n) {
             auto shared_handler = std::make_shared<decltype(handler)>(std::move(handler));
@@ -117,16 +117,16 @@
                 });
             });
           },
-          asio::use_awaitable, &p_, s_, until, own_wait);
-      s_->woken = false;
+          asio::use_awaitable, &process_, state_, until, own_wait);
+      state_->woken = false;
       co_return ran_out;
     }
     void wake() {
-      s_->woken = true;
-      if (!s_->handler) return;
-      std::weak_ptr<Pending> weak = s_;
-      std::uint64_t const n = s_->wait;
-      asio::post(p_.sim.io, [weak, n] {
+      state_->woken = true;
+      if (!state_->handler) return;
+      std::weak_ptr<Pending> weak = state_;
+      std::uint64_t const n = state_->wait;
+      asio::post(process_.sim.io, [weak, n] {
         if (std::shared_ptr<Pending> const st = weak.lock()) fire(st, n, false);
       });
     }
@@ -138,8 +138,8 @@
       s->handler = nullptr;
       h(v && !s->woken);
     }
-    SimProcess& p_;
-    std::shared_ptr<Pending> s_;
+    SimProcess& process_;
+    std::shared_ptr<Pending> state_;
     std::uint64_t const id_;
   };
 
