--- a/source/coordination/maintenance_view.hpp
+++ b/source/coordination/maintenance_view.hpp
@@ -46,7 +46,7 @@
       log_info("maintenance", {{"zone", window.zone},
                                {"phase", std::string(phase_name(window.phase))},
                                {"window", std::to_string(window.id)},
-                               {"left_s", std::to_string(window.left / 1000)}});
+                               {"left_s", std::to_string(window.remaining / 1000)}});
     }
   }
 
--- a/source/programs/maintenance_interface.cpp
+++ b/source/programs/maintenance_interface.cpp
@@ -145,7 +145,7 @@
   Json j = {{"id", window.id},
             {"zone", window.zone},
             {"phase", phase_name(window.phase)},
-            {"left_s", seconds(window.left)},
+            {"left_s", seconds(window.remaining)},
             {"opens_in_s", seconds(window.opens_in)},
             {"lasts_s", seconds(window.lasts)},
             {"lead_s", seconds(window.lead)}};
--- a/source/state/maintenance.cpp
+++ b/source/state/maintenance.cpp
@@ -22,11 +22,11 @@
   switch (w.phase) {
     case MaintenancePhase::scheduled:
     case MaintenancePhase::draining:
-      return Span{std::max<std::int64_t>(0, w.left - w.lead), w.left + w.lasts + w.return_time};
+      return Span{std::max<std::int64_t>(0, w.remaining - w.lead), w.remaining + w.lasts + w.return_time};
     case MaintenancePhase::open:
-      return Span{0, w.left + w.return_time};
+      return Span{0, w.remaining + w.return_time};
     default:
-      return Span{0, w.left};
+      return Span{0, w.remaining};
   }
 }
 
@@ -34,23 +34,23 @@
 bool step(MaintenanceWindow& w) {
   switch (w.phase) {
     case MaintenancePhase::scheduled:
-      if (w.left > w.lead) return false;
+      if (w.remaining > w.lead) return false;
       w.phase = MaintenancePhase::draining;
       return true;
     case MaintenancePhase::draining:
-      if (w.left > 0) return false;
+      if (w.remaining > 0) return false;
       w.phase = MaintenancePhase::open;
-      w.left += w.lasts;
+      w.remaining += w.lasts;
       return true;
     case MaintenancePhase::open:
-      if (w.left > 0) return false;
+      if (w.remaining > 0) return false;
       w.phase = MaintenancePhase::returning;
-      w.left += w.return_time;
+      w.remaining += w.return_time;
       return true;
     case MaintenancePhase::returning:
-      if (w.left > 0) return false;
+      if (w.remaining > 0) return false;
       w.phase = MaintenancePhase::over;
-      w.left = 0;
+      w.remaining = 0;
       return true;
     case MaintenancePhase::over:
     case MaintenancePhase::cancelled:
@@ -61,7 +61,7 @@
 
 bool is_valid(MaintenanceWindow const& w) {
   constexpr std::int64_t most = std::numeric_limits<std::int64_t>::max() / 8;
-  for (std::int64_t const time : {w.opens_in, w.lasts, w.lead, w.return_time, w.left})
+  for (std::int64_t const time : {w.opens_in, w.lasts, w.lead, w.return_time, w.remaining})
     if (time < 0 || time > most) return false;
   return w.phase <= MaintenancePhase::cancelled && !w.zone.empty();
 }
@@ -90,7 +90,7 @@
   MaintenanceWindow wanted;
   wanted.id = 1;
   wanted.zone = spec.zone;
-  wanted.opens_in = wanted.left = milliseconds(spec.opens_in);
+  wanted.opens_in = wanted.remaining = milliseconds(spec.opens_in);
   wanted.lasts = milliseconds(spec.lasts);
   wanted.lead = std::min(milliseconds(spec.lead), wanted.opens_in);
   wanted.return_time = milliseconds(spec.return_time);
@@ -107,7 +107,7 @@
   for (MaintenanceWindow& w : windows)
     if (w.zone == spec.zone && w.current()) {
       w.phase = MaintenancePhase::over;
-      w.left = 0;
+      w.remaining = 0;
     }
   windows.push_back(std::move(wanted));
   advance(Duration::zero());
@@ -122,11 +122,11 @@
     if (outcome == EndOutcome::no_window) outcome = EndOutcome::already_ended;
     if (w.phase == MaintenancePhase::scheduled) {
       w.phase = MaintenancePhase::cancelled;
-      w.left = 0;
+      w.remaining = 0;
       outcome = EndOutcome::ended;
     } else if (w.withholds()) {
       w.phase = MaintenancePhase::returning;
-      w.left = w.return_time;
+      w.remaining = w.return_time;
       outcome = EndOutcome::ended;
     }
   }
@@ -138,7 +138,7 @@
   bool changed = false;
   for (MaintenanceWindow& w : windows) {
     if (!w.current()) continue;
-    w.left -= passed;
+    w.remaining -= passed;
     while (step(w)) changed = true;
   }
   return changed;
@@ -166,7 +166,7 @@
   for (MaintenanceWindow const& w : windows) {
     if (w.withholds()) shares[w.zone] = 0;
     if (w.phase == MaintenancePhase::returning && w.return_time > 0)
-      shares.try_emplace(w.zone, 1 - static_cast<double>(w.left) / static_cast<double>(w.return_time));
+      shares.try_emplace(w.zone, 1 - static_cast<double>(w.remaining) / static_cast<double>(w.return_time));
   }
   return shares;
 }
--- a/source/state/maintenance.hpp
+++ b/source/state/maintenance.hpp
@@ -38,9 +38,9 @@
   std::int64_t lead = 0;         // how long before it opens traffic is moved away
   std::int64_t return_time = 0;  // the time over which traffic comes back
   MaintenancePhase phase = MaintenancePhase::scheduled;
-  std::int64_t left = 0;  // time left until it opens; once open, until it closes; then until all traffic is back
+  std::int64_t remaining = 0;  // time left until it opens; once open, until it closes; then until all traffic is back
   bool operator==(MaintenanceWindow const&) const = default;
-  BANKTIDE_FIELDS(id, zone, opens_in, lasts, lead, return_time, phase, left)
+  BANKTIDE_FIELDS(id, zone, opens_in, lasts, lead, return_time, phase, remaining)
 
   /** Whether traffic must be kept away now. */
   bool withholds() const { return phase == MaintenancePhase::draining || phase == MaintenancePhase::open; }
--- a/tests/coordination/maintenance_keeper_test.cpp
+++ b/tests/coordination/maintenance_keeper_test.cpp
@@ -111,8 +111,8 @@
     trial.run_for(500ms);
     Duration const passed = trial.sim.now - marked_at;
     std::int64_t const on_one_clock = as_ms(Duration(300s) - passed);
-    EXPECT_GE(trial.window(0).left, on_one_clock) << "never earlier; seed " << seed;
-    EXPECT_LE(trial.window(0).left, on_one_clock + as_ms(lost)) << "seed " << seed;
+    EXPECT_GE(trial.window(0).remaining, on_one_clock) << "never earlier; seed " << seed;
+    EXPECT_LE(trial.window(0).remaining, on_one_clock + as_ms(lost)) << "seed " << seed;
   }
 }
 
@@ -126,8 +126,8 @@
     }
     std::int64_t const on_one_clock = as_ms(Duration(200s) - (trial.sim.now - Instant{std::chrono::hours(1)}));
     for (std::size_t i = 0; i < 2; ++i) {
-      EXPECT_GE(trial.window(i).left, on_one_clock) << "seed " << seed;
-      EXPECT_LE(trial.window(i).left, on_one_clock + 6000) << "seed " << seed;
+      EXPECT_GE(trial.window(i).remaining, on_one_clock) << "seed " << seed;
+      EXPECT_LE(trial.window(i).remaining, on_one_clock + 6000) << "seed " << seed;
     }
   }
 }
--- a/tests/state/maintenance_test.cpp
+++ b/tests/state/maintenance_test.cpp
@@ -33,7 +33,7 @@
     if (at < spec.opens_in + spec.lasts + spec.return_time) return MaintenancePhase::returning;
     return MaintenancePhase::over;
   }
-  Duration left(Duration const at) const {
+  Duration remaining(Duration const at) const {
     switch (phase(at)) {
       case MaintenancePhase::scheduled:
       case MaintenancePhase::draining:
@@ -49,7 +49,7 @@
   double share(Duration const at) const {
     if (phase(at) == MaintenancePhase::scheduled || phase(at) == MaintenancePhase::over) return 1;
     if (phase(at) != MaintenancePhase::returning) return 0;
-    return 1 - std::chrono::duration<double>(left(at)) / std::chrono::duration<double>(spec.return_time);
+    return 1 - std::chrono::duration<double>(remaining(at)) / std::chrono::duration<double>(spec.return_time);
   }
 };
 
@@ -70,7 +70,7 @@
       ASSERT_EQ(phase_of(plan, "z"), model.phase(at)) << "round " << round << " at " << as_ms(at);
       ASSERT_EQ(changed, before != model.phase(at));
       MaintenanceWindow const& window = *plan.newest("z");
-      ASSERT_EQ(window.left, as_ms(model.left(at)));
+      ASSERT_EQ(window.remaining, as_ms(model.remaining(at)));
       std::map<std::string, double> const shares = plan.zone_shares();
       ASSERT_NEAR(shares.contains("z") ? shares.at("z") : 1, model.share(at), 1e-9);
       ASSERT_EQ(plan.withheld_zones().contains("z"), window.withholds());
@@ -86,7 +86,7 @@
   MaintenancePlan plan;
   plan.schedule(spec_of("z", 20s, 10s, 60s));
   EXPECT_EQ(phase_of(plan, "z"), MaintenancePhase::draining);
-  EXPECT_EQ(plan.newest("z")->left, 20000);
+  EXPECT_EQ(plan.newest("z")->remaining, 20000);
 }
 
 TEST(Maintenance, a_repeat_changes_nothing_and_another_window_of_the_zone_is_refused) {
@@ -125,9 +125,9 @@
   ASSERT_EQ(phase_of(plan, "z"), MaintenancePhase::draining);
   EXPECT_EQ(plan.end("z"), EndOutcome::ended);
   EXPECT_EQ(phase_of(plan, "z"), MaintenancePhase::returning);
-  EXPECT_EQ(plan.newest("z")->left, 30000);
+  EXPECT_EQ(plan.newest("z")->remaining, 30000);
   EXPECT_EQ(plan.end("z"), EndOutcome::already_ended);
-  EXPECT_EQ(plan.newest("z")->left, 30000);
+  EXPECT_EQ(plan.newest("z")->remaining, 30000);
 }
 
 TEST(Maintenance, a_returning_zone_may_get_another_window) {
@@ -156,9 +156,9 @@
   EXPECT_FALSE(unpack_maintenance("x"));
   MaintenancePlan plan;
   plan.schedule(spec_of("z", 100s, 50s));
-  plan.windows[0].left = -1;
+  plan.windows[0].remaining = -1;
   EXPECT_FALSE(unpack_maintenance(pack_maintenance(plan)));
-  plan.windows[0].left = 1;
+  plan.windows[0].remaining = 1;
   plan.windows[0].phase = static_cast<MaintenancePhase>(9);
   EXPECT_FALSE(unpack_maintenance(pack_maintenance(plan)));
 }
