--- a/source/coordination/call_handler.hpp
+++ b/source/coordination/call_handler.hpp
@@ -128,7 +128,8 @@
         if (choice.decided &&
             std::find(choice.other_zones.begin(), choice.other_zones.end(), name) == choice.other_zones.end())
           continue;
-        if (name == settings_.zone || std::find(zone.offers.begin(), zone.offers.end(), service) == zone.offers.end())
+        if (name == settings_.zone ||
+            std::find(zone.service_names.begin(), zone.service_names.end(), service) == zone.service_names.end())
           continue;
         if (tried.contains("c:" + name) || histories_.ejected("c:" + name + "/" + service, now)) continue;
         for (Member const& g : zone.gateways) {
--- a/source/coordination/node_state.hpp
+++ b/source/coordination/node_state.hpp
@@ -60,7 +60,7 @@
       if (is_backend_usable(it->second, now)) zones.insert(settings.zone);
     for (auto const& [name, c] : view.zones)
       if (name != settings.zone && !c.gateways.empty() &&
-          std::find(c.offers.begin(), c.offers.end(), service) != c.offers.end())
+          std::find(c.service_names.begin(), c.service_names.end(), service) != c.service_names.end())
         zones.insert(name);
     return zones;
   }
--- a/source/coordination/zone_feed.hpp
+++ b/source/coordination/zone_feed.hpp
@@ -121,7 +121,7 @@
   /// Sends a newer value of a register at once.
   void send_value(Register const reg, RegisterValue const& held) {
     ZoneUpdate n = next_update();
-    n.layouts.emplace_back(reg, held);
+    n.values.emplace_back(reg, held);
     send_down(n);
   }
   /// Sends a newer key table as a delta.
@@ -182,7 +182,7 @@
     std::map<std::pair<std::string, std::string>, ServiceOffer> by_node;
     for (auto const& [key, b] : view_.backends) {
       if (b.liveness != Liveness::alive || !view_.is_usable_node(b.node)) continue;
-      if (e.offers.empty() || e.offers.back() != b.service) e.offers.push_back(b.service);
+      if (e.service_names.empty() || e.service_names.back() != b.service) e.service_names.push_back(b.service);
       Member const& host = view_.members.at(b.node);
       if (host.role != Role::gateway) continue;
       ServiceOffer& o = by_node[{b.service, b.node}];
@@ -295,7 +295,7 @@
     n.changes = std::exchange(unsent_, {});
     n.at = position();
     announced_ = n.at;
-    n.pulse = ++pulse_;
+    n.sequence = ++pulse_;
     n.has_quorum_reading = sources_.has_quorum_reading();
     n.root = settings_.registry_address;
     n.revisions = sources_.revisions();
--- a/source/coordination/zone_follower.hpp
+++ b/source/coordination/zone_follower.hpp
@@ -141,7 +141,7 @@
     status_changed();
     RegistryExchangeReply reply;
     reply.registries = directory_.entries_with_ages(env_.now());
-    reply.cores = registry_count_;
+    reply.registry_count = registry_count_;
     co_return reply;
   }
 
@@ -152,7 +152,7 @@
     if (!r) co_return;
     record_contact(peer);
     directory_.learn_answer(r->registries, asked, env_.now());
-    registry_count_ = std::max(registry_count_, r->cores);
+    registry_count_ = std::max(registry_count_, r->registry_count);
     status_changed();
   }
 
@@ -247,7 +247,7 @@
     last_contact_ = env_.now();
     bool const current = is_current(q);
     if (current) pass_on(q);
-    accept_values(std::move(q.layouts));
+    accept_values(std::move(q.values));
     accept_deltas(q.key_deltas, q.routing_deltas);
     if (!current) co_return NoReply{};
     apply_changes(q.at, q.changes);
@@ -261,9 +261,9 @@
     Address const own = own_registry();
     if (!own.empty() && q.root != own) return false;
     directory_.record_contact(q.root, env_.now() - max_update_delay);
-    if (q.at.epoch == pulse_epoch_ && q.pulse <= pulse_) return false;
+    if (q.at.epoch == pulse_epoch_ && q.sequence <= pulse_) return false;
     pulse_epoch_ = q.at.epoch;
-    pulse_ = q.pulse;
+    pulse_ = q.sequence;
     if (q.has_quorum_reading) confirmed_at_ = env_.now();
     return true;
   }
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -351,7 +351,7 @@
     RegistryExchangeReply reply;
     reply.registries = directory_.entries_with_ages(env_.now());
     std::size_t const cores = settings_.voters.empty() ? directory_.entries().size() : settings_.voters.size();
-    reply.cores = static_cast<std::uint32_t>(cores);
+    reply.registry_count = static_cast<std::uint32_t>(cores);
     co_return reply;
   }
 
--- a/source/protocol/register_messages.hpp
+++ b/source/protocol/register_messages.hpp
@@ -64,7 +64,7 @@
   std::uint64_t round = 0;
   std::uint64_t coordinator = 0;
   auto operator<=>(Ballot const&) const = default;
-  // Rounds also increase from epoch to epoch, so that each round number is unique.
+  // Rounds also increase from epoch to epoch, so that they number changes across epochs.
   bool may_follow(Ballot const& promised) const {
     return *this > promised && (epoch == promised.epoch || round > promised.round);
   }
--- a/source/protocol/zone_messages.hpp
+++ b/source/protocol/zone_messages.hpp
@@ -49,14 +49,14 @@
   BANKTIDE_FIELDS(service, node, address, slots, running, waiting)
 };
 
-// A zone as other zones see it: its gateways, the names of its services (`offers`) and their loads (`services`).
+// A zone as other zones see it: its gateways, the names of its services, and their loads by gateway.
 struct ZoneEntry {
   std::string zone;
   std::vector<Member> gateways;
-  std::vector<std::string> offers;
+  std::vector<std::string> service_names;
   std::vector<ServiceOffer> services;
   bool operator==(ZoneEntry const&) const = default;
-  BANKTIDE_FIELDS(zone, gateways, offers, services)
+  BANKTIDE_FIELDS(zone, gateways, service_names, services)
 };
 
 // The load of one offer, by its index in the entry's `services`.
@@ -77,7 +77,7 @@
   std::vector<ServiceOffer> offers_set;       // new ones, and those with changes other than the load
   std::vector<std::string> gateways_removed;
   std::vector<Member> gateways_set;
-  std::optional<std::vector<std::string>> service_names;  // the new `offers`, if changed
+  std::optional<std::vector<std::string>> service_names;  // the new names, if changed
   bool operator==(ZoneEntryDelta const&) const = default;
   BANKTIDE_FIELDS(zone, loads, offers_removed, offers_set, gateways_removed, gateways_set, service_names)
 };
@@ -142,15 +142,15 @@
   static constexpr std::uint8_t kind = 10;
   using Reply = NoReply;
   Position at;  // the root's position when sent; without changes it serves as a keep-alive
-  std::uint64_t pulse = 0;
+  std::uint64_t sequence = 0;
   bool has_quorum_reading = false;  // the root has a recent reading from a majority of the voters
   std::string root;                 // the address of the sending registry
   std::vector<Change> changes;
   Revisions revisions{};
-  std::vector<std::pair<Register, RegisterValue>> layouts;
+  std::vector<std::pair<Register, RegisterValue>> values;
   std::vector<KeyDelta> key_deltas;  // each from the revision at which the previous one ends
   std::vector<TextDelta> routing_deltas;
-  BANKTIDE_FIELDS(at, pulse, has_quorum_reading, root, changes, revisions, layouts, key_deltas, routing_deltas)
+  BANKTIDE_FIELDS(at, sequence, has_quorum_reading, root, changes, revisions, values, key_deltas, routing_deltas)
 };
 
 struct FollowReply {
@@ -212,8 +212,8 @@
 };
 struct RegistryExchangeReply {
   std::vector<RegistryEntry> registries;
-  std::uint32_t cores = 0;  // the configured number of registries, the base of majorities
-  BANKTIDE_FIELDS(registries, cores)
+  std::uint32_t registry_count = 0;  // the configured number of registries, the base of majorities
+  BANKTIDE_FIELDS(registries, registry_count)
 };
 struct RegistryExchange {
   static constexpr std::uint8_t kind = 14;
--- a/source/state/view_json.hpp
+++ b/source/state/view_json.hpp
@@ -37,7 +37,7 @@
   for (auto const& [name, entry] : v.zones) {
     Json gateways = Json::array();
     for (Member const& g : entry.gateways) gateways.push_back({{"id", g.id}, {"address", g.address}});
-    j["cells"].push_back({{"cell", entry.zone}, {"gateways", gateways}, {"offers", entry.offers}});
+    j["cells"].push_back({{"cell", entry.zone}, {"gateways", gateways}, {"offers", entry.service_names}});
   }
   return j;
 }
--- a/source/state/zone_entry_delta.cpp
+++ b/source/state/zone_entry_delta.cpp
@@ -76,7 +76,7 @@
   delta.zone = after.zone;
   compare_offers(delta, before.services, after.services);
   compare_gateways(delta, before.gateways, after.gateways);
-  if (before.offers != after.offers) delta.service_names = after.offers;
+  if (before.service_names != after.service_names) delta.service_names = after.service_names;
   // Entries that aren't sorted can't be expressed as a delta.
   ZoneEntry reached = before;
   apply_entry_delta(reached, delta);
@@ -105,7 +105,7 @@
            delta.gateways_removed.end();
   });
   for (Member const& gateway : delta.gateways_set) insert_or_replace(entry.gateways, gateway, member_precedes);
-  if (delta.service_names) entry.offers = *delta.service_names;
+  if (delta.service_names) entry.service_names = *delta.service_names;
 }
 
 }  // namespace banktide
--- a/tests/coordination/key_table_feed_test.cpp
+++ b/tests/coordination/key_table_feed_test.cpp
@@ -26,7 +26,7 @@
     if (kind == ZoneUpdate::kind) {
       Result<ZoneUpdate> const update = unpack<ZoneUpdate>(raw);
       ASSERT_TRUE(update);
-      add_values(update->layouts);
+      add_values(update->values);
       for (KeyDelta const& delta : update->key_deltas) add(delta);
     }
     if (kind == ChosenValue::kind) {
--- a/tests/coordination/zone_feed_test.cpp
+++ b/tests/coordination/zone_feed_test.cpp
@@ -112,7 +112,7 @@
     entry.gateways.push_back(Member{node, "b", node + ":1", Role::gateway, 1, Liveness::alive});
     entry.services.push_back(ServiceOffer{"s", node, node + ":1", 8, 2, 0});
   }
-  entry.offers = {"s"};
+  entry.service_names = {"s"};
   t.feed->update_zone_entry(entry);
   Position const seen = t.feed->position();
   for (std::size_t i = 0; i < entry.services.size(); i += 3) entry.services[i].running = 5;
@@ -145,7 +145,7 @@
   t.join("n1", {backend("s", "i1", 32, 5, 1), backend("s", "i2", 32, 4)});
   t.join("n2", {backend("s", "i3", 8, 3), backend("other", "i4", 0, 77, 7)});
   ZoneEntry const e = t.feed->entry();
-  EXPECT_EQ(e.offers, (std::vector<std::string>{"other", "s"}));
+  EXPECT_EQ(e.service_names, (std::vector<std::string>{"other", "s"}));
   EXPECT_EQ(e.gateways.size(), 2u);
   std::vector<ServiceOffer> const offers{
       {"other", "n2", "n2:1", 0, 0, 0}, {"s", "n1", "n1:1", 64, 16, 8}, {"s", "n2", "n2:1", 8, 3, 0}};
--- a/tests/protocol/wire_format_test.cpp
+++ b/tests/protocol/wire_format_test.cpp
@@ -269,7 +269,7 @@
                               .role = Role::gateway,
                               .incarnation = 10000000009u,
                               .liveness = Liveness::leaving}},
-          .offers = {"s12"},
+          .service_names = {"s12"},
           .services = {ServiceOffer{
               .service = "s15", .node = "s16", .address = "s17", .slots = 70018, .running = 70019, .waiting = 70020}}},
       "020000007332010000000200000073350200000073360200000073370109e40b540200000002010000000300000073313201000000030000007331350300000073313603000000733137821101008311010084110100");
@@ -325,7 +325,7 @@
                                                          .role = Role::gateway,
                                                          .incarnation = 10000000031u,
                                                          .liveness = Liveness::leaving}},
-                                     .offers = {"s34"},
+                                     .service_names = {"s34"},
                                      .services = {ServiceOffer{.service = "s37",
                                                                .node = "s38",
                                                                .address = "s39",
@@ -374,7 +374,7 @@
                                                        .role = Role::gateway,
                                                        .incarnation = 10000000033u,
                                                        .liveness = Liveness::leaving}},
-                                   .offers = {"s36"},
+                                   .service_names = {"s36"},
                                    .services = {ServiceOffer{.service = "s39",
                                                              .node = "s40",
                                                              .address = "s41",
@@ -388,7 +388,7 @@
                "02e40b540200000003e40b5402000000020000007334");
   expect_bytes(
       ZoneUpdate{.at = Position{.epoch = 10000000003u, .seq = 10000000004u},
-                 .pulse = 10000000005u,
+                 .sequence = 10000000005u,
                  .has_quorum_reading = true,
                  .root = "s7",
                  .changes = {Change{
@@ -416,7 +416,7 @@
                                                        .role = Role::gateway,
                                                        .incarnation = 10000000039u,
                                                        .liveness = Liveness::leaving}},
-                                   .offers = {"s42"},
+                                   .service_names = {"s42"},
                                    .services = {ServiceOffer{.service = "s45",
                                                              .node = "s46",
                                                              .address = "s47",
@@ -442,10 +442,10 @@
                                                        .liveness = Liveness::leaving}},
                                                    .service_names = std::vector<std::string>{"s81"}}}},
                  .revisions = {10000000083u, 10000000084u, 10000000085u, 10000000086u, 10000000087u},
-                 .layouts = {{Register::keys, RegisterValue{.revision = 10000000092u,
-                                                            .bytes = "s93",
-                                                            .digest = 10000000094u,
-                                                            .requests = {{"s97", 10000000098u}}}}},
+                 .values = {{Register::keys, RegisterValue{.revision = 10000000092u,
+                                                           .bytes = "s93",
+                                                           .digest = 10000000094u,
+                                                           .requests = {{"s97", 10000000098u}}}}},
                  .key_deltas = {KeyDelta{
                      .from = 10000000101u, .to = 10000000102u, .digest = 10000000103u, .bytes = "s104"}},
                  .routing_deltas = {TextDelta{.from = 10000000107u, .to = 10000000108u, .bytes = "s109"}}},
@@ -476,7 +476,7 @@
                                                                                .role = Role::gateway,
                                                                                .incarnation = 10000000036u,
                                                                                .liveness = Liveness::leaving}},
-                                                           .offers = {"s39"},
+                                                           .service_names = {"s39"},
                                                            .services = {ServiceOffer{.service = "s42",
                                                                                      .node = "s43",
                                                                                      .address = "s44",
@@ -506,7 +506,7 @@
                                                                                  .role = Role::gateway,
                                                                                  .incarnation = 10000000079u,
                                                                                  .liveness = Liveness::leaving}},
-                                                             .offers = {"s82"},
+                                                             .service_names = {"s82"},
                                                              .services = {ServiceOffer{.service = "s85",
                                                                                        .node = "s86",
                                                                                        .address = "s87",
@@ -580,7 +580,7 @@
   EXPECT_EQ(Join::kind, 13);
   expect_bytes(RegistryEntry{.zone = "s2", .address = "s3", .age_ms = 70004}, "02000000733202000000733374110100");
   expect_bytes(RegistryExchangeReply{.registries = {RegistryEntry{.zone = "s4", .address = "s5", .age_ms = 70006}},
-                                     .cores = 70007},
+                                     .registry_count = 70007},
                "010000000200000073340200000073357611010077110100");
   expect_bytes(RegistryExchange{.registries = {RegistryEntry{.zone = "s4", .address = "s5", .age_ms = 70006}}},
                "0100000002000000733402000000733576110100");
@@ -616,7 +616,7 @@
                                                               .role = Role::gateway,
                                                               .incarnation = 10000000010u,
                                                               .liveness = Liveness::leaving}},
-                                          .offers = {"s13"},
+                                          .service_names = {"s13"},
                                           .services = {ServiceOffer{.service = "s16",
                                                                     .node = "s17",
                                                                     .address = "s18",
--- a/tests/state/zone_entry_delta_test.cpp
+++ b/tests/state/zone_entry_delta_test.cpp
@@ -25,7 +25,8 @@
         service, id, address, 8, static_cast<std::uint32_t>(random() % 8), static_cast<std::uint32_t>(random() % 3)};
   }
   for (auto const& [key, offer] : offers) {
-    if (entry.offers.empty() || entry.offers.back() != offer.service) entry.offers.push_back(offer.service);
+    if (entry.service_names.empty() || entry.service_names.back() != offer.service)
+      entry.service_names.push_back(offer.service);
     entry.services.push_back(offer);
   }
   return entry;
@@ -57,7 +58,7 @@
     before.gateways.push_back(Member{node, "jhb-a", "10.1.0.20:7120", Role::gateway, 1, Liveness::alive});
     before.services.push_back(ServiceOffer{"huvo11a", node, "10.1.0.20:7120", 8, 3, 0});
   }
-  before.offers = {"huvo11a"};
+  before.service_names = {"huvo11a"};
   ZoneEntry after = before;
   for (std::size_t i = 0; i < 5; ++i) after.services[9 * i].running = 4;
   Change whole, changed;
