--- a/tests/protocol/wire_format_test.cpp
+++ b/tests/protocol/wire_format_test.cpp
@@ -865,7 +865,7 @@
                         .lead = 10000000006,
                         .return_time = 10000000007,
                         .phase = MaintenancePhase::returning,
-                        .left = 10000000009},
+                        .remaining = 10000000009},
       "02e40b540200000002000000733304e40b540200000005e40b540200000006e40b540200000007e40b54020000000309e40b5402000000");
   expect_bytes(KeyHolderRecord{.instance = "s2", .node = "s3", .address = "s4", .zone = "s5"},
                "020000007332020000007333020000007334020000007335");
@@ -966,7 +966,7 @@
                                     .lead = 10000000056,
                                     .return_time = 10000000057,
                                     .phase = MaintenancePhase::returning,
-                                    .left = 10000000059}};
+                                    .remaining = 10000000059}};
   EXPECT_EQ(
       hexadecimal(pack_maintenance(plan)),
       "0100000034e40b54020000000300000073353336e40b540200000037e40b540200000038e40b540200000039e40b5402000000033be40b5402000000");
