--- a/tests/coordination/key_trial_test.cpp
+++ b/tests/coordination/key_trial_test.cpp
@@ -35,7 +35,7 @@
   std::mt19937_64 chance;
 
   void after(Duration const d, std::function<void()> run) {
-    queue.send_urgent(Event{now + d, ++events, std::move(run)});
+    queue.push(Event{now + d, ++events, std::move(run)});
   }
   void run_for(Duration const d) {
     Instant const end = now + d;
