--- a/source/state/key_planner.cpp
+++ b/source/state/key_planner.cpp
@@ -46,7 +46,7 @@
   if (backend.last_report == Instant{}) {
     ++service.known;
     service.last_new_backend = now;
-    backend.first_heard = now;
+    backend.first_report = now;
   }
   backend.last_report = now;
   service.rates.update(now, report);
@@ -62,8 +62,8 @@
   for (KeyRowLoad const& load : backend.report.held) demand += std::max(0.0F, load.rate);
   if (demand <= 0) return;
   double const measured_capacity = backend.report.capacity > 0 ? backend.report.capacity : demand / backend.report.busy;
-  ++backend.measured;
-  double const weight = std::max(least_capacity_weight, 1.0 / static_cast<double>(backend.measured));
+  ++backend.capacity_samples;
+  double const weight = std::max(least_capacity_weight, 1.0 / static_cast<double>(backend.capacity_samples));
   backend.capacity += (measured_capacity - backend.capacity) * weight;
 }
 
@@ -95,7 +95,7 @@
          now - backend.last_report <= settings_.report_valid_for && !ended(backend.report.instance);
 }
 
-bool KeyPlanner::eligible(Backend const& backend, Instant const now) const {
+bool KeyPlanner::is_eligible(Backend const& backend, Instant const now) const {
   return is_serving(backend, now) && !is_vacated(backend.report.zone);
 }
 
@@ -140,7 +140,7 @@
   remove_expired(now);
   KeyTable next = table_;
   next.revision = table_.revision + 1;
-  for (std::pair<std::string const, ServiceState> const& known : services_) create(next, known.first, now);
+  for (std::pair<std::string const, ServiceState> const& known : services_) create_rows(next, known.first, now);
   for (KeyService& service : next.services) {
     if (service.rows.empty()) continue;
     find_zones_to_vacate(service.name, now);
@@ -149,7 +149,7 @@
     Recipients all = recipients(next, service, now);
     finish_moves(next, service, all);
     assign_free(service, all);
-    drain(next, service, all);
+    move_rows_off_draining(next, service, all);
     fill_newcomers(next, service, all);
     rebalance(next, service, all, now);
   }
@@ -162,7 +162,7 @@
 
 // Creates the first rows of a service, assigned in turn in proportion to the backends' slots, so
 // that no two neighbouring rows have the same holder.
-void KeyPlanner::create(KeyTable& table, std::string const& name, Instant const now) {
+void KeyPlanner::create_rows(KeyTable& table, std::string const& name, Instant const now) {
   if (table.service(name) != nullptr) return;
   ServiceState const& state = services_[name];
   Duration const gathered = now - state.first_report;
@@ -181,8 +181,8 @@
     std::size_t best = all.size();
     for (std::size_t t = 0; t < all.size(); ++t) {
       credit[t] += all[t].backend->report.slots / slots;
-      bool const beside = i > 0 && all.size() > 1 && service.rows[i - 1].holder == all[t].holder_index;
-      if (!beside && (best == all.size() || credit[t] > credit[best])) best = t;
+      bool const is_neighbour = i > 0 && all.size() > 1 && service.rows[i - 1].holder == all[t].holder_index;
+      if (!is_neighbour && (best == all.size() || credit[t] > credit[best])) best = t;
     }
     credit[best] -= 1;
     KeyRow row;
@@ -209,10 +209,10 @@
     std::string const& instance = table.holders[row.holder].instance;
     if (ended(instance)) continue;
     Backend const* const backend = backend_of(instance);
-    bool const back =
+    bool const has_returned =
         backend != nullptr && backend->report.leased && now - backend->last_report <= settings_.report_valid_for;
     if (row.revoked == 0 && silent_for(instance, now) > patience) row.revoked = table.revision;
-    if (row.revoked != 0 && back) row.revoked = 0;
+    if (row.revoked != 0 && has_returned) row.revoked = 0;
   }
 }
 
@@ -225,9 +225,9 @@
     KeyReport const& report = backend.report;
     if (report.node != ended_holder.node || report.service != service || ended(report.instance)) continue;
     if (is_vacated(report.zone)) continue;
-    bool const may_hold = report.leased || now - backend.first_heard <= settings_.successor_grace;
-    bool const here = now - backend.last_report <= settings_.report_valid_for;
-    if (may_hold && here && report.state == KeyHolderState::serving) return &backend;
+    bool const may_hold = report.leased || now - backend.first_report <= settings_.successor_grace;
+    bool const is_recent = now - backend.last_report <= settings_.report_valid_for;
+    if (may_hold && is_recent && report.state == KeyHolderState::serving) return &backend;
   }
   return nullptr;
 }
@@ -258,7 +258,7 @@
   Recipients all;
   for (std::pair<std::string const, Backend>& known : backends_) {
     Backend& backend = known.second;
-    if (backend.report.service != service.name || !eligible(backend, now)) continue;
+    if (backend.report.service != service.name || !is_eligible(backend, now)) continue;
     Recipient recipient;
     recipient.backend = &backend;
     recipient.holder_index = table.add_holder(record_of(backend.report));
@@ -286,10 +286,10 @@
     auto const holds = [&](KeyRow const& r) {
       return r.next == recipient.holder_index || r.holder == recipient.holder_index;
     };
-    bool const beside =
+    bool const is_neighbour =
         (row > 0 && holds(service.rows[row - 1])) || (row + 1 < service.rows.size() && holds(service.rows[row + 1]));
     double const mean = recipients.empty() ? 1 : 1.0 / static_cast<double>(recipients.size());
-    double const cost = recipient.cost + width_weight * recipient.width / mean + (beside ? neighbour_cost : 0);
+    double const cost = recipient.cost + width_weight * recipient.width / mean + (is_neighbour ? neighbour_cost : 0);
     if (cost >= least) continue;
     least = cost;
     best = &recipient;
@@ -381,7 +381,7 @@
 
 // A draining backend ends soon and gives up all rows at once; a backend in a withheld zone has
 // more time and gives up a few rows at a time.
-void KeyPlanner::drain(KeyTable& table, KeyService& service, Recipients& recipients) {
+void KeyPlanner::move_rows_off_draining(KeyTable& table, KeyService& service, Recipients& recipients) {
   std::map<std::uint16_t, std::size_t> leaving;
   for (KeyRow const& row : service.rows) leaving[row.holder] += row.moving != 0;
   for (std::size_t i = 0; i < service.rows.size(); ++i) {
--- a/source/state/key_planner.hpp
+++ b/source/state/key_planner.hpp
@@ -34,12 +34,12 @@
  private:
   struct Backend {
     KeyReport report;
-    Instant first_heard{};
+    Instant first_report{};
     Instant last_report{};
-    Instant settling_until{};  // it takes no part in fine rebalancing until then
-    double capacity = 0;       // requests per second, smoothed over its reports; 0: unknown
-    std::size_t measured = 0;  // reports that gave its capacity
-    bool filling = false;      // new: it is being given its first share
+    Instant settling_until{};          // it takes no part in fine rebalancing until then
+    double capacity = 0;               // requests per second, smoothed over its reports; 0: unknown
+    std::size_t capacity_samples = 0;  // reports that gave its capacity
+    bool filling = false;              // new: it is being given its first share
   };
   struct ServiceState {
     Instant first_report{};
@@ -64,7 +64,7 @@
   Backend* backend_of(std::string const& instance);
   bool ended(std::string const& instance) const { return ended_.contains(instance); }
   bool is_serving(Backend const& backend, Instant now) const;
-  bool eligible(Backend const& backend, Instant now) const;
+  bool is_eligible(Backend const& backend, Instant now) const;
   void find_zones_to_vacate(std::string const& service, Instant now);
   bool is_vacated(std::string const& zone) const { return zones_to_vacate_.contains(zone); }
   Duration silent_for(std::string const& instance, Instant now) const;
@@ -75,13 +75,13 @@
   static Recipient* pick(Recipients& recipients, KeyService const& service, std::size_t row, std::size_t rows_limit);
   double row_cost(KeyTable const& table, KeyRow const& row) const;
 
-  void create(KeyTable& table, std::string const& name, Instant now);
+  void create_rows(KeyTable& table, std::string const& name, Instant now);
   void revoke_and_restore(KeyTable& table, KeyService& service, Instant now);
   void free_rows(KeyTable& table, KeyService& service, Instant now);
   Backend const* successor_of(KeyHolderRecord const& ended_holder, std::string const& service, Instant now) const;
   void finish_moves(KeyTable& table, KeyService& service, Recipients& recipients);
   void assign_free(KeyService& service, Recipients& recipients);
-  void drain(KeyTable& table, KeyService& service, Recipients& recipients);
+  void move_rows_off_draining(KeyTable& table, KeyService& service, Recipients& recipients);
   void fill_newcomers(KeyTable& table, KeyService& service, Recipients& recipients);
   static void update_capacity(Backend& backend);
   static double capacity_of_slot(Recipients const& recipients);
--- a/tests/coordination/key_trial_test.cpp
+++ b/tests/coordination/key_trial_test.cpp
@@ -34,9 +34,7 @@
   std::priority_queue<Event> queue;
   std::mt19937_64 chance;
 
-  void after(Duration const d, std::function<void()> run) {
-    queue.push(Event{now + d, ++events, std::move(run)});
-  }
+  void after(Duration const d, std::function<void()> run) { queue.push(Event{now + d, ++events, std::move(run)}); }
   void run_for(Duration const d) {
     Instant const end = now + d;
     while (!queue.empty() && queue.top().at <= end) {
--- a/tests/data_path/request_path_test.cpp
+++ b/tests/data_path/request_path_test.cpp
@@ -98,7 +98,7 @@
   }
 
   /** Assigns every key of `accounts` to the backend of this node. */
-  void give_keys_to(std::string const& node) {
+  void assign_keys_to(std::string const& node) {
     std::shared_ptr<KeyTable> table = std::make_shared<KeyTable>();
     table->add_holder(KeyHolderRecord{"i-1", node, node + ":1", "zone-1"});
     KeyRow row;
@@ -125,18 +125,18 @@
     return q;
   }
 
-  HttpReply play(HttpRequest q) {
+  HttpReply send(HttpRequest q) {
     std::optional<HttpReply> out;
-    spawn(*own.process, [](RequestTrial& t, HttpRequest question, std::optional<HttpReply>& to) -> Task<void> {
+    spawn(*own.process, [](RequestTrial& t, HttpRequest request_to_send, std::optional<HttpReply>& to) -> Task<void> {
       std::shared_ptr<HttpExchange> exchange = std::make_shared<HttpExchange>();
-      to = co_await t.path->handle(std::move(question), exchange);
+      to = co_await t.path->handle(std::move(request_to_send), exchange);
     }(*this, std::move(q), out));
     sim.run_until(sim.now + 5s);
     EXPECT_TRUE(out.has_value());
     return out.value_or(HttpReply{});
   }
 
-  std::size_t arrivals() const {
+  std::size_t received_requests() const {
     std::size_t all = 0;
     for (std::unique_ptr<AnsweringNode> const& node : nodes) all += node->seen.size();
     return all;
@@ -151,40 +151,40 @@
   std::unique_ptr<RequestPath<SimProcess, AnsweringNode>> path;
 };
 
-bool says_when_to_come_back(HttpReply const& reply) {
+bool has_retry_after(HttpReply const& reply) {
   return std::any_of(reply.headers.begin(), reply.headers.end(),
                      [](Header const& h) { return h.name == "Retry-After"; });
 }
 
 TEST(RequestPath, without_a_configuration_requests_are_refused) {
   RequestTrial trial;
-  HttpReply const reply = trial.play(RequestTrial::request("orders"));
+  HttpReply const reply = trial.send(RequestTrial::request("orders"));
   EXPECT_EQ(reply.status, 503);
-  EXPECT_TRUE(says_when_to_come_back(reply));
+  EXPECT_TRUE(has_retry_after(reply));
 }
 
 TEST(RequestPath, a_host_without_a_route_is_not_found) {
   RequestTrial trial;
   trial.configure();
-  EXPECT_EQ(trial.play(RequestTrial::request("nobody")).status, 404);
+  EXPECT_EQ(trial.send(RequestTrial::request("nobody")).status, 404);
 }
 
 TEST(RequestPath, a_request_without_an_attempt_id_or_key_is_invalid) {
   RequestTrial trial;
   trial.configure();
-  HttpRequest nameless = RequestTrial::request("orders");
-  nameless.headers.erase(nameless.headers.begin() + 1);
-  EXPECT_EQ(trial.play(nameless).status, 400);
+  HttpRequest without_id = RequestTrial::request("orders");
+  without_id.headers.erase(without_id.headers.begin() + 1);
+  EXPECT_EQ(trial.send(without_id).status, 400);
   HttpRequest keyless = RequestTrial::request("accounts");
   keyless.headers.pop_back();
-  EXPECT_EQ(trial.play(keyless).status, 400);
+  EXPECT_EQ(trial.send(keyless).status, 400);
 }
 
 TEST(RequestPath, returns_the_reply_of_the_chosen_node) {
   RequestTrial trial;
   trial.configure();
   AnsweringNode const& node = trial.add_node("n-1", answer(201));
-  EXPECT_EQ(trial.play(RequestTrial::request("orders")).status, 201);
+  EXPECT_EQ(trial.send(RequestTrial::request("orders")).status, 201);
   ASSERT_EQ(node.seen.size(), 1u);
   EXPECT_EQ(node.seen[0].attempt_id, "a-1");
   EXPECT_EQ(node.seen[0].service, "orders");
@@ -197,7 +197,7 @@
   AnsweringNode const& node = trial.add_node("n-1", answer(200));
   HttpRequest q = RequestTrial::request("orders");
   q.headers.push_back({"remaining", "400"});
-  trial.play(q);
+  trial.send(q);
   ASSERT_EQ(node.seen.size(), 1u);
   EXPECT_LE(node.seen[0].remaining_ms, 400u);
   EXPECT_GT(node.seen[0].remaining_ms, 0u);
@@ -209,7 +209,7 @@
   trial.add_node("n-1", refused(Refusal::busy, 40));
   trial.add_node("n-2", refused(Refusal::no_backend));
   trial.add_node("n-3", answer(200));
-  for (int i = 0; i < 10; ++i) EXPECT_EQ(trial.play(RequestTrial::request("orders")).status, 200);
+  for (int i = 0; i < 10; ++i) EXPECT_EQ(trial.send(RequestTrial::request("orders")).status, 200);
   EXPECT_EQ(trial.path->counts().retried, 0u);
 }
 
@@ -219,7 +219,7 @@
   trial.add_node("n-1", answer(200)).process->kill();
   trial.net.at.erase("n-1:1");
   trial.add_node("n-2", answer(200));
-  for (int i = 0; i < 10; ++i) EXPECT_EQ(trial.play(RequestTrial::request("orders")).status, 200);
+  for (int i = 0; i < 10; ++i) EXPECT_EQ(trial.send(RequestTrial::request("orders")).status, 200);
 }
 
 TEST(RequestPath, a_request_refused_everywhere_is_refused_with_a_retry_time) {
@@ -227,9 +227,9 @@
   trial.configure();
   trial.add_node("n-1", refused(Refusal::busy, 90));
   trial.add_node("n-2", refused(Refusal::busy, 40));
-  HttpReply const reply = trial.play(RequestTrial::request("orders"));
+  HttpReply const reply = trial.send(RequestTrial::request("orders"));
   EXPECT_EQ(reply.status, 503);
-  ASSERT_TRUE(says_when_to_come_back(reply));
+  ASSERT_TRUE(has_retry_after(reply));
   EXPECT_EQ(reply.headers.back().value, "0.040");
 }
 
@@ -238,10 +238,10 @@
   trial.configure();
   trial.add_node("n-1", unknown());
   trial.add_node("n-2", unknown());
-  HttpReply const reply = trial.play(RequestTrial::request("orders"));
+  HttpReply const reply = trial.send(RequestTrial::request("orders"));
   EXPECT_EQ(reply.status, 502);
-  EXPECT_FALSE(says_when_to_come_back(reply));
-  EXPECT_EQ(trial.arrivals(), 1u);
+  EXPECT_FALSE(has_retry_after(reply));
+  EXPECT_EQ(trial.received_requests(), 1u);
 }
 
 TEST(RequestPath, an_unknown_outcome_is_retried_if_the_route_is_repeatable) {
@@ -251,8 +251,8 @@
   trial.add_node("n-1", unknown());
   trial.add_node("n-2", unknown());
   trial.add_node("n-3", unknown());
-  EXPECT_EQ(trial.play(RequestTrial::request("orders")).status, 502);
-  EXPECT_EQ(trial.arrivals(), 2u);
+  EXPECT_EQ(trial.send(RequestTrial::request("orders")).status, 502);
+  EXPECT_EQ(trial.received_requests(), 2u);
   EXPECT_EQ(trial.path->counts().retried, 1u);
 }
 
@@ -262,9 +262,9 @@
   trial.configure();
   trial.add_node("n-1", answer(500));
   trial.add_node("n-2", answer(500));
-  HttpReply const reply = trial.play(RequestTrial::request("orders"));
+  HttpReply const reply = trial.send(RequestTrial::request("orders"));
   EXPECT_EQ(reply.status, 500);
-  EXPECT_EQ(trial.arrivals(), 2u);
+  EXPECT_EQ(trial.received_requests(), 2u);
 }
 
 TEST(RequestPath, a_request_that_may_have_run_is_not_refused) {
@@ -275,7 +275,7 @@
   AnsweringNode& second = trial.add_node("n-2", refused(Refusal::busy, 40));
   for (int i = 0; i < 20; ++i) {
     std::size_t const arrived = first.seen.size();
-    HttpReply const reply = trial.play(RequestTrial::request("orders"));
+    HttpReply const reply = trial.send(RequestTrial::request("orders"));
     std::uint16_t const expected = first.seen.size() > arrived ? 502 : 503;
     EXPECT_EQ(reply.status, expected);
   }
@@ -304,7 +304,7 @@
   }
   RequestPathSettings const settings;
   EXPECT_EQ(trial.path->counts().retried, requests * settings.retry_percent / 100 + settings.retry_margin);
-  EXPECT_EQ(trial.arrivals(), requests + trial.path->counts().retried);
+  EXPECT_EQ(trial.received_requests(), requests + trial.path->counts().retried);
 }
 
 TEST(RequestPath, clients_that_leave_are_counted_with_the_time_that_the_node_went_on_working) {
@@ -326,7 +326,7 @@
   EXPECT_EQ(counts.reset, 0u);
   EXPECT_EQ(counts.outlived, 1u);
   EXPECT_GE(counts.outlived_ms, 500u);
-  EXPECT_EQ(trial.play(RequestTrial::request("orders")).status, 200);
+  EXPECT_EQ(trial.send(RequestTrial::request("orders")).status, 200);
   EXPECT_EQ(counts.closed, 1u);
 }
 
@@ -335,30 +335,30 @@
   trial.configure();
   trial.add_node("n-1", answer(200));
   AnsweringNode& holder = trial.add_node("n-2", answer(200));
-  trial.give_keys_to("n-2");
-  EXPECT_EQ(trial.play(RequestTrial::request("accounts")).status, 200);
+  trial.assign_keys_to("n-2");
+  EXPECT_EQ(trial.send(RequestTrial::request("accounts")).status, 200);
   ASSERT_EQ(holder.seen.size(), 1u);
   EXPECT_EQ(holder.seen[0].key, 7);
   holder.reply = refused(Refusal::key_not_held);
-  EXPECT_EQ(trial.play(RequestTrial::request("accounts")).status, 503);
-  EXPECT_EQ(trial.arrivals(), 2u);
+  EXPECT_EQ(trial.send(RequestTrial::request("accounts")).status, 503);
+  EXPECT_EQ(trial.received_requests(), 2u);
 }
 
 TEST(RequestPath, a_request_on_a_key_without_a_holder_is_refused) {
   RequestTrial trial;
   trial.configure();
   trial.add_node("n-1", answer(200));
-  HttpReply const reply = trial.play(RequestTrial::request("accounts"));
+  HttpReply const reply = trial.send(RequestTrial::request("accounts"));
   EXPECT_EQ(reply.status, 503);
-  EXPECT_TRUE(says_when_to_come_back(reply));
-  EXPECT_EQ(trial.arrivals(), 0u);
+  EXPECT_TRUE(has_retry_after(reply));
+  EXPECT_EQ(trial.received_requests(), 0u);
 }
 
 TEST(RequestPath, a_request_to_another_zone_is_marked_as_crossed) {
   RequestTrial trial;
   trial.configure();
   AnsweringNode const& gateway = trial.add_node("n-far", answer(200), false);
-  EXPECT_EQ(trial.play(RequestTrial::request("orders")).status, 200);
+  EXPECT_EQ(trial.send(RequestTrial::request("orders")).status, 200);
   ASSERT_EQ(gateway.seen.size(), 1u);
   EXPECT_TRUE(gateway.seen[0].crossed);
 }
@@ -400,8 +400,8 @@
   t.configuration.tenants = std::vector<Tenant>{{"mill", {"k1"}, 6}, {"forge", {"k2"}, std::nullopt}};
   t.configure();
   AnsweringNode& node = t.add_node("n1", answer(200));
-  EXPECT_EQ(t.play(request_with_key("k1")).status, 200);
-  EXPECT_EQ(t.play(request_with_key("k2")).status, 200);
+  EXPECT_EQ(t.send(request_with_key("k1")).status, 200);
+  EXPECT_EQ(t.send(request_with_key("k2")).status, 200);
   ASSERT_EQ(node.seen.size(), 2u);
   EXPECT_EQ(node.seen[0].tenant, "mill");
   EXPECT_EQ(node.seen[0].rank, 6u);
@@ -416,10 +416,10 @@
   t.configuration.tenants = std::vector<Tenant>{{"mill", {"k1"}, std::nullopt}, {"forge", {}, std::nullopt}};
   t.configure();
   AnsweringNode& node = t.add_node("n1", answer(200));
-  t.play(request_with_key("k1"));
+  t.send(request_with_key("k1"));
   std::swap((*t.configuration.tenants)[0].access_keys, (*t.configuration.tenants)[1].access_keys);
   t.configure();
-  t.play(request_with_key("k1"));
+  t.send(request_with_key("k1"));
   ASSERT_EQ(node.seen.size(), 2u);
   EXPECT_EQ(node.seen[0].tenant, "mill");
   EXPECT_EQ(node.seen[1].tenant, "forge");
--- a/tests/state/key_planner_test.cpp
+++ b/tests/state/key_planner_test.cpp
@@ -253,10 +253,10 @@
     for (Instant const end = now + d; now < end;) {
       measure();
       run(200ms);
-      look_at_moves();
+      record_moving_rows();
     }
   }
-  std::size_t look_at_moves() {
+  std::size_t record_moving_rows() {
     std::size_t rows = 0;
     double width = 0;
     for (KeyRow const& row : planner.table().services[0].rows) {
@@ -264,7 +264,7 @@
       ++rows;
       width += (row.to - row.from + 1) / 65536.0;
     }
-    most_moving = std::max(most_moving, width);
+    max_moving = std::max(max_moving, width);
     return rows;
   }
 
@@ -272,7 +272,7 @@
   bool loaded = false;
   std::uint16_t hot_key = 50001;
   double hot_key_rate = 0;
-  double most_moving = 0;
+  double max_moving = 0;
 };
 
 TEST(KeyPlanner, moves_several_rows_at_once_while_loads_differ_much_and_none_when_they_are_even) {
@@ -282,14 +282,14 @@
   fleet.measure();
   ASSERT_GT(fleet.utilisation_over_mean(), 1.25);
   fleet.run(100ms);
-  EXPECT_GT(fleet.look_at_moves(), 1u);
+  EXPECT_GT(fleet.record_moving_rows(), 1u);
   fleet.run_loaded(5s);
   fleet.measure();
   EXPECT_LT(fleet.utilisation_over_mean(), 1.3);
   fleet.run_loaded(30s);
   EXPECT_LT(fleet.utilisation_over_mean(), 1.2);
-  EXPECT_GT(fleet.most_moving, 0);
-  EXPECT_LE(fleet.most_moving, KeySettings{}.moving_width_limit);
+  EXPECT_GT(fleet.max_moving, 0);
+  EXPECT_LE(fleet.max_moving, KeySettings{}.moving_width_limit);
   std::size_t const plans = fleet.plans;
   fleet.run_loaded(60s);
   EXPECT_LT(fleet.plans - plans, 6u);
@@ -317,7 +317,7 @@
   KeyRow const& key = *service.row_of(fleet.hot_key);
   EXPECT_EQ(key.from, fleet.hot_key);
   EXPECT_EQ(key.to, fleet.hot_key);
-  EXPECT_GT(fleet.look_at_moves(), 0u);
+  EXPECT_GT(fleet.record_moving_rows(), 0u);
 }
 
 // A single key that is too hot for any backend can't be split: rows are moved once, and then no more
@@ -381,15 +381,15 @@
             report.released.push_back(KeyRelease{row.from, row.to, row.fence, row.moving, "token"});
       }
       run(100ms);
-      look();
+      record_moving_rows_by_holder();
       run(900ms);
-      look();
+      record_moving_rows_by_holder();
     }
   }
-  void look() {
+  void record_moving_rows_by_holder() {
     std::map<std::uint16_t, std::size_t> moving;
     for (KeyRow const& row : planner.table().services[0].rows)
-      if (row.moving != 0) most_moving = std::max(most_moving, ++moving[row.holder]);
+      if (row.moving != 0) max_moving = std::max(max_moving, ++moving[row.holder]);
   }
   std::size_t rows_in(std::string const& zone) const {
     std::size_t rows = 0;
@@ -404,7 +404,7 @@
     for (KeyRow const& row : planner.table().services[0].rows) rows += row.fence > 1 && row.handover.empty();
     return rows;
   }
-  std::size_t most_moving = 0;
+  std::size_t max_moving = 0;
 };
 
 TEST(KeyPlanner, a_withheld_zone_gives_up_its_rows_a_few_at_a_time_and_gets_none) {
@@ -415,8 +415,8 @@
   fleet.run_with_releases(20s);
   EXPECT_EQ(fleet.rows_in("east"), 0u);
   EXPECT_EQ(fleet.without_token(), 0u);
-  EXPECT_GT(fleet.most_moving, 0u);
-  EXPECT_LE(fleet.most_moving, KeySettings{}.moving_rows_limit);
+  EXPECT_GT(fleet.max_moving, 0u);
+  EXPECT_LE(fleet.max_moving, KeySettings{}.moving_rows_limit);
   // The zone gets no rows for a new backend, the next incarnation of an old one, or free rows either.
   KeyReport& next_incarnation = fleet.add(4);
   next_incarnation.zone = "east";
