--- a/source/state/key_planner.cpp
+++ b/source/state/key_planner.cpp
@@ -44,7 +44,7 @@
   if (service.first_report == Instant{}) service.first_report = now;
   Backend& backend = backends_[report.instance];
   if (backend.last_report == Instant{}) {
-    ++service.known;
+    ++service.known_backends;
     service.last_new_backend = now;
     backend.first_report = now;
   }
--- a/source/state/key_planner.hpp
+++ b/source/state/key_planner.hpp
@@ -44,7 +44,7 @@
   struct ServiceState {
     Instant first_report{};
     Instant next_rebalance{};
-    std::size_t known = 0;
+    std::size_t known_backends = 0;
     Instant last_new_backend{};
     KeyRates rates;
     Instant leveling_until{};  // leveling goes on until then, once a backend was overloaded
