--- a/source/simulation/history.hpp
+++ b/source/simulation/history.hpp
@@ -346,12 +346,12 @@
     std::sort(sent.begin(), sent.end());
     for (std::size_t i = 0; i < extra_attempts.size(); ++i) {
       Instant const end = extra_attempts[i];
-      std::size_t const extra_attempts = static_cast<std::size_t>(std::count_if(
+      std::size_t const recent_extras = static_cast<std::size_t>(std::count_if(
           extra_attempts.begin(), extra_attempts.end(), [&](Instant const t) { return t > end - 10s && t <= end; }));
-      std::size_t const first_tries = static_cast<std::size_t>(std::upper_bound(sent.begin(), sent.end(), end) -
-                                                               std::lower_bound(sent.begin(), sent.end(), end - 10s));
-      if (extra_attempts > first_tries / 5 + 20) {
-        out.push_back(std::to_string(extra_attempts) + " extra tries to " + std::to_string(first_tries) +
+      std::size_t const recent_calls = static_cast<std::size_t>(std::upper_bound(sent.begin(), sent.end(), end) -
+                                                                std::lower_bound(sent.begin(), sent.end(), end - 10s));
+      if (recent_extras > recent_calls / 5 + 20) {
+        out.push_back(std::to_string(recent_extras) + " extra tries to " + std::to_string(recent_calls) +
                       " calls in the 10 s before " + ms(end));
         break;
       }
