--- a/source/state/version_claims.cpp
+++ b/source/state/version_claims.cpp
@@ -20,17 +20,17 @@
   return claim;
 }
 
-void add(RegisterValue& held, std::string claim, Revision const version) {
-  held.requests.emplace_back(std::move(claim), version);
-  if (held.requests.size() > max_claims) held.requests.erase(held.requests.begin());
+void add(RegisterValue& value, std::string claim, Revision const version) {
+  value.requests.emplace_back(std::move(claim), version);
+  if (value.requests.size() > max_claims) value.requests.erase(value.requests.begin());
 }
 
 }  // namespace
 
-VersionClaim find_claim(RegisterValue const& held, Revision const version, std::string_view const content) {
-  auto const claimed = std::find_if(held.requests.begin(), held.requests.end(),
+VersionClaim find_claim(RegisterValue const& value, Revision const version, std::string_view const content) {
+  auto const claimed = std::find_if(value.requests.begin(), value.requests.end(),
                                     [version](auto const& claim) { return claim.second == version; });
-  if (claimed == held.requests.end()) return VersionClaim::free;
+  if (claimed == value.requests.end()) return VersionClaim::free;
   return claimed->first == claim_digest(content) ? VersionClaim::same_content : VersionClaim::other_content;
 }
 
--- a/source/state/version_claims.hpp
+++ b/source/state/version_claims.hpp
@@ -21,7 +21,7 @@
   other_content,  // it was claimed with other content
 };
 
-VersionClaim find_claim(RegisterValue const& held, Revision const version, std::string_view const content);
+VersionClaim find_claim(RegisterValue const& value, Revision const version, std::string_view const content);
 
 /// Returns the value after an operator has sent `content` under `version`, given the newest value
 /// `now`: the new value if its number is higher, else `now` with the claim added. `bytes` is the
--- a/tests/coordination/key_table_feed_test.cpp
+++ b/tests/coordination/key_table_feed_test.cpp
@@ -92,7 +92,7 @@
     auto const step = [this](RegisterValue const& now) -> Result<RegisterValue> {
       Result<KeyTable> const table = unpack_key_table(now.bytes, now.revision);
       KeyTable const next = now.revision == 0 ? changes.first(264, 44) : changes.next(*table);
-      RegisterValue made = held_of(next);
+      RegisterValue made = register_value_of(next);
       made.requests = now.requests;
       return made;
     };
--- a/tests/state/compressed_values.hpp
+++ b/tests/state/compressed_values.hpp
@@ -8,14 +8,14 @@
 namespace banktide {
 
 inline RegisterValue compressed_value(Revision const revision, std::string const& text) {
-  RegisterValue held;
-  held.revision = revision;
-  held.bytes = compress(text);
-  held.digest = digest_of(held.bytes);
-  return held;
+  RegisterValue value;
+  value.revision = revision;
+  value.bytes = compress(text);
+  value.digest = digest_of(value.bytes);
+  return value;
 }
 
 /// Returns the value's text; empty if its bytes aren't a compressed text.
-inline std::string text_of(RegisterValue const& held) { return decompress(held.bytes).value_or(""); }
+inline std::string text_of(RegisterValue const& value) { return decompress(value.bytes).value_or(""); }
 
 }  // namespace banktide
--- a/tests/state/key_planner_test.cpp
+++ b/tests/state/key_planner_test.cpp
@@ -156,7 +156,7 @@
   std::vector<KeyRow> const before = fleet.planner.table().services[0].rows;
   std::uint16_t const former = fleet.planner.table().holder_index("i-2");
   KeyReport& report = fleet.reports[2];
-  report.ended.push_back(KeyEnd{"i-2", "a new life began beside the same node"});
+  report.ended.push_back(KeyEnd{"i-2", "a new incarnation started on the same node"});
   report.instance = "i-2-again";
   report.leased = false;  // as in the first moments of a node
   fleet.run(200ms);
@@ -184,7 +184,7 @@
   fleet.reports.back().leased = false;
   fleet.run(KeySettings{}.successor_grace + 500ms);
   EXPECT_FALSE(fleet.rows_by_holder().contains("i-2-again"));
-  fleet.reports.back().ended.push_back(KeyEnd{"i-2", "a new life began beside the same node"});
+  fleet.reports.back().ended.push_back(KeyEnd{"i-2", "a new incarnation started on the same node"});
   fleet.run(200ms);
   std::map<std::string, std::size_t> const rows = fleet.rows_by_holder();
   EXPECT_FALSE(rows.contains("i-2"));
--- a/tests/state/key_table_changes.hpp
+++ b/tests/state/key_table_changes.hpp
@@ -9,12 +9,12 @@
 
 namespace banktide {
 
-inline RegisterValue held_of(KeyTable const& table) {
-  RegisterValue held;
-  held.revision = table.revision;
-  held.bytes = pack_key_table(table);
-  held.digest = digest_of(held.bytes);
-  return held;
+inline RegisterValue register_value_of(KeyTable const& table) {
+  RegisterValue value;
+  value.revision = table.revision;
+  value.bytes = pack_key_table(table);
+  value.digest = digest_of(value.bytes);
+  return value;
 }
 
 class KeyTableChanges {
--- a/tests/state/key_table_delta_test.cpp
+++ b/tests/state/key_table_delta_test.cpp
@@ -15,10 +15,10 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     KeyTableChanges changes(seed);
     KeyTable table = changes.first(20 + changes.pick(200), 1 + changes.pick(40));
-    RegisterValue base = held_of(table);
+    RegisterValue base = register_value_of(table);
     for (int step = 0; step < 200; ++step) {
       table = changes.next(table);
-      RegisterValue const target = held_of(table);
+      RegisterValue const target = register_value_of(table);
       std::optional<KeyDelta> const delta = make_key_delta(base, target);
       if (delta) {
         Result<RegisterValue> const applied = apply_key_deltas(base, {*delta});
@@ -38,12 +38,12 @@
 TEST(KeyTableDelta, is_small_and_omits_rows_whose_holder_only_got_another_index) {
   KeyTableChanges changes(3);
   KeyTable const table = changes.first(264, 44);
-  RegisterValue const base = held_of(table);
+  RegisterValue const base = register_value_of(table);
   KeyTable moved = table;
   ++moved.revision;
   moved.services[0].rows[7].moving = moved.revision;
   moved.services[0].rows[7].next = 3;
-  EXPECT_LT(make_key_delta(base, held_of(moved))->bytes.size(), 90u);
+  EXPECT_LT(make_key_delta(base, register_value_of(moved))->bytes.size(), 90u);
   KeyTable reindexed = table;
   ++reindexed.revision;
   for (KeyService& service : reindexed.services)
@@ -51,17 +51,17 @@
       if (row.holder == 0) row.holder = 1;
   reindexed.remove_unused_holders();
   ASSERT_EQ(reindexed.holders.size(), 43u);
-  EXPECT_LT(make_key_delta(base, held_of(reindexed))->bytes.size(), base.bytes.size() / 10);
+  EXPECT_LT(make_key_delta(base, register_value_of(reindexed))->bytes.size(), base.bytes.size() / 10);
 }
 
 TEST(KeyTableDelta, a_chain_updates_every_earlier_version_and_no_other) {
   KeyTableChanges changes(4);
   KeyTable table = changes.first(100, 10);
-  std::vector<RegisterValue> versions{held_of(table)};
+  std::vector<RegisterValue> versions{register_value_of(table)};
   std::vector<KeyDelta> chain;
   for (int step = 0; step < 30; ++step) {
     table = changes.next(table);
-    versions.push_back(held_of(table));
+    versions.push_back(register_value_of(table));
     chain.push_back(*make_key_delta(versions[versions.size() - 2], versions.back()));
   }
   for (std::size_t i = 0; i + 1 < versions.size(); ++i)
@@ -70,7 +70,7 @@
   EXPECT_EQ(apply_key_deltas(RegisterValue{}, chain).error().reason, "made from another base revision");
   std::vector<KeyDelta> const gap{chain[0], chain[2]};
   EXPECT_EQ(apply_key_deltas(versions[0], gap).error().reason, "revisions out of order");
-  RegisterValue other = held_of(KeyTableChanges(99).first(100, 10));
+  RegisterValue other = register_value_of(KeyTableChanges(99).first(100, 10));
   EXPECT_FALSE(apply_key_deltas(other, chain)) << "the same number, another table";
 }
 
@@ -81,9 +81,9 @@
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     KeyTableChanges changes(seed);
     KeyTable table = changes.first(60, 12);
-    RegisterValue const base = held_of(table);
+    RegisterValue const base = register_value_of(table);
     for (int n = 0; n < 8; ++n) table = changes.next(table);
-    RegisterValue const target = held_of(table);
+    RegisterValue const target = register_value_of(table);
     KeyDelta const delta = *make_key_delta(base, target);
     auto const try_bytes = [&](Bytes const& bytes) {
       KeyDelta corrupt = delta;
@@ -119,17 +119,17 @@
 
 TEST(KeyTableDelta, none_is_made_from_invalid_tables_or_if_the_whole_is_as_small) {
   KeyTable const table = KeyTableChanges(6).first(10, 2);
-  RegisterValue const held = held_of(table);
+  RegisterValue const value = register_value_of(table);
   RegisterValue const garbage{9, "no table", digest_of("no table"), {}};
-  EXPECT_FALSE(make_key_delta(held, garbage));
-  EXPECT_FALSE(make_key_delta(garbage, RegisterValue{10, held.bytes, held.digest, {}}));
-  EXPECT_FALSE(make_key_delta(RegisterValue{}, held));
-  EXPECT_FALSE(make_key_delta(held, held));
+  EXPECT_FALSE(make_key_delta(value, garbage));
+  EXPECT_FALSE(make_key_delta(garbage, RegisterValue{10, value.bytes, value.digest, {}}));
+  EXPECT_FALSE(make_key_delta(RegisterValue{}, value));
+  EXPECT_FALSE(make_key_delta(value, value));
   KeyTable other = KeyTableChanges(7).first(10, 2);
   other.revision = 2;
   for (KeyService& service : other.services) service.name += "-other";
   for (KeyHolderRecord& holder : other.holders) holder.address += "9";
-  EXPECT_FALSE(make_key_delta(held, held_of(other)));
+  EXPECT_FALSE(make_key_delta(value, register_value_of(other)));
 }
 
 }  // namespace
--- a/tests/state/version_claims_test.cpp
+++ b/tests/state/version_claims_test.cpp
@@ -11,18 +11,18 @@
 namespace {
 
 TEST(VersionClaims, a_number_has_one_content_whether_it_is_current_or_outdated) {
-  RegisterValue held;
-  held = claim_version(held, 7, "first", "kept first");
-  EXPECT_EQ(held.revision, 7u);
-  EXPECT_EQ(held.bytes, "kept first");
-  EXPECT_EQ(find_claim(held, 7, "first"), VersionClaim::same_content);
-  EXPECT_EQ(find_claim(held, 7, "second"), VersionClaim::other_content);
-  EXPECT_EQ(find_claim(held, 8, "first"), VersionClaim::free);
+  RegisterValue value;
+  value = claim_version(value, 7, "first", "kept first");
+  EXPECT_EQ(value.revision, 7u);
+  EXPECT_EQ(value.bytes, "kept first");
+  EXPECT_EQ(find_claim(value, 7, "first"), VersionClaim::same_content);
+  EXPECT_EQ(find_claim(value, 7, "second"), VersionClaim::other_content);
+  EXPECT_EQ(find_claim(value, 8, "first"), VersionClaim::free);
 
-  RegisterValue const refused = claim_version(held, 7, "second", "kept second");
-  EXPECT_EQ(refused, held);
+  RegisterValue const refused = claim_version(value, 7, "second", "kept second");
+  EXPECT_EQ(refused, value);
 
-  RegisterValue const outdated = claim_version(held, 5, "late", "kept late");
+  RegisterValue const outdated = claim_version(value, 5, "late", "kept late");
   EXPECT_EQ(outdated.revision, 7u);
   EXPECT_EQ(outdated.bytes, "kept first");
   EXPECT_EQ(find_claim(outdated, 5, "late"), VersionClaim::same_content);
@@ -30,36 +30,36 @@
 }
 
 TEST(VersionClaims, a_value_written_before_claims_were_recorded_keeps_its_number) {
-  RegisterValue held;
-  held.revision = 7;
-  held.bytes = "kept first";
-  held.digest = digest_of(held.bytes);
-  RegisterValue const again = claim_version(held, 7, "first", "kept first");
+  RegisterValue value;
+  value.revision = 7;
+  value.bytes = "kept first";
+  value.digest = digest_of(value.bytes);
+  RegisterValue const again = claim_version(value, 7, "first", "kept first");
   EXPECT_EQ(find_claim(again, 7, "first"), VersionClaim::same_content);
-  RegisterValue const other = claim_version(held, 7, "second", "kept second");
+  RegisterValue const other = claim_version(value, 7, "second", "kept second");
   EXPECT_EQ(other.bytes, "kept first");
   EXPECT_EQ(find_claim(other, 7, "second"), VersionClaim::other_content);
 }
 
 TEST(VersionClaims, agrees_with_a_map_and_drops_only_the_oldest) {
   std::mt19937_64 chance(5);
-  RegisterValue held;
+  RegisterValue value;
   std::map<Revision, std::string> first;
   std::vector<Revision> order;
   for (int n = 0; n < 2000; ++n) {
     Revision const version = 1 + chance() % (10 + static_cast<std::uint64_t>(n));
     std::string const content = "content " + std::to_string(chance() % 3);
-    held = claim_version(held, version, content, "kept " + content);
+    value = claim_version(value, version, content, "kept " + content);
     bool const remembered = std::find(order.begin(), order.end(), version) != order.end();
     if (!remembered) {
       first[version] = content;
       order.push_back(version);
       if (order.size() > max_claims) order.erase(order.begin());
     }
-    ASSERT_EQ(held.requests.size(), order.size());
+    ASSERT_EQ(value.requests.size(), order.size());
     for (Revision const known : order) {
-      ASSERT_EQ(find_claim(held, known, first[known]), VersionClaim::same_content);
-      ASSERT_EQ(find_claim(held, known, "none of them"), VersionClaim::other_content);
+      ASSERT_EQ(find_claim(value, known, first[known]), VersionClaim::same_content);
+      ASSERT_EQ(find_claim(value, known, "none of them"), VersionClaim::other_content);
     }
   }
   EXPECT_EQ(order.size(), max_claims);
