--- a/source/coordination/register_client.hpp
+++ b/source/coordination/register_client.hpp
@@ -1,4 +1,4 @@
-// The proposer of the register, used by registries: each change is a prepare and an
+// The client side of the register, its proposer: each change is a prepare and an
 // accept round with a majority of the voters, based on the newest value that the
 // majority holds. Changes are thus ordered without a log or a leader; the caller
 // sets their revisions. A read is confirmed by a majority that holds the same
--- a/tests/coordination/store_trial.hpp
+++ b/tests/coordination/store_trial.hpp
@@ -77,7 +77,7 @@
     return true;
   }
 
-  /// What each running store knows of the set, for the message of a check that failed.
+  /// The voter set known to each running store, for failure messages.
   std::string describe() {
     std::string out;
     for (std::size_t i = 0; i < addresses.size(); ++i) {
@@ -91,7 +91,7 @@
     return out;
   }
 
-  // Whole calls, run to their end.
+  // Complete operations: each of these runs the simulation until the operation ends.
   Result<RegisterValue> put(std::size_t const client, Register const reg, Revision const revision,
                             std::string const bytes, Duration const patience = 5s) {
     auto const newer = [&](RegisterValue const& now) -> Result<RegisterValue> {
