--- a/source/coordination/node_state.hpp
+++ b/source/coordination/node_state.hpp
@@ -22,6 +22,7 @@
   std::size_t decisions_kept = 8192;
 };
 
+// The layout and the catalogue in force, with their revisions.
 struct Rules {
   Layout layout;
   Catalogue catalogue;
--- a/source/coordination/transit_delay.hpp
+++ b/source/coordination/transit_delay.hpp
@@ -44,6 +44,7 @@
   static std::int64_t microseconds_of(Instant const t) {
     return std::chrono::duration_cast<std::chrono::microseconds>(t.time_since_epoch()).count();
   }
+  // The smallest difference between the local and a sender's clock, in this window and in the one before.
   struct ClockOffset {
     Instant window_start{}, last_message{};
     std::int64_t smallest = 0, previous_smallest = 0;
--- a/source/coordination/zone_feed.hpp
+++ b/source/coordination/zone_feed.hpp
@@ -65,7 +65,7 @@
     auto const it = view_.members.find(q.self.id);
     bool const suspected = it != view_.members.end() && it->second.liveness == Liveness::suspected;
     if (suspected && q.self.liveness == Liveness::alive && q.self.incarnation <= it->second.incarnation) {
-      reply.incarnation = it->second.incarnation + 1;  // refute with this
+      reply.incarnation = it->second.incarnation + 1;  // the member refutes the suspicion with this one
       return reply;
     }
     if (!has_nodes()) begin_warm_up();
--- a/source/coordination/zone_follower.hpp
+++ b/source/coordination/zone_follower.hpp
@@ -246,7 +246,7 @@
   Task<NoReply> on_update(ZoneUpdate q) {
     last_contact_ = env_.now();
     bool const current = is_current(q);
-    if (current) pass_on(q);
+    if (current) forward_down(q);
     accept_values(std::move(q.values));
     accept_deltas(q.key_deltas, q.routing_deltas);
     if (!current) co_return NoReply{};
@@ -268,7 +268,7 @@
     return true;
   }
 
-  void pass_on(ZoneUpdate const& q) {
+  void forward_down(ZoneUpdate const& q) {
     neighbours_.follow(view_);
     std::vector<std::string> const below = neighbours_.relays();
     if (below.empty()) return;
--- a/tests/coordination/key_table_feed_test.cpp
+++ b/tests/coordination/key_table_feed_test.cpp
@@ -232,7 +232,7 @@
   EXPECT_FALSE(*fetched);
 }
 
-// ---- readings of the register
+// ---- confirmed readings of the register
 
 struct ReadingTrial : StoreTrial {
   explicit ReadingTrial(std::uint64_t const seed) : StoreTrial(seed, 4, 1) {
@@ -240,13 +240,13 @@
     EXPECT_TRUE(run_until([&] { return all_vote(4); }, 20s));
     for (std::unique_ptr<Dispatcher> const& dispatcher : dispatchers) watch_replies(*dispatcher, bytes);
   }
-  Result<ConfirmedRevision> confirm_revision(std::size_t const client, Duration const patience) {
+  Result<ConfirmedRevision> confirm_revision(std::size_t const client, Duration const timeout) {
     std::optional<Result<ConfirmedRevision>> done;
-    auto const ask_for_it = [&]() -> Task<void> {
-      done = co_await registers[client]->confirm_revision(Register::keys, 0, clients[client]->now() + patience);
+    auto const confirm_it = [&]() -> Task<void> {
+      done = co_await registers[client]->confirm_revision(Register::keys, 0, clients[client]->now() + timeout);
     };
-    spawn(*clients[client], ask_for_it());
-    run_until([&] { return done.has_value(); }, patience + 2s);
+    spawn(*clients[client], confirm_it());
+    run_until([&] { return done.has_value(); }, timeout + 2s);
     return done ? *done : Result<ConfirmedRevision>(make_error("confirm", "", "no end"));
   }
   TableBytes bytes;
@@ -261,7 +261,7 @@
     t.sim.heal();
     Instant const before = t.clients[1]->now();
     Result<ConfirmedRevision> const newest = t.confirm_revision(1, 2s);
-    if (!newest) continue;  // a voter may still hold an older ballot: not agreed
+    if (!newest) continue;  // a voter may still hold an older ballot, so that there is no agreement
     ++seen;
     EXPECT_EQ(newest->revision, n);
     EXPECT_GE(newest->as_of, before);
@@ -273,9 +273,8 @@
   EXPECT_FALSE(t.confirm_revision(1, 1s));
 }
 
-// Each voter holds a value under a ballot of its own: no quorum agrees, as while
-// rounds compete.
-void hold_apart(ReadingTrial& t, Revision const first) {
+// Gives each voter a value under a different ballot, so that no quorum agrees, as during competing rounds.
+void set_different_ballots(ReadingTrial& t, Revision const first) {
   for (std::size_t i = 0; i < t.addresses.size(); ++i) {
     Accept alone{Register::keys, Ballot{t.acceptors[i]->set().epoch, 1000 + i, 7}, RegisterValue{}};
     alone.held.revision = first + i;
@@ -294,21 +293,21 @@
 TEST(ConfirmedRevision, without_agreement_it_is_the_highest_of_a_quorum_in_one_round) {
   ReadingTrial t(5);
   ASSERT_TRUE(t.put(0, Register::keys, 7, "seven"));
-  hold_apart(t, 8);
-  std::size_t questions = 0;
+  set_different_ballots(t, 8);
+  std::size_t requests_seen = 0;
   t.net.before_reply = [&](SimProcess&, std::uint8_t const kind) {
-    questions += kind == ReadRegister::kind;
+    requests_seen += kind == ReadRegister::kind;
     return false;
   };
   Result<ConfirmedRevision> const newest = t.confirm_revision(1, 2s);
   ASSERT_TRUE(newest);
   EXPECT_EQ(newest->revision, 11u);
-  EXPECT_EQ(questions, 4u);
+  EXPECT_EQ(requests_seen, 4u);
 }
 
 TEST(ConfirmedRevision, a_register_that_was_never_written_is_confirmed_as_empty_without_a_write) {
   ReadingTrial t(6);
-  // The stores themselves may still be writing each register once in the new set.
+  // The stores may still be writing each register once in the new voter set, so only the client's messages count.
   std::size_t prepares = 0;
   t.net.on_send = [&](SimProcess const& from, Address const&, std::uint8_t const kind, Bytes const&) {
     prepares += kind == Prepare::kind && from.machine == "client-1";
@@ -322,7 +321,7 @@
 TEST(ConfirmedRevision, a_client_with_the_newest_value_reads_without_a_write_while_ballots_differ) {
   ReadingTrial t(7);
   ASSERT_TRUE(t.put(0, Register::keys, 7, "seven"));
-  hold_apart(t, 8);
+  set_different_ballots(t, 8);
   std::size_t prepares = 0;
   t.net.before_reply = [&](SimProcess&, std::uint8_t const kind) {
     prepares += kind == Prepare::kind;
@@ -346,14 +345,14 @@
   ReadingTrial t(8);
   ASSERT_TRUE(t.confirm_revision(1, 2s));
   for (std::size_t i = 0; i < 3; ++i) t.power_off(i);
-  std::size_t questions = 0;
+  std::size_t requests_seen = 0;
   t.net.before_reply = [&](SimProcess&, std::uint8_t const kind) {
-    questions += kind == ReadRegister::kind;
+    requests_seen += kind == ReadRegister::kind;
     return false;
   };
   EXPECT_FALSE(t.confirm_revision(1, 10s));
-  EXPECT_GE(questions, 8u);
-  EXPECT_LE(questions, 70u);
+  EXPECT_GE(requests_seen, 8u);
+  EXPECT_LE(requests_seen, 70u);
 }
 
 TEST(ConfirmedRevision, one_voter_sends_the_missing_value_and_another_one_if_the_first_fails) {
@@ -365,7 +364,7 @@
   ASSERT_TRUE(read);
   EXPECT_EQ(read->held.bytes, "seven");
   EXPECT_EQ(t.bytes.whole_tables, 1u);
-  // A voter that loses its power as it is about to send the value.
+  // A voter loses power just before it sends the value.
   std::size_t power_losses = 0;
   t.net.before_reply = [&](SimProcess& voter, std::uint8_t const kind) {
     if (kind != ReadRegister::kind || t.bytes.whole_tables != 2 || power_losses > 0) return false;
--- a/tests/coordination/zone_trial.hpp
+++ b/tests/coordination/zone_trial.hpp
@@ -23,8 +23,7 @@
     std::shared_ptr<SimProcess> process;
     std::shared_ptr<ZoneFollower<SimProcess>> follower;
     std::vector<BackendRecord> backends;
-    std::size_t min_members_seen =
-        0;  // smallest number of members smallest number of members in any view since `watch_views`
+    std::size_t min_members_seen = 0;  // since `reset_min_members`
     std::map<Register, std::string> values;
     std::vector<std::shared_ptr<ZoneFollower<SimProcess>>> former_followers;
   };
