--- a/tests/platform/configuration_reader_test.cpp
+++ b/tests/platform/configuration_reader_test.cpp
@@ -135,16 +135,16 @@
   EXPECT_TRUE(accepted(changed));
 }
 
-TEST(ConfigurationReader, RefusesAimsAMinuteOverTheTimeout) {
+TEST(ConfigurationReader, RefusesTargetLatenciesAMinuteOverTheTimeout) {
   Json changed = document();
   route(changed, 0)["releaseS"] = 0.3;
-  for (double const aim : {60.3, 61.0, 1e9, 1e300}) {
-    route(changed, 0)["targetS"] = aim;
-    EXPECT_FALSE(accepted(changed)) << aim;
+  for (double const target_latency : {60.3, 61.0, 1e9, 1e300}) {
+    route(changed, 0)["targetS"] = target_latency;
+    EXPECT_FALSE(accepted(changed)) << target_latency;
   }
-  for (double const aim : {0.0, 0.3, 0.4, 30.0, 60.299}) {
-    route(changed, 0)["targetS"] = aim;
-    EXPECT_TRUE(accepted(changed)) << aim;
+  for (double const target_latency : {0.0, 0.3, 0.4, 30.0, 60.299}) {
+    route(changed, 0)["targetS"] = target_latency;
+    EXPECT_TRUE(accepted(changed)) << target_latency;
   }
 }
 
