--- a/source/coordination/backend_handler.hpp
+++ b/source/coordination/backend_handler.hpp
@@ -91,7 +91,7 @@
     Index const s = n_.rules->layout.service_names.find(c.service);
     if (s == no_index) co_return not_run("backend", settings_.id, "the service is not in this node's layout");
     Service const& service = n_.rules->layout.services[s];
-    std::string const named = service.keyed() ? header_of(c.request, service.key_header) : "";
+    std::string const named = service.keyed() ? header_value(c.request, service.key_header) : "";
     if (service.keyed() != c.keyed || (c.keyed && (named.empty() || service.slice_of(named) != c.slice)))
       co_return not_run("slice", settings_.id, "the layouts disagree about the key's slice");
     ZoneChoice const choice = n_.choose(*n_.rules, s, c.slice);
@@ -117,7 +117,7 @@
     ++it->second.in_flight;
     std::uint16_t const port = it->second.record.port;
     HttpRequest q = std::move(c.request);
-    strip_hop(q.headers, true);
+    strip_hop_by_hop_headers(q.headers, true);
     q.headers.push_back({"banktide-service", c.service});
     q.headers.push_back({"banktide-instance", c.instance});
     q.headers.push_back({"banktide-deadline-ms", std::to_string(c.budget_ms)});
@@ -139,7 +139,7 @@
     bool const marked = std::any_of(reply->headers.begin(), reply->headers.end(),
                                     [](Header const& h) { return h.name == "banktide-not-run"; });
     if (marked) co_return not_run("backend_said", settings_.id, "the backend reports that the call did not run");
-    strip_hop(reply->headers, false);
+    strip_hop_by_hop_headers(reply->headers, false);
     co_return ForwardCallReply{Outcome::answered, std::move(*reply), "", "", ""};
   }
 
--- a/source/coordination/call_handler.hpp
+++ b/source/coordination/call_handler.hpp
@@ -59,7 +59,7 @@
     forwarded.service = service.name;
     forwarded.routing = rules->routing;
     if (service.keyed()) {
-      std::string const key = header_of(q, service.key_header);
+      std::string const key = header_value(q, service.key_header);
       if (key.empty())
         co_return drop_call(state_machine, id, *rules, service.name, 400,
                             Error{"find_key", settings_.id, "no key in header " + service.key_header, Proof::not_run});
@@ -67,7 +67,7 @@
       forwarded.slice = service.slice_of(key);
     }
     Duration time_limit = service.timeout;
-    std::string const asked = header_of(q, "banktide-timeout-ms");
+    std::string const asked = header_value(q, "banktide-timeout-ms");
     if (!asked.empty()) {
       if (asked.size() > 5 || asked.find_first_not_of("0123456789") != std::string::npos || std::stoul(asked) < 1)
         co_return drop_call(
@@ -84,7 +84,7 @@
                           Error{"decide", settings_.id, choice.refusal, Proof::not_run}, &forwarded);
     bool const repeatable = service.may_repeat(q.method);
     forwarded.request = std::move(q);
-    strip_hop(forwarded.request.headers, true);
+    strip_hop_by_hop_headers(forwarded.request.headers, true);
     state_machine.step(CallState::admitted);
     ++calls_in_flight_;
     HttpReply reply =
--- a/source/data_path/request_path.hpp
+++ b/source/data_path/request_path.hpp
@@ -77,7 +77,7 @@
     ++counts_.taken;
     std::shared_ptr<Router const> const router = router_;
     if (!router) co_return refusal("no configuration yet", not_ready_retry);
-    Route const* const route = router->match(header_of(request, "Host"), request.target);
+    Route const* const route = router->match(header_value(request, "Host"), request.target);
     if (route == nullptr) co_return plain_reply(404, "no route");
     AccessDecision const access = decide_access(*router, *route, request, access_lease_.valid(env_.now()));
     if (access.verdict != AccessDecision::Verdict::granted) co_return access_refused(access.verdict);
@@ -183,17 +183,17 @@
     Attempt attempt;
     Forward& f = attempt.forward;
     ServiceDefinition const& service = router.services()[Router::choose(route, env_.chance()())];
-    f.attempt_id = header_of(request, headers_.attempt_id);
+    f.attempt_id = header_value(request, headers_.attempt_id);
     if (f.attempt_id.empty()) return make_error("admit", "", "no attempt id", Proof::not_run);
     f.service = service.name;
     f.keyed = service.keyed;
     if (service.keyed) {
-      std::optional<std::uint32_t> const key = parse_key(header_of(request, headers_.key));
+      std::optional<std::uint32_t> const key = parse_key(header_value(request, headers_.key));
       if (!key) return make_error("admit", "", "no key", Proof::not_run);
       f.key = static_cast<std::uint16_t>(*key);
     }
     Duration time_limit = route.timeout;
-    std::optional<std::uint64_t> const remaining = parse_number(header_of(request, headers_.remaining_ms));
+    std::optional<std::uint64_t> const remaining = parse_number(header_value(request, headers_.remaining_ms));
     if (remaining) time_limit = std::min<Duration>(time_limit, std::chrono::milliseconds(*remaining));
     attempt.started = env_.now();
     attempt.deadline = attempt.started + time_limit;
--- a/source/programs/operator_interface.hpp
+++ b/source/programs/operator_interface.hpp
@@ -232,7 +232,8 @@
   }
 
   Task<HttpReply> put(Register const r, HttpRequest q) {
-    Proposal proposal{r, std::move(q.body), std::nullopt, header_of(q, "If-Match"), header_of(q, "banktide-request")};
+    Proposal proposal{r, std::move(q.body), std::nullopt, header_value(q, "If-Match"),
+                      header_value(q, "banktide-request")};
     Verdict const v = co_await propose(std::move(proposal));
     HttpReply reply = json_reply(v.status, v.json());
     if (v.status == 200) reply.headers.push_back({"ETag", quoted(v.revision)});
--- a/source/programs/operator_streams.hpp
+++ b/source/programs/operator_streams.hpp
@@ -86,7 +86,7 @@
  public:
   explicit OperatorStreams(Registry<Env>& r) : registry_(r), env_(r.environment()) {}
 
-  static constexpr std::size_t max_streams = 64, max_readers = 32, line_limit = 2 * layout_limit;
+  static constexpr std::size_t max_streams = 64, max_readers = 32, line_limit = 2 * default_json_limit;
 
   // POST /changes?stream=NAME
   template <LineSource In>
--- a/source/protocol/http_words.hpp
+++ b/source/protocol/http_words.hpp
@@ -29,28 +29,28 @@
   return std::any_of(headers.begin(), headers.end(), [&](Header const& h) { return same_name(h.name, name); });
 }
 
-inline std::string header_of(HttpRequest const& q, std::string_view const name) {
+inline std::string header_value(HttpRequest const& q, std::string_view const name) {
   for (Header const& h : q.headers)
     if (same_name(h.name, name)) return h.value;
   return "";
 }
 
-inline void strip_hop(std::vector<Header>& headers, bool const of_request) {
-  std::string named;
+inline void strip_hop_by_hop_headers(std::vector<Header>& headers, bool const is_request) {
+  std::string connection_tokens;
   auto const lower = [](std::string s) {
     for (char& ch : s) ch = static_cast<char>(std::tolower(static_cast<unsigned char>(ch)));
     return s;
   };
   for (Header const& h : headers)
-    if (lower(h.name) == "connection") named += "," + lower(h.value) + ",";
-  std::erase(named, ' ');
-  static std::set<std::string> const hop{
+    if (lower(h.name) == "connection") connection_tokens += "," + lower(h.value) + ",";
+  std::erase(connection_tokens, ' ');
+  static std::set<std::string> const hop_by_hop{
       "connection", "keep-alive",        "proxy-connection", "proxy-authenticate", "proxy-authorization", "te",
       "trailer",    "transfer-encoding", "upgrade",          "content-length"};
   std::erase_if(headers, [&](Header const& h) {
     std::string const n = lower(h.name);
-    return hop.contains(n) || n.starts_with("banktide-") || (of_request && (n == "host" || n == "expect")) ||
-           named.find("," + n + ",") != std::string::npos;
+    return hop_by_hop.contains(n) || n.starts_with("banktide-") || (is_request && (n == "host" || n == "expect")) ||
+           connection_tokens.find("," + n + ",") != std::string::npos;
   });
 }
 
--- a/source/protocol/json.cpp
+++ b/source/protocol/json.cpp
@@ -14,22 +14,23 @@
 Result<Json> parse_json(std::string const& bytes, std::size_t const limit) {
   if (bytes.size() > limit)
     return make_error("check_size", "", "over " + std::to_string(limit) + " bytes", Proof::not_run);
-  std::vector<std::set<std::string>> seen;
-  std::string twice;
-  bool deep = false;
-  Json::parser_callback_t const watch = [&](int const depth, Json::parse_event_t const event, Json& value) {
-    if (depth > 32) deep = true;
-    if (event == Json::parse_event_t::object_start) seen.emplace_back();
-    if (event == Json::parse_event_t::object_end) seen.pop_back();
-    if (event == Json::parse_event_t::key && !seen.back().insert(value.get<std::string>()).second && twice.empty())
-      twice = value.get<std::string>();
-    return !deep;
+  std::vector<std::set<std::string>> keys_of_open_objects;
+  std::string duplicate_key;
+  bool too_deep = false;
+  Json::parser_callback_t const check_event = [&](int const depth, Json::parse_event_t const event, Json& value) {
+    if (depth > 32) too_deep = true;
+    if (event == Json::parse_event_t::object_start) keys_of_open_objects.emplace_back();
+    if (event == Json::parse_event_t::object_end) keys_of_open_objects.pop_back();
+    if (event == Json::parse_event_t::key && !keys_of_open_objects.back().insert(value.get<std::string>()).second &&
+        duplicate_key.empty())
+      duplicate_key = value.get<std::string>();
+    return !too_deep;
   };
   try {
-    Json j = Json::parse(bytes, watch);
-    if (deep) return make_error("parse_json", "", "nested too deep", Proof::not_run);
-    if (!twice.empty())
-      return make_error("parse_json", "", "key \"" + twice + "\" stands twice in one object", Proof::not_run);
+    Json j = Json::parse(bytes, check_event);
+    if (too_deep) return make_error("parse_json", "", "nested too deep", Proof::not_run);
+    if (!duplicate_key.empty())
+      return make_error("parse_json", "", "key \"" + duplicate_key + "\" stands twice in one object", Proof::not_run);
     return j;
   } catch (Json::exception const& e) {
     return make_error("parse_json", "", e.what(), Proof::not_run);
--- a/source/simulation/sim_machines.hpp
+++ b/source/simulation/sim_machines.hpp
@@ -284,11 +284,11 @@
 
   void serve(std::size_t const node, std::uint16_t const port, HttpRequest q, Instant const deadline,
              std::function<void(Result<HttpReply>)> done) {
-    std::string const id = header_of(q, "call-id");
+    std::string const id = header_value(q, "call-id");
     auto const call = history_.calls.find(id);
     if (call != history_.calls.end() && call->second.machine == nodes_[node].machine)
       history_.attempts.push_back(
-          AttemptRecord{sim_.now, id, nodes_[node].machine, header_of(q, "banktide-instance"), true});
+          AttemptRecord{sim_.now, id, nodes_[node].machine, header_value(q, "banktide-instance"), true});
     sim_.after(200us, [this, node, port, q = std::move(q), deadline, done] {
       for (std::size_t i = 0; i < backends_.size(); ++i) {
         if (backends_[i].node != node || backends_[i].port != port || !backends_[i].alive) continue;
@@ -303,7 +303,8 @@
                    std::function<void(Result<HttpReply>)> const& done) {
     Backend& b = backends_[i];
     if (b.frozen) return;  // no answer until the deadline
-    bool const right = header_of(q, "banktide-service") == b.service && header_of(q, "banktide-instance") == b.instance;
+    bool const right =
+        header_value(q, "banktide-service") == b.service && header_value(q, "banktide-instance") == b.instance;
     if (!right && !b.accepts_misrouted) {
       HttpReply no;
       no.status = 421;
@@ -314,10 +315,10 @@
     bool const with_faults = faults_active();
     Duration work = std::chrono::milliseconds(1 + sim_.chance() % 15);
     if (with_faults && sim_.chance() % 200 == 0) work = history_.planned_only ? 1000ms : 1800ms;
-    if (hot_key_slow_ && header_of(q, "x-key") == "k0") work = 300ms;
+    if (hot_key_slow_ && header_value(q, "x-key") == "k0") work = 300ms;
     Instant const end = std::min(sim_.now + work, deadline);
-    std::string const id = header_of(q, "call-id"), epoch = header_of(q, "banktide-epoch");
-    history_.runs.push_back(RunRecord{id, b.service, b.instance, header_of(q, "x-key"), nodes_[b.node].zone,
+    std::string const id = header_value(q, "call-id"), epoch = header_value(q, "banktide-epoch");
+    history_.runs.push_back(RunRecord{id, b.service, b.instance, header_value(q, "x-key"), nodes_[b.node].zone,
                                       nodes_[b.node].machine, sim_.now, end, epoch.empty() ? 0 : std::stoull(epoch)});
     std::size_t const run = history_.runs.size() - 1;
     std::uint64_t const incarnation = b.incarnation;
--- a/source/simulation/sim_traffic.hpp
+++ b/source/simulation/sim_traffic.hpp
@@ -22,8 +22,8 @@
       if (kind != ForwardCall::kind) return;
       Result<ForwardCall> const c = unpack<ForwardCall>(raw);
       if (c)
-        history_.attempts.push_back(AttemptRecord{sim_.now, header_of(c->request, "call-id"), from.machine, c->instance,
-                                                  connected_both_ways(from.machine, net_.machine_of[to])});
+        history_.attempts.push_back(AttemptRecord{sim_.now, header_value(c->request, "call-id"), from.machine,
+                                                  c->instance, connected_both_ways(from.machine, net_.machine_of[to])});
     };
   }
   virtual ~SimTraffic() = default;
--- a/tests/programs/mesh_trial.hpp
+++ b/tests/programs/mesh_trial.hpp
@@ -291,7 +291,7 @@
       std::shared_ptr<FakeBackend> const backend = backend_;
       HttpReply reply;
       reply.headers.push_back({call.attempt_header, call.attempt_id});
-      std::string const key = header_of(call.request, "key");
+      std::string const key = header_value(call.request, "key");
       if (!key.empty() && !holds(*backend, static_cast<std::uint32_t>(std::stoul(key)))) {
         ++backend->requests_outside_its_keys;
         reply.status = 421;
--- a/tests/state/layout_test.cpp
+++ b/tests/state/layout_test.cpp
@@ -21,7 +21,8 @@
         Bad{R"({"cells":["a"],"services":{"s":{"timeout_ms":1}},"ways":[]})", "check_schema", "/services/s/timeout_ms"},
         Bad{R"({"cells":["a"],"services":{},"ways":[{"prefix":"/x","service":"y"}]})", "check_references",
             "/ways/0/service"},
-        Bad{std::string(layout_limit + 1, ' '), "check_size", ""}, Bad{std::string(100, '['), "parse_json", ""}}) {
+        Bad{std::string(default_json_limit + 1, ' '), "check_size", ""},
+        Bad{std::string(100, '['), "parse_json", ""}}) {
     Result<Layout> const l = Layout::read(b.text);
     ASSERT_FALSE(l) << b.text;
     EXPECT_EQ(l.error().step, b.step) << b.text;
