--- a/source/coordination/backend_handler.hpp
+++ b/source/coordination/backend_handler.hpp
@@ -5,7 +5,7 @@
 
 #include "coordination/node_state.hpp"
 #include "coordination/slice_leases.hpp"
-#include "protocol/http_words.hpp"
+#include "protocol/http_helpers.hpp"
 
 namespace banktide {
 
--- a/source/data_path/access_control.cpp
+++ b/source/data_path/access_control.cpp
@@ -1,7 +1,7 @@
 // Parsing of bearer credentials (RFC 6750), and the access decision.
 #include "data_path/access_control.hpp"
 
-#include "protocol/http_words.hpp"
+#include "protocol/http_helpers.hpp"
 
 #include <string_view>
 
--- a/source/data_path/local_backend.hpp
+++ b/source/data_path/local_backend.hpp
@@ -12,7 +12,7 @@
 #include "protocol/backend_heartbeat.hpp"
 #include "protocol/data_path_headers.hpp"
 #include "protocol/forward_messages.hpp"
-#include "protocol/http_words.hpp"
+#include "protocol/http_helpers.hpp"
 #include "transport/backend_connections.hpp"
 #include "transport/environment.hpp"
 
--- a/source/programs/maintenance_command.hpp
+++ b/source/programs/maintenance_command.hpp
@@ -2,7 +2,7 @@
 // registry, and the reply into an exit code for scripts.
 #pragma once
 
-#include "protocol/http_words.hpp"
+#include "protocol/http_helpers.hpp"
 
 #include <string>
 #include <tl/expected.hpp>
--- a/source/programs/maintenance_interface.hpp
+++ b/source/programs/maintenance_interface.hpp
@@ -5,7 +5,7 @@
 
 #include "coordination/maintenance_keeper.hpp"
 #include "coordination/voter_set.hpp"
-#include "protocol/http_words.hpp"
+#include "protocol/http_helpers.hpp"
 #include "state/key_table.hpp"
 
 #include <optional>
--- a/source/programs/operator_interface.hpp
+++ b/source/programs/operator_interface.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "coordination/register_client.hpp"
-#include "protocol/http_words.hpp"
+#include "protocol/http_helpers.hpp"
 #include "state/catalogue_edit.hpp"
 #include "state/layout.hpp"
 #include "state/slice_moves.hpp"
--- a/source/protocol/json.cpp
+++ b/source/protocol/json.cpp
@@ -30,7 +30,7 @@
     Json j = Json::parse(bytes, check_event);
     if (too_deep) return make_error("parse_json", "", "nested too deep", Proof::not_run);
     if (!duplicate_key.empty())
-      return make_error("parse_json", "", "key \"" + duplicate_key + "\" stands twice in one object", Proof::not_run);
+      return make_error("parse_json", "", "key \"" + duplicate_key + "\" occurs twice in one object", Proof::not_run);
     return j;
   } catch (Json::exception const& e) {
     return make_error("parse_json", "", e.what(), Proof::not_run);
--- a/tests/data_path/access_control_test.cpp
+++ b/tests/data_path/access_control_test.cpp
@@ -2,7 +2,7 @@
 #include "data_path/access_control.hpp"
 
 #include "data_path/access_lease.hpp"
-#include "protocol/http_words.hpp"
+#include "protocol/http_helpers.hpp"
 
 #include <gtest/gtest.h>
 
