--- a/source/transport/environment.hpp
+++ b/source/transport/environment.hpp
@@ -192,9 +192,9 @@
   std::size_t const n = peers.size();
   for (std::size_t i = 0; i < n; ++i) {
     spawn(env,
-          [](Env& environment, std::shared_ptr<Shared> s, Address peer, Q question, std::size_t at, std::size_t all,
+          [](Env& environment, std::shared_ptr<Shared> s, Address peer, Q request, std::size_t at, std::size_t all,
              Instant until) -> Task<void> {
-            Result<typename Q::Reply> r = co_await ask(environment, peer, std::move(question), until);
+            Result<typename Q::Reply> r = co_await ask(environment, peer, std::move(request), until);
             if (s->closed) co_return;
             s->replies.emplace_back(at, std::move(r));
             if (s->replies.size() == all || (*s->enough)(s->replies)) s->done.give(true);
--- a/tests/transport/socket_environment_test.cpp
+++ b/tests/transport/socket_environment_test.cpp
@@ -375,8 +375,8 @@
   bool closed = false;
   run_on_pool([&]() -> Task<void> {
     server.serve(dispatcher);
-    asio::ip::tcp::socket asker(server.io());
-    co_await asker.async_connect(*parse_address(here), asio::use_awaitable);
+    asio::ip::tcp::socket client(server.io());
+    co_await client.async_connect(*parse_address(here), asio::use_awaitable);
     Echo const request{"?"};
     SharedBytes const payload = pack_shared(request);
     std::string bytes(FrameHead::size, '\0');
@@ -386,7 +386,7 @@
       bytes.resize(FrameHead::size);
       frame.head.write(bytes.data());
       bytes += *payload;
-      co_await asio::async_write(asker, asio::buffer(bytes), asio::redirect_error(asio::use_awaitable, ec));
+      co_await asio::async_write(client, asio::buffer(bytes), asio::redirect_error(asio::use_awaitable, ec));
       most_queued = std::max(most_queued, server.queued().sum());
     }
     closed = true;
@@ -411,14 +411,14 @@
   std::size_t most_queued = 0, left_queued = 1;
   run_on_pool([&]() -> Task<void> {
     server.serve(dispatcher);
-    asio::ip::tcp::socket asker(server.io());
-    co_await asker.async_connect(*parse_address(here), asio::use_awaitable);
+    asio::ip::tcp::socket client(server.io());
+    co_await client.async_connect(*parse_address(here), asio::use_awaitable);
     Echo const request{"?"};
     std::vector<OutgoingFrame> const frames{OutgoingFrame::of(FrameType::ask, Echo::kind, 1, pack_shared(request))};
     std::string bytes(FrameHead::size, '\0');
     frames.front().head.write(bytes.data());
     bytes += *frames.front().payload;
-    co_await asio::async_write(asker, asio::buffer(bytes), asio::use_awaitable);
+    co_await asio::async_write(client, asio::buffer(bytes), asio::use_awaitable);
     Instant const give_up_at = server.now() + long_enough;
     while (server.queued().sum() == 0 && server.now() < give_up_at) co_await run_ready_tasks(server);
     most_queued = server.queued().sum();
@@ -434,7 +434,7 @@
 TEST(SocketEnvironment, responses_that_do_not_fit_the_queue_leave_other_requests_intact) {
   start_pool();
   for (std::size_t const size : {std::size_t{690} << 10, std::size_t{700} << 10, std::size_t{3} << 20}) {
-    SocketEnvironment server, asker;
+    SocketEnvironment server, client;
     Dispatcher dispatcher;
     dispatcher.on<Echo>([&server, size](Echo q) -> Task<Echo::Reply> {
       bool const small = q.text == "slow";
@@ -450,14 +450,14 @@
       server.serve(dispatcher);
       auto const ask_once = [&](std::string const text) -> Task<void> {
         Echo const request{text};
-        Result<Echo::Reply> const reply = co_await ask(asker, here, request, asker.now() + long_enough);
+        Result<Echo::Reply> const reply = co_await ask(client, here, request, client.now() + long_enough);
         answered += reply && reply->text.size() == (text == "slow" ? 4 : size);
         ++ended;
       };
-      spawn(asker, ask_once("slow"));
-      for (std::size_t i = 0; i < large_ones; ++i) spawn(asker, ask_once("?"));
-      while (ended < large_ones + 1) co_await run_ready_tasks(asker);
-      co_await asker.stop();
+      spawn(client, ask_once("slow"));
+      for (std::size_t i = 0; i < large_ones; ++i) spawn(client, ask_once("?"));
+      while (ended < large_ones + 1) co_await run_ready_tasks(client);
+      co_await client.stop();
       co_await server.stop();
     });
     EXPECT_EQ(answered, large_ones + 1) << size;
@@ -469,7 +469,7 @@
   start_pool();
   PeerLimits limits;
   limits.held_back_bytes = 2u << 20;
-  SocketEnvironment server(limits), asker;
+  SocketEnvironment server(limits), client;
   Dispatcher dispatcher;
   constexpr std::size_t size = 1u << 20;
   dispatcher.on<Echo>([&server](Echo) -> Task<Echo::Reply> {
@@ -484,16 +484,16 @@
     server.serve(dispatcher);
     auto const ask_once = [&]() -> Task<void> {
       Echo const request{"?"};
-      Result<Echo::Reply> const reply = co_await ask(asker, here, request, asker.now() + long_enough);
+      Result<Echo::Reply> const reply = co_await ask(client, here, request, client.now() + long_enough);
       (reply ? answered : failed) += 1;
       EXPECT_TRUE(reply || reply.error().proof != Proof::not_run);
     };
-    for (std::size_t i = 0; i < request_count; ++i) spawn(asker, ask_once());
+    for (std::size_t i = 0; i < request_count; ++i) spawn(client, ask_once());
     while (answered + failed < request_count) {
       most_queued = std::max(most_queued, server.queued().sum());
-      co_await run_ready_tasks(asker);
+      co_await run_ready_tasks(client);
     }
-    co_await asker.stop();
+    co_await client.stop();
     co_await server.stop();
   });
   EXPECT_GE(answered, limits.large.bytes / size) << "responses that fit are delivered";
@@ -505,7 +505,7 @@
   start_pool();
   PeerLimits limits;
   limits.accepted_request_bytes = 1u << 20;
-  SocketEnvironment server(limits), asker;
+  SocketEnvironment server(limits), client;
   Dispatcher dispatcher;
   std::size_t run = 0;
   dispatcher.on<Echo>([&server, &run](Echo q) -> Task<Echo::Reply> {
@@ -520,7 +520,7 @@
     server.serve(dispatcher);
     auto const ask_once = [&](std::size_t const size) -> Task<void> {
       Echo const request{std::string(size, 'x')};
-      Result<Echo::Reply> const reply = co_await ask(asker, here, request, asker.now() + long_enough);
+      Result<Echo::Reply> const reply = co_await ask(client, here, request, client.now() + long_enough);
       if (reply) {
         answers.push_back(reply->text);
         co_return;
@@ -528,11 +528,11 @@
       EXPECT_EQ(reply.error().proof, Proof::not_run);
       refusals.push_back(reply.error().step);
     };
-    for (std::size_t const size : {2000000, 700000, 100}) spawn(asker, ask_once(size));
-    while (answers.size() + refusals.size() < 3) co_await run_ready_tasks(asker);
+    for (std::size_t const size : {2000000, 700000, 100}) spawn(client, ask_once(size));
+    while (answers.size() + refusals.size() < 3) co_await run_ready_tasks(client);
     EXPECT_EQ(server.queued().accepted_requests, 0u);
     co_await ask_once(700000);
-    co_await asker.stop();
+    co_await client.stop();
     co_await server.stop();
   });
   EXPECT_EQ(run, 3u);
