--- a/tests/sources/source_rules.cpp
+++ b/tests/sources/source_rules.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-// A folder may include itself and every folder of a lower level. Transport and
-// protocol know each other: frames carry messages, messages end in results.
+// A folder may include itself and every folder of the same or a lower layer. Transport
+// and protocol share a layer: frames carry messages, and messages end in a Result.
 std::map<std::string, int> const layer_of_folder{
     {"protocol", 1},  {"transport", 1}, {"state", 2},      {"coordination", 3},
     {"data_path", 4}, {"programs", 5},  {"simulation", 6}, {"platform", 7},
@@ -22,14 +22,14 @@
 constexpr std::string_view source_folder = "source/";
 constexpr std::string_view main_suffix = "_main.cpp";
 
-// The part of a path that names its level: "state" for source/state/pick.hpp.
+// The folder that determines the layer of a path: "state" for source/state/pick.hpp.
 std::string folder_of(std::string_view path) {
   if (path.starts_with(source_folder)) path.remove_prefix(source_folder.size());
   return std::string(path.substr(0, path.find('/')));
 }
 
-// The platform's folder is included by the programs' mains alone, and includes of
-// the product what its adapter is made of: messages, state and results.
+// Only the programs' main files may include the platform folder. The platform may include
+// what its adapter is built from: protocol (messages), state and transport (results).
 bool is_include_allowed(std::string const& path, std::string const& included) {
   std::string const from = folder_of(path);
   std::string const to = folder_of(included);
@@ -59,7 +59,7 @@
 
 bool is_identifier_character(char const c) { return is_word_character(c) || c == '_'; }
 
-/// What follows each use of a name, as a whole name, in a text.
+/// The rest of the text after each occurrence of `name` as a whole identifier.
 std::vector<std::string_view> text_after_uses(std::string_view const text, std::string_view const name) {
   std::vector<std::string_view> found;
   for (std::size_t at = text.find(name); at != std::string_view::npos; at = text.find(name, at + 1)) {
--- a/tests/sources/source_rules_test.cpp
+++ b/tests/sources/source_rules_test.cpp
@@ -1,4 +1,4 @@
-// The rules on made-up files, and then on this repository.
+// Tests of the source rules on made-up files, and the rules applied to this repository.
 #include "sources/source_rules.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 
 using Lines = std::vector<std::string>;
 
-// What stands today; an entry that is mended has to go from here too.
+// Upward includes that exist today. An entry must be removed here when its include is removed.
 Lines const known_violations{
     "source/protocol/interface_adapter.hpp -> state/service_configuration.hpp",
     "source/protocol/interface_adapter.hpp -> state/timing_bounds.hpp",
