--- a/source/programs/run_examples.sh
+++ b/source/programs/run_examples.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# Runs every command of docs/moving.md against a fleet of real processes under
-# its load, and then asks whether any rule broke.
+# Runs every command of docs/moving.md against a fleet of real processes under load,
+# and then checks that the fleet reports no broken rule.
 # usage: run_examples.sh BIN FOLDER DOCS
 set -euo pipefail
 bin=$1 folder=$2 docs=$3
--- a/tests/ci/run_tests_test.sh
+++ b/tests/ci/run_tests_test.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# Tests of .ci/run_tests on made-up build folders of tests that pass and fail.
+# Tests .ci/run_tests on generated build folders with passing and failing tests.
 # usage: run_tests_test.sh REPOSITORY
 set -uo pipefail
 run_tests=$1/.ci/run_tests
@@ -7,7 +7,7 @@
 trap 'rm -rf "$folder"' EXIT
 wrong=0
 
-# Writes the made-up tests: pairs of a name and the command it runs.
+# Generates a ctest file from pairs of arguments: a test name and the command that it runs.
 made_tests() {
   : > "$folder/CTestTestfile.cmake"
   while [ $# -gt 0 ]; do
@@ -16,7 +16,7 @@
   done
 }
 
-# Runs the script and compares its result, its last line, and a line it must hold.
+# Runs the script and checks its exit code, its last line, and that a line of its output matches a pattern.
 expect() {
   local name=$1 code=$2 last=$3 line=$4
   shift 4
--- a/tests/programs/hang_up_test.sh
+++ b/tests/programs/hang_up_test.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# Guards against a SIGHUP that ends a program while it starts: it is told of changed settings then, too.
+# Guards against a SIGHUP that ends a program during startup: changed settings are also announced to a program that is
+# still starting. SIGHUP has to stay blocked until the program can reload its settings.
 # usage: hang_up_test.sh PROGRAM FOLDER
 set -uo pipefail
 program=$1
@@ -13,7 +14,7 @@
   exit 1
 }
 
-# Whether the process keeps SIGHUP (the lowest bit of the mask) pending.
+# Succeeds if the process blocks SIGHUP (the lowest bit of the signal mask).
 blocks_hang_up() {
   local mask
   mask=$(awk '/^SigBlk/ {print $2}' "/proc/$pid/status" 2>/dev/null)
