--- a/source/programs/shell_main.cpp
+++ b/source/programs/shell_main.cpp
@@ -63,8 +63,8 @@
 Json rows_of(Json const& answer, std::string const& what) {
   if (!answer.contains("cells") || answer.contains(what)) return answer.value(what, Json::array());
   Json rows = Json::array();
-  for (Json const& cell : answer["cells"])
-    for (Json node : cell.value("nodes", Json::array())) {
+  for (Json const& zone : answer["cells"])
+    for (Json node : zone.value("nodes", Json::array())) {
       if (what == "nodes") {
         rows.push_back(node);
         continue;
@@ -181,8 +181,8 @@
     else
       print_table(found, query.columns);
     Json silent = answer.value("silent", Json::array());
-    for (Json const& cell : answer.value("cells", Json::array()))
-      for (Json const& s : cell.value("silent", Json::array())) silent.push_back(s);
+    for (Json const& zone : answer.value("cells", Json::array()))
+      for (Json const& s : zone.value("silent", Json::array())) silent.push_back(s);
     for (Json const& s : silent) std::cerr << "banktide-shell: no answer from " << field_text(s) << "\n";
     return 0;
   }
