--- a/source/coordination/held_values.hpp
+++ b/source/coordination/held_values.hpp
@@ -1,5 +1,5 @@
-// The values of the registers as a process that doesn't vote has them: the newest that it was
-// given of each, what it lacks by what others tell, and the question that brings the rest.
+// The newest known value of each register in a process that doesn't vote: accepts newer values and deltas, tells
+// whether others have newer revisions, and builds the request for the missing ones.
 #pragma once
 
 #include "protocol/zone_messages.hpp"
@@ -8,33 +8,33 @@
 
 class HeldValues {
  public:
-  Held const& of(Register const r) const { return held_.at(static_cast<std::size_t>(r)); }
+  RegisterValue const& of(Register const r) const { return held_.at(static_cast<std::size_t>(r)); }
   Revisions revisions() const;
-  /// Whether one of these revisions is newer than what is here.
-  bool lack(Revisions const& told) const;
+  /// Whether one of these revisions is newer than the one held here.
+  bool is_behind(Revisions const& others) const;
 
-  /// Takes up those that are newer and whose digest is right; says which.
-  std::vector<Register> take(std::vector<std::pair<Register, Held>> const& newer);
-  /// The table of keys after these deltas, if they begin at the one here. After deltas that should fit
-  /// and don't the whole table is asked for.
-  std::vector<Register> take_key_deltas(std::vector<KeyDelta> const& deltas);
+  /// Accepts the values that are newer and match their digest; returns their registers.
+  std::vector<Register> accept(std::vector<std::pair<Register, RegisterValue>> const& newer);
+  /// Applies deltas to the key table, if they start at the held revision. If deltas that should apply fail, the next
+  /// request asks for the whole table.
+  std::vector<Register> accept_key_deltas(std::vector<KeyDelta> const& deltas);
 
-  /// The same of the configuration.
-  std::vector<Register> take_routing_deltas(std::vector<TextDelta> const& deltas);
+  /// The same for the configuration.
+  std::vector<Register> accept_routing_deltas(std::vector<TextDelta> const& deltas);
 
-  /// For all that is newer than here.
-  LayoutsAsk question() const;
-  /// For this register's value alone.
-  LayoutsAsk question_for(Register r) const;
+  /// Requests everything newer than what is held.
+  RegisterValuesRequest request() const;
+  /// Requests this register's value only.
+  RegisterValuesRequest request_for(Register r) const;
 
  private:
-  Held& slot(Register const r) { return held_[static_cast<std::size_t>(r)]; }
-  /// Whether a delta begins at the value here, so that it should have fitted.
+  RegisterValue& slot(Register const r) { return held_[static_cast<std::size_t>(r)]; }
+  /// Whether a delta starts at the held revision, so that it should have applied.
   template <class Delta>
-  bool begins_here(Register r, std::vector<Delta> const& deltas) const;
+  bool starts_at_held_revision(Register r, std::vector<Delta> const& deltas) const;
 
-  std::array<Held, register_count> held_;
-  std::array<bool, register_count> doubtful_{};  // a delta from this very version didn't fit
+  std::array<RegisterValue, register_count> held_;
+  std::array<bool, register_count> refetch_whole_{};  // a delta from the held revision failed to apply
 };
 
 }  // namespace banktide
--- a/source/coordination/maintenance_view.hpp
+++ b/source/coordination/maintenance_view.hpp
@@ -1,19 +1,20 @@
-// The maintenance plan as one process knows it: the newest value of its register,
-// counted down on this process's steady clock. So nodes and registries go from
-// phase to phase at nearly the same moment, also while they hear nothing: never
-// sooner than whoever wrote the value, and later by the time it took to come.
+// A process's view of the maintenance plan: the newest value of its register,
+// counted down with this process's steady clock. Nodes and registries thus change
+// phase at nearly the same time, even while they receive no updates: never earlier
+// than the writer of the value, and later by the time the value took to arrive.
 #pragma once
 
 #include "state/maintenance.hpp"
 #include "transport/log.hpp"
-#include "transport/surroundings.hpp"
+#include "transport/environment.hpp"
 
 namespace banktide {
 
 class MaintenanceView {
  public:
-  /** Takes a newer value; its remaining times are those of `counted_at`. False: it isn't newer, or can't be read. */
-  bool take(Held const& held, Instant const counted_at) {
+  /** Adopts a newer value, whose remaining times are those at `counted_at`. Returns false if it isn't newer or can't be
+   * parsed. */
+  bool take(RegisterValue const& held, Instant const counted_at) {
     if (held.revision <= revision_) return false;
     Result<MaintenancePlan> read = unpack_maintenance(held.bytes);
     if (!read) {
@@ -28,24 +29,24 @@
 
   Revision revision() const { return revision_; }
   Instant counted_at() const { return counted_at_; }
-  /** The plan as it was written, at `counted_at`. */
-  MaintenancePlan const& written() const { return plan_; }
+  /** The plan as written, with the remaining times at `counted_at`. */
+  MaintenancePlan const& plan_as_written() const { return plan_; }
   MaintenancePlan at(Instant const now) const {
     MaintenancePlan plan = plan_;
     plan.advance(now - counted_at_);
     return plan;
   }
 
-  /** One line for each window whose phase is another than when this was last called. */
+  /** Logs each window whose phase has changed since the last call. */
   void log_phases(Instant const now) {
-    for (MaintenanceWindow const& w : at(now).windows) {
-      MaintenancePhase& known = logged_.try_emplace(w.id, MaintenancePhase::cancelled).first->second;
-      if (known == w.phase) continue;
-      known = w.phase;
-      log_info("maintenance", {{"zone", w.zone},
-                               {"phase", std::string(phase_name(w.phase))},
-                               {"window", std::to_string(w.id)},
-                               {"left_s", std::to_string(w.left / 1000)}});
+    for (MaintenanceWindow const& window : at(now).windows) {
+      MaintenancePhase& known = logged_.try_emplace(window.id, MaintenancePhase::cancelled).first->second;
+      if (known == window.phase) continue;
+      known = window.phase;
+      log_info("maintenance", {{"zone", window.zone},
+                               {"phase", std::string(phase_name(window.phase))},
+                               {"window", std::to_string(window.id)},
+                               {"left_s", std::to_string(window.remaining / 1000)}});
     }
   }
 
--- a/source/coordination/cell_follower.hpp
+++ b/source/coordination/proxy_zone_follower.hpp
@@ -1,50 +1,50 @@
-// The product's own node on top of its zone's follower: which of its backends
-// the registry is told of, and the rules that follow from the layouts in force.
+// Connects a proxy's NodeState to its ZoneFollower: reports the node's backends to the registry and builds the rules
+// from the routing and catalogue values in force.
 #pragma once
 
 #include "coordination/node_state.hpp"
 
 namespace banktide {
 
-template <Surroundings W>
-class CellFollower {
+template <Environment Env>
+class ProxyZoneFollower {
  public:
-  explicit CellFollower(NodeState<W>& n) : n_(n) {
+  explicit ProxyZoneFollower(NodeState<Env>& n) : n_(n) {
     FollowerEvents events;
     events.backends = [this] { return backends(); };
-    events.value = [this](Register, Held const&) { take_layouts(); };
+    events.value = [this](Register, RegisterValue const&) { take_layouts(); };
     events.status_changed = [this] { take_status(); };
-    n_.zone.set_events(std::move(events));
+    n_.follower.set_events(std::move(events));
   }
 
-  void start(Dispatcher& dispatcher) { n_.zone.start(dispatcher); }
+  void start(Dispatcher& dispatcher) { n_.follower.start(dispatcher); }
 
-  Position at() const { return n_.zone.at(); }
+  Position position() const { return n_.follower.position(); }
 
  private:
-  static constexpr std::uint32_t burden_step = 4;  // so that not each call is news
+  static constexpr std::uint32_t burden_step = 4;  // so that not every call changes the reported load
 
   std::vector<BackendRecord> backends() const {
     std::vector<BackendRecord> all;
-    for (auto const& [key, l] : n_.local) {
-      if (n_.w.now() - l.beaten > n_.s.beat_expiry || l.refused) continue;
+    for (auto const& [key, l] : n_.local_backends) {
+      if (n_.env.now() - l.last_heartbeat > n_.settings.heartbeat_expiry || l.refused) continue;
       all.push_back(l.record);
-      all.back().burden = l.record.burden / burden_step * burden_step;
+      all.back().running = l.record.running / burden_step * burden_step;
     }
     return all;
   }
 
   void take_status() {
-    n_.directory = n_.zone.directory();
-    n_.cores = n_.zone.cores();
-    n_.fresh = n_.zone.fresh();
-    n_.viewed = n_.zone.viewed();
+    n_.directory = n_.follower.directory();
+    n_.registry_count = n_.follower.registry_count();
+    n_.has_confirmed_values = n_.follower.has_confirmed_values();
+    n_.has_view = n_.follower.has_view();
   }
 
-  // Several values may have come at once: the first of their events takes all.
+  // Several values may have arrived at once; the first of their events handles all of them.
   void take_layouts() {
-    Held const& routing = n_.zone.held(Register::routing);
-    Held const& catalogue = n_.zone.held(Register::catalogue);
+    RegisterValue const& routing = n_.follower.held(Register::routing);
+    RegisterValue const& catalogue = n_.follower.held(Register::catalogue);
     std::pair<Revision, Revision> const now{routing.revision, catalogue.revision};
     if (now == taken_) return;
     taken_ = now;
@@ -52,7 +52,7 @@
     if (routing.revision > 0) {
       Result<Layout> l = Layout::read(routing.bytes);
       if (!l) {
-        n_.note("layout", l.error());
+        n_.record_error("layout", l.error());
         return;
       }
       next->layout = std::move(*l);
@@ -63,7 +63,7 @@
       if (c)
         next->catalogue = std::move(*c);
       else
-        n_.note("catalogue", c.error());
+        n_.record_error("catalogue", c.error());
       next->catalogue_revision = catalogue.revision;
     }
     put_in_force(std::move(next));
@@ -75,10 +75,10 @@
     n_.rules = back ? former : next;
     log_info("in_force", {{"routing", std::to_string(next->routing)},
                           {"catalogue", std::to_string(next->catalogue_revision)},
-                          {"at_ms", std::to_string(as_ms(n_.w.now().time_since_epoch()))}});
+                          {"at_ms", std::to_string(as_ms(n_.env.now().time_since_epoch()))}});
   }
 
-  NodeState<W>& n_;
+  NodeState<Env>& n_;
   std::shared_ptr<Rules const> older_ = std::make_shared<Rules>();
   std::pair<Revision, Revision> taken_{0, 0};
 };
--- a/source/coordination/shared_reading.hpp
+++ b/source/coordination/shared_reading.hpp
@@ -1,10 +1,10 @@
-// One reading for many askers. A process that reads something at a distance, by
-// itself every now and then and whenever it is asked for a fresh reading, would
-// read once for each asker; here all who ask while a reading is under way share the
-// next one, so the number of readings is bounded however many ask.
+// Coalesces remote reads. The value is read periodically and whenever a caller needs
+// a read that begins after its call. All callers that arrive while a read is in
+// progress share the next one, so the read rate is bounded regardless of the number
+// of callers.
 #pragma once
 
-#include "transport/surroundings.hpp"
+#include "transport/environment.hpp"
 
 #include <functional>
 #include <memory>
@@ -14,63 +14,63 @@
 namespace banktide {
 
 struct SharedReadingSettings {
-  Duration every = 200ms;       // from one reading's end to the next, while nobody asks
-  Duration least_pause = 10ms;  // the same, while somebody asks
+  Duration interval = 200ms;  // from the end of a read to the next one, without waiting callers
+  Duration min_pause = 10ms;  // the same, with waiting callers
 };
 
-template <Surroundings W>
+template <Environment Env>
 class SharedReading {
  public:
-  /// `read` reads once and says whether that succeeded.
-  SharedReading(W& w, SharedReadingSettings settings, std::function<Task<bool>()> read)
-      : w_(w), settings_(settings), read_(std::move(read)), asked_for_(w) {}
+  /// `read` performs one read and returns whether it succeeded.
+  SharedReading(Env& env, SharedReadingSettings settings, std::function<Task<bool>()> read)
+      : env_(env), settings_(settings), read_(std::move(read)), requested_(env) {}
 
-  /// Reads for as long as the process runs.
+  /// Runs the read loop until the process ends.
   Task<void> run() {
     while (true) {
-      Instant const began = w_.now();
-      bool const good = co_await read_();
-      if (good) newest_ = began;
-      for (typename W::Alarm* const waiting : *waiting_) waiting->wake();
-      co_await sleep_for(w_, settings_.least_pause);
-      co_await asked_for_.wait(w_.now() + settings_.every - settings_.least_pause);
+      Instant const started_at = env_.now();
+      bool const succeeded = co_await read_();
+      if (succeeded) latest_start_ = started_at;
+      for (typename Env::Alarm* const waiting : *waiters_) waiting->wake();
+      co_await sleep_for(env_, settings_.min_pause);
+      co_await requested_.wait(env_.now() + settings_.interval - settings_.min_pause);
     }
   }
 
-  /// Waits for a successful reading that began after this call; false if there was
-  /// none until the deadline.
-  Task<bool> read_anew(Instant const deadline) {
-    Instant const came = w_.now();
-    Waiting mine(w_, waiting_);
-    asked_for_.wake();
-    while (!began_since(came) && w_.now() < deadline) co_await mine.alarm.wait(deadline);
-    co_return began_since(came);
+  /// Waits for a successful read that begins after this call. Returns false if there is
+  /// none before the deadline.
+  Task<bool> read_fresh(Instant const deadline) {
+    Instant const called_at = env_.now();
+    Waiter waiter(env_, waiters_);
+    requested_.wake();
+    while (!started_since(called_at) && env_.now() < deadline) co_await waiter.alarm.wait(deadline);
+    co_return started_since(called_at);
   }
 
-  /// When the newest successful reading began, if there was one.
-  std::optional<Instant> newest() const { return newest_; }
+  /// The start of the latest successful read, if there was one.
+  std::optional<Instant> latest_start() const { return latest_start_; }
 
  private:
-  using Alarms = std::vector<typename W::Alarm*>;  // in the order of asking
+  using Alarms = std::vector<typename Env::Alarm*>;  // in the order of the calls
 
-  // Takes its alarm off the list also when its coroutine is destroyed.
-  struct Waiting {
-    Waiting(W& w, std::shared_ptr<Alarms> all) : alarm(w), list(std::move(all)) { list->push_back(&alarm); }
-    ~Waiting() { std::erase(*list, &alarm); }
-    Waiting(Waiting const&) = delete;
-    Waiting& operator=(Waiting const&) = delete;
-    typename W::Alarm alarm;
+  // Removes its alarm from the list even if the waiting coroutine is destroyed.
+  struct Waiter {
+    Waiter(Env& env, std::shared_ptr<Alarms> all) : alarm(env), list(std::move(all)) { list->push_back(&alarm); }
+    ~Waiter() { std::erase(*list, &alarm); }
+    Waiter(Waiter const&) = delete;
+    Waiter& operator=(Waiter const&) = delete;
+    typename Env::Alarm alarm;
     std::shared_ptr<Alarms> const list;
   };
 
-  bool began_since(Instant const came) const { return newest_ && *newest_ >= came; }
+  bool started_since(Instant const called_at) const { return latest_start_ && *latest_start_ >= called_at; }
 
-  W& w_;
+  Env& env_;
   SharedReadingSettings const settings_;
   std::function<Task<bool>()> const read_;
-  typename W::Alarm asked_for_;
-  std::shared_ptr<Alarms> const waiting_ = std::make_shared<Alarms>();
-  std::optional<Instant> newest_;
+  typename Env::Alarm requested_;
+  std::shared_ptr<Alarms> const waiters_ = std::make_shared<Alarms>();
+  std::optional<Instant> latest_start_;
 };
 
 }  // namespace banktide
--- a/source/coordination/slice_leases.hpp
+++ b/source/coordination/slice_leases.hpp
@@ -1,7 +1,6 @@
-// The node's side of the key-slice leases. It counts a term from before it
-// asked, admits a call only if the call's deadline ends inside the term, and
-// lets a slice go only when nothing of it is in flight; a call of unknown
-// outcome stays in flight until its deadline.
+// The node's side of the key-slice leases. A term counts from before the request was sent, a call is admitted only if
+// its deadline is within the term, and a slice is released only when none of its calls is in flight; a call with an
+// unknown outcome counts as in flight until its deadline.
 #pragma once
 
 #include "coordination/lease_voter.hpp"
@@ -11,10 +10,10 @@
 
 namespace banktide {
 
-template <Surroundings W>
+template <Environment Env>
 class SliceLeases {
  public:
-  explicit SliceLeases(W& w) : w_(w) {}
+  explicit SliceLeases(Env& env) : env_(env) {}
 
   struct Lease {
     std::string instance;
@@ -25,7 +24,7 @@
     bool wanted = false;
   };
 
-  // Admits a call for the slice, if the lease outlasts the deadline.
+  // Admits a call for the slice if the lease ends after the call's deadline; returns the lease's epoch.
   Result<std::uint64_t> admit(Slice const& s, std::string const& instance, Instant const deadline) {
     auto const it = held_.find(s);
     if (broken_on_purpose("no_lease")) return std::uint64_t{1};
@@ -40,20 +39,20 @@
     return l.epoch;
   }
 
-  // `until`: when the call is surely over; its deadline if the outcome is unknown.
-  void done(Slice const& s, Instant const until) {
+  // Ends a call. `until` is when it is certainly over: its deadline if the outcome is unknown.
+  void finish_call(Slice const& s, Instant const until) {
     auto const it = held_.find(s);
     if (it == held_.end()) return;
     if (it->second.in_flight > 0) --it->second.in_flight;
     it->second.busy_until = std::max(it->second.busy_until, until);
   }
 
-  // One round: claims what this node should serve, renews, and releases what
-  // it should not and has emptied.
-  Task<void> round(std::string const holder, std::map<Slice, std::string> const wanted,
-                   std::vector<Address> const registries, std::size_t const majority) {
-    Instant const start = w_.now();
-    LeaseAsk q;
+  // One round: claims the slices that this node should serve, renews its leases, and releases the slices that it
+  // should no longer serve and that have no calls in flight.
+  Task<void> run_round(std::string const holder, std::map<Slice, std::string> const wanted,
+                       std::vector<Address> const registries, std::size_t const majority) {
+    Instant const start = env_.now();
+    LeaseRequest q;
     q.holder = holder;
     for (auto it = held_.begin(); it != held_.end();) {
       Lease& l = it->second;
@@ -82,8 +81,8 @@
     }
     if (q.want.empty() && q.release.empty()) co_return;
     auto const replies =
-        co_await ask_all<LeaseAsk>(w_, registries, q, start + 600ms, [](auto const&) { return false; });
-    LeaseAsk undo;
+        co_await ask_all<LeaseRequest>(env_, registries, q, start + 600ms, [](auto const&) { return false; });
+    LeaseRequest undo;
     undo.holder = holder;
     for (std::size_t i = 0; i < q.want.size(); ++i) {
       Slice const slice = q.want[i].slice;
@@ -109,13 +108,13 @@
       }
     }
     if (!undo.release.empty())
-      for (Address const& r : registries) tell(w_, r, undo);
+      for (Address const& r : registries) tell(env_, r, undo);
   }
 
   std::map<Slice, Lease> const& held() const { return held_; }
 
  private:
-  W& w_;
+  Env& env_;
   std::map<Slice, Lease> held_;
   std::map<Slice, std::uint64_t> seen_epochs_;
 };
--- a/source/data_path/local_backend.hpp
+++ b/source/data_path/local_backend.hpp
@@ -1,22 +1,20 @@
-// The backend beside this node, of which the node is the only caller: its
-// heartbeats, its queue, its connections, and the sending of one request to it.
-// A request that was not sent, or that the backend says it did not run, is
-// "not run"; an answer counts only when it is whole and names our attempt.
+// Manages the backend of this node, which is its only caller: heartbeats, queue, connections, and the
+// sending of requests. A request that was not sent, or that the backend reports as not executed, is
+// "not run"; a reply counts only if it is complete and has the ID of this attempt.
 //
-// A request that is cancelled gives its place in the queue back. One that runs is
-// ended with its connection if it may be repeated; any other runs to its end, so
-// that its outcome is known.
+// A cancelled request that waits leaves the queue. One that runs is aborted by closing its connection
+// if it is repeatable; any other runs to its end, so that its outcome is known.
 #pragma once
 
-#include "coordination/key_holder.hpp"
+#include "coordination/key_granter.hpp"
 #include "data_path/backend_queue.hpp"
 #include "data_path/failure_share.hpp"
 #include "protocol/backend_heartbeat.hpp"
 #include "protocol/data_path_headers.hpp"
 #include "protocol/forward_messages.hpp"
-#include "protocol/http_words.hpp"
+#include "protocol/http_helpers.hpp"
 #include "transport/backend_connections.hpp"
-#include "transport/surroundings.hpp"
+#include "transport/environment.hpp"
 
 #include <tsl/robin_map.h>
 
@@ -24,96 +22,100 @@
 
 struct LocalBackendSettings {
   std::string node;
-  /** A backend that has not sent a heartbeat for longer is taken for gone. */
+  /** A backend without a heartbeat for longer is considered gone. */
   Duration silent_after = 6s;
-  /** One that has not sent a heartbeat for longer gives way to another instance at once: it should have by now. */
-  Duration gives_way_after = 1500ms;
-  /** After the acknowledgement of a drain, requests on their way are still taken for this long. */
-  Duration drain_tail = 700ms;
-  /** After this no request is sent to a draining backend, whatever waits. */
+  /** A backend whose heartbeat is overdue by this age is replaced by another instance at its first heartbeat. */
+  Duration replaceable_after = 1500ms;
+  /** After the acknowledgement of a drain, requests in transit are still accepted for this long. */
+  Duration drain_grace = 700ms;
+  /** After this time no request is sent to a draining backend, not even one that waits. */
   Duration drain_end = 1500ms;
-  /** How often the load that the zone's feed tells is brought up to date. */
-  Duration announce_load_every = 2s;
-  /** The part of a route's aim, in percent, within which its answer is to be foreseen: runs differ in length. */
-  int aim_percent = 85;
+  /** How often the load in the zone's feed is updated. */
+  Duration load_announcement_interval = 2s;
+  /** Percentage of a target latency within which the reply must be expected: a margin, as run times vary. */
+  int target_latency_percent = 85;
 };
 
-/** Opens connections to a backend; made anew for each life of a backend. */
+/** Creates the connections to a backend; called for each incarnation of a backend. */
 using ConnectionsFactory = std::function<std::unique_ptr<BackendCaller>(Address const&, std::size_t limit)>;
 
-template <Surroundings W>
+template <Environment Env>
 class LocalBackend {
  public:
   struct Events {
-    /** The record for the zone's feed changed. */
+    /** The backend's record for the zone's feed has changed. */
     std::function<void()> record_changed;
     /** An instance's process is proved to have ended. */
     std::function<void(std::string const& service, std::string const& instance, std::string const& reason)> ended;
-    /** An instance has signed off without having drained before: its process may serve on for a while. */
-    std::function<void(std::string const& instance)> signed_off;
-    /** Connections that a backend of the service takes. */
+    /** An instance has left without draining first: its process may go on serving for a while. */
+    std::function<void(std::string const& instance)> left_undrained;
+    /** Returns the number of connections that a backend of the service accepts. */
     std::function<std::size_t(std::string const& service)> connection_limit;
   };
 
-  LocalBackend(W& w, LocalBackendSettings settings, DataPathHeaders const& headers, ConnectionsFactory factory,
+  LocalBackend(Env& env, LocalBackendSettings settings, DataPathHeaders const& headers, ConnectionsFactory factory,
                Events events)
-      : w_(w), s_(std::move(settings)), headers_(headers), factory_(std::move(factory)), events_(std::move(events)) {}
-
-  /** Takes a heartbeat up. False: it is older than one already seen, or of an instance that doesn't count here. */
-  bool heartbeat(BackendHeartbeat const& beat) {
-    Instant const now = w_.now();
-    if (ended_.contains(beat.id) || !is_newest_of_its_life(beat)) return false;
+      : env_(env),
+        settings_(std::move(settings)),
+        headers_(headers),
+        factory_(std::move(factory)),
+        events_(std::move(events)) {}
+
+  /** Handles a heartbeat. Returns false if it is older than one already seen, or of an instance not accepted here. */
+  bool heartbeat(BackendHeartbeat const& heartbeat) {
+    Instant const now = env_.now();
+    if (ended_.contains(heartbeat.id) || !is_newest_heartbeat(heartbeat)) return false;
     bool changed = false;
-    if (!instance_ || instance_->beat.id != beat.id) {
-      if (instance_ && !takes_the_place(beat.id, now)) return false;
-      if (instance_) retire("another instance beats here");
-      start(beat);
+    if (!instance_ || instance_->heartbeat.id != heartbeat.id) {
+      if (instance_ && !replaces_current(heartbeat.id, now)) return false;
+      if (instance_) retire("another instance sends heartbeats here");
+      start(heartbeat);
       changed = true;
     }
     Instance& i = *instance_;
-    changed = changed || i.beat.slots != beat.slots || i.refused || (beat.leaving && !i.draining_since);
-    if (beat.leaving && !i.draining_since) i.draining_since = now;
-    i.beat = beat;
-    i.heard = now;
+    changed = changed || i.heartbeat.slots != heartbeat.slots || i.refused || (heartbeat.leaving && !i.draining_since);
+    if (heartbeat.leaving && !i.draining_since) i.draining_since = now;
+    i.heartbeat = heartbeat;
+    i.last_heartbeat = now;
     i.refused = false;
-    i.queue.set_slots(beat.slots);
-    carry_out();
+    i.queue.set_slots(heartbeat.slots);
+    apply_queue_decisions();
     if (changed) events_.record_changed();
     return true;
   }
 
-  /** The backend signs off. */
+  /** Handles the backend's message that it leaves. */
   void leave(std::string const& id) {
-    if (!instance_ || instance_->beat.id != id) return;
-    bool const drained = instance_->beat.leaving;
-    if (!drained) events_.signed_off(id);
-    std::string const service = instance_->beat.service;
+    if (!instance_ || instance_->heartbeat.id != id) return;
+    bool const drained = instance_->heartbeat.leaving;
+    if (!drained) events_.left_undrained(id);
+    std::string const service = instance_->heartbeat.service;
     ended_.insert(id);
-    retire("it signed off");
-    if (drained) events_.ended(service, id, "it signed off");
+    retire("it has left");
+    if (drained) events_.ended(service, id, "it has left");
     events_.record_changed();
   }
 
-  /** What the zone is told of it; none while it isn't usable for new requests. */
+  /** Returns the backend's record for the zone's feed; none while it isn't usable for new requests. */
   std::vector<BackendRecord> records() const {
     if (!instance_) return {};
     Instance const& i = *instance_;
-    if (i.refused || w_.now() - i.heard > s_.silent_after) return {};
+    if (i.refused || env_.now() - i.last_heartbeat > settings_.silent_after) return {};
     BackendRecord r;
-    r.service = i.beat.service;
-    r.instance = i.beat.id;
-    r.node = s_.node;
-    r.burden = announced_running_;
+    r.service = i.heartbeat.service;
+    r.instance = i.heartbeat.id;
+    r.node = settings_.node;
+    r.running = announced_running_;
     r.waiting = announced_waiting_;
-    r.slots = i.beat.slots;
-    r.warming = i.beat.warm_left > Duration::zero();
-    r.standing = i.draining_since ? Standing::leaving : Standing::fit;
+    r.slots = i.heartbeat.slots;
+    r.warming = i.heartbeat.warm_left > Duration::zero();
+    r.liveness = i.draining_since ? Liveness::leaving : Liveness::alive;
     return {r};
   }
 
   std::size_t in_flight() const { return requests_.size() + awaiting_keys_.size(); }
-  void set_keys(KeyHolder* const keys) { keys_ = keys; }
-  /** An answer to a heartbeat that is about to go out grants keys. */
+  void set_keys(KeyGranter* const keys) { keys_ = keys; }
+  /** To be called when a reply to a heartbeat that grants keys is about to be sent. */
   void keys_granted() { wake_awaiting_keys(); }
 
   EndpointLoad load() const {
@@ -121,119 +123,122 @@
     if (!instance_) return l;
     l.running = instance_->queue.running();
     l.waiting = instance_->queue.waiting();
-    l.slots = instance_->beat.slots;
+    l.slots = instance_->heartbeat.slots;
     l.run_us = static_cast<std::uint32_t>(
         std::chrono::duration_cast<std::chrono::microseconds>(instance_->queue.estimate().overall()).count());
-    l.failed_percent = instance_->failures.percent(w_.now());
+    l.failed_percent = instance_->failures.percent(env_.now());
     return l;
   }
 
   /** Runs one request on the backend: at once, after a wait for a slot, or not at all. */
   Task<ForwardReply> run(Forward forward, SharedCancellation const cancellation = nullptr) {
-    Instant const arrived = w_.now();
+    Instant const arrived = env_.now();
     Instant const deadline = arrived + std::chrono::milliseconds(forward.remaining_ms);
-    // What would miss its aim is better refused early: another endpoint, or the
-    // client's next try, may still make it.
-    Duration const aim = std::chrono::milliseconds(forward.aim_ms) * s_.aim_percent / 100;
-    Duration const useful = std::min<Duration>(aim, deadline - arrived);
-    if (key_is_due(forward, arrived)) co_await wait_for_key(forward, arrived + useful, cancellation);
+    // Refuse early what would miss the target latency: another endpoint, or the client's next attempt, may
+    // still meet it.
+    Duration const target_latency =
+        std::chrono::milliseconds(forward.target_latency_ms) * settings_.target_latency_percent / 100;
+    Duration const useful_time = std::min<Duration>(target_latency, deadline - arrived);
+    if (is_key_pending(forward, arrived)) co_await wait_for_key(forward, arrived + useful_time, cancellation);
     if (is_cancelled(cancellation)) co_return cancelled_reply(Proof::not_run);
-    if (ForwardReply const refused = check(forward, w_.now()); refused.refusal != Refusal::none) co_return refused;
+    if (ForwardReply const refused = check(forward, env_.now()); refused.refusal != Refusal::none) co_return refused;
     std::uint64_t const id = ++last_id_;
-    QueuedRequest const queued{id, forward.rank, forward.work_class, arrived + useful};
-    Admission const admission = instance_->queue.admit(w_.now(), queued);
+    QueuedRequest const queued{id, forward.rank, forward.work_class, arrived + useful_time};
+    Admission const admission = instance_->queue.admit(env_.now(), queued);
     if (admission == Admission::refuse) co_return refuse(Refusal::busy, "queue too long", expected_wait(forward));
-    std::shared_ptr<Waiter> const waiter = std::make_shared<Waiter>(w_);
+    std::shared_ptr<Waiter> const waiter = std::make_shared<Waiter>(env_);
     requests_[id] = waiter;
-    std::uint64_t const life = life_;
+    std::uint64_t const incarnation = incarnation_;
     if (admission == Admission::wait) {
-      carry_out();
-      std::optional<bool> const turn = co_await wait_for_slot(*waiter, id, life, deadline, cancellation);
-      if (!turn || !*turn) co_return give_up_waiting(id, life, forward, cancellation);
+      apply_queue_decisions();
+      std::optional<bool> const turn = co_await wait_for_slot(*waiter, id, incarnation, deadline, cancellation);
+      if (!turn || !*turn) co_return give_up_waiting(id, incarnation, forward, cancellation);
     }
-    ForwardReply reply = co_await send(forward, deadline, life, cancellation);
+    ForwardReply reply = co_await send(forward, deadline, incarnation, cancellation);
     requests_.erase(id);
     co_return reply;
   }
 
-  /** Called now and then: what is silent or drained is let go. */
+  /** Must be called regularly: marks a silent backend, and refuses requests that wait for a drained one. */
   void tick() {
     if (!instance_) return;
-    Instant const now = w_.now();
+    Instant const now = env_.now();
     announce_load(now);
-    if (instance_->draining_since && now - *instance_->draining_since > s_.drain_end) {
+    if (instance_->draining_since && now - *instance_->draining_since > settings_.drain_end) {
       instance_->queue.refuse_all();
-      carry_out();
+      apply_queue_decisions();
     }
-    if (now - instance_->heard > s_.silent_after && !instance_->silent) {
+    if (now - instance_->last_heartbeat > settings_.silent_after && !instance_->silent) {
       instance_->silent = true;
-      log_info("backend_silent", {{"instance", instance_->beat.id}});
+      log_info("backend_silent", {{"instance", instance_->heartbeat.id}});
       events_.record_changed();
     }
   }
 
  private:
-  // The feed goes to every node of the zone: load that changes with each request
-  // is told now and then; answers tell it fresher to those who send.
+  // The feed goes to every node of the zone, so the load, which changes with each request, is announced
+  // only at intervals; replies give senders newer values.
   void announce_load(Instant const now) {
-    if (now - load_announced_ < s_.announce_load_every) return;
+    if (now - load_announced_ < settings_.load_announcement_interval) return;
     load_announced_ = now;
     announced_running_ = instance_->queue.running();
     announced_waiting_ = instance_->queue.waiting();
   }
 
-  /** One life of the backend. */
+  /** One incarnation of the backend. */
   struct Instance {
-    BackendHeartbeat beat;
+    BackendHeartbeat heartbeat;
     std::shared_ptr<BackendCaller> connections;
     BackendQueue queue;
     FailureShare failures;
-    Instant heard{};
+    Instant last_heartbeat{};
     std::optional<Instant> draining_since;
     bool refused = false;
     bool silent = false;
   };
 
   struct Waiter {
-    explicit Waiter(W& w) : turn(w) {}
-    OneShot<W, bool> turn;
+    explicit Waiter(Env& env) : turn(env) {}
+    OneShot<Env, bool> turn;
   };
 
-  void start(BackendHeartbeat const& beat) {
-    ++life_;
+  void start(BackendHeartbeat const& heartbeat) {
+    ++incarnation_;
     instance_.emplace();
-    instance_->connections = factory_(beat.address, events_.connection_limit(beat.service));
-    instance_->queue.set_slots(beat.slots);
-    log_info("backend_up", {{"service", beat.service}, {"instance", beat.id}, {"address", beat.address}});
+    instance_->connections = factory_(heartbeat.address, events_.connection_limit(heartbeat.service));
+    instance_->queue.set_slots(heartbeat.slots);
+    log_info("backend_up",
+             {{"service", heartbeat.service}, {"instance", heartbeat.id}, {"address", heartbeat.address}});
   }
 
-  bool is_newest_of_its_life(BackendHeartbeat const& beat) {
-    std::uint64_t& newest = newest_sequences_.try_emplace(beat.id, beat.sequence).first->second;
-    if (beat.sequence < newest) return false;
-    newest = beat.sequence;
+  bool is_newest_heartbeat(BackendHeartbeat const& heartbeat) {
+    std::uint64_t& newest = newest_sequences_.try_emplace(heartbeat.id, heartbeat.sequence).first->second;
+    if (heartbeat.sequence < newest) return false;
+    newest = heartbeat.sequence;
     return true;
   }
 
-  // A late heartbeat of a former life looks like the first one of a new life. Who beats again while the present
-  // instance says nothing is alive; whoever was taken for gone by mistake comes back in the same way.
-  bool takes_the_place(std::string const& id, Instant const now) {
-    bool const present_is_silent = instance_->refused || now - instance_->heard > s_.gives_way_after;
-    bool const beats_again = rival_ == id && instance_->heard < rival_since_;
-    if (present_is_silent || beats_again) return true;
-    rival_ = id;
-    rival_since_ = now;
+  // A late heartbeat of a former incarnation looks like the first one of a new incarnation. So another instance
+  // replaces the current one only if it sends a second heartbeat while the current one sends none, or if the current
+  // one is silent. An instance that was replaced by mistake returns in the same way.
+  bool replaces_current(std::string const& id, Instant const now) {
+    bool const current_is_silent = instance_->refused || now - instance_->last_heartbeat > settings_.replaceable_after;
+    bool const has_returned = contender_ == id && instance_->last_heartbeat < contender_since_;
+    if (current_is_silent || has_returned) return true;
+    contender_ = id;
+    contender_since_ = now;
     return false;
   }
 
   void retire(std::string const& reason) {
-    log_info("backend_ended", {{"instance", instance_->beat.id}, {"reason", reason}});
+    log_info("backend_ended", {{"instance", instance_->heartbeat.id}, {"reason", reason}});
     instance_->queue.refuse_all();
-    carry_out();
+    apply_queue_decisions();
     wake_awaiting_keys();
     instance_->connections->close();
     instance_.reset();
-    rival_.clear();
-    ++life_;
+    contender_.clear();
+    ++incarnation_;
   }
 
   ForwardReply refuse(Refusal const why, std::string reason, Duration const retry_after) const {
@@ -252,14 +257,14 @@
   }
 
   ForwardReply check(Forward const& forward, Instant const now) const {
-    if (!instance_ || instance_->beat.service != forward.service)
+    if (!instance_ || instance_->heartbeat.service != forward.service)
       return refuse(Refusal::no_backend, "no backend of the service here", 100ms);
     Instance const& i = *instance_;
-    if (i.refused || now - i.heard > s_.silent_after)
+    if (i.refused || now - i.last_heartbeat > settings_.silent_after)
       return refuse(Refusal::no_backend, "backend is gone or silent", 100ms);
-    if (i.draining_since && now - *i.draining_since > s_.drain_tail && !forward.keyed)
+    if (i.draining_since && now - *i.draining_since > settings_.drain_grace && !forward.keyed)
       return refuse(Refusal::no_backend, "backend is draining", 30ms);
-    if (i.draining_since && now - *i.draining_since > s_.drain_end)
+    if (i.draining_since && now - *i.draining_since > settings_.drain_end)
       return refuse(Refusal::no_backend, "backend is draining", 100ms);
     if (forward.keyed && keys_ != nullptr) keys_->count(forward.key);
     if (forward.keyed && !key_held(forward, now)) return refuse(Refusal::key_not_held, "key is not held here", 150ms);
@@ -269,22 +274,23 @@
   bool key_held(Forward const& forward, Instant const now) const {
     if (keys_ == nullptr) return false;
     Duration const expected = instance_->queue.estimate().expected(forward.work_class);
-    return keys_->may_run(forward.key, now, expected).has_value();
+    return keys_->fence_to_run(forward.key, now, expected).has_value();
   }
 
-  // The table gives the key to the backend, which learns of it by its next heartbeat.
-  bool key_is_due(Forward const& forward, Instant const now) const {
-    if (!forward.keyed || !instance_ || keys_ == nullptr || instance_->beat.service != forward.service) return false;
+  // Whether the table assigns the key to the backend, which will get it with the reply to its next heartbeat.
+  bool is_key_pending(Forward const& forward, Instant const now) const {
+    if (!forward.keyed || !instance_ || keys_ == nullptr || instance_->heartbeat.service != forward.service)
+      return false;
     bool const stays = !instance_->draining_since && !instance_->refused;
-    return stays && !key_held(forward, now) && keys_->is_to_hold(forward.key) &&
-           awaiting_keys_.size() < most_awaiting_keys;
+    return stays && !key_held(forward, now) && keys_->is_assigned(forward.key) &&
+           awaiting_keys_.size() < max_awaiting_keys;
   }
 
-  // Who is cancelled leaves the queue at once; who has been given a slot by then keeps it until `send`.
-  Task<std::optional<bool>> wait_for_slot(Waiter& waiter, std::uint64_t const id, std::uint64_t const life,
+  // A cancelled request leaves the queue at once; if it already has a slot it keeps it until `send`.
+  Task<std::optional<bool>> wait_for_slot(Waiter& waiter, std::uint64_t const id, std::uint64_t const incarnation,
                                           Instant const deadline, SharedCancellation const cancellation) {
-    CancellationListener const listener(cancellation, [this, &waiter, id, life] {
-      if (life == life_ && instance_ && instance_->queue.withdraw(id)) waiter.turn.give(false);
+    CancellationListener const listener(cancellation, [this, &waiter, id, incarnation] {
+      if (incarnation == incarnation_ && instance_ && instance_->queue.withdraw(id)) waiter.turn.give(false);
     });
     co_return co_await waiter.turn.wait(deadline);
   }
@@ -292,35 +298,35 @@
   Task<void> wait_for_key(Forward const& forward, Instant const useful_until, SharedCancellation const cancellation) {
     Instant const until = useful_until - instance_->queue.estimate().expected(forward.work_class);
     std::uint64_t const id = ++last_id_;
-    std::shared_ptr<Waiter> const waiter = std::make_shared<Waiter>(w_);
+    std::shared_ptr<Waiter> const waiter = std::make_shared<Waiter>(env_);
     awaiting_keys_[id] = waiter;
     CancellationListener const listener(cancellation, [waiter] { waiter->turn.give(false); });
     std::optional<bool> const granted = co_await waiter->turn.wait(until);
     awaiting_keys_.erase(id);
-    // The answer that grants the key reaches the backend before a request does.
-    if (granted && *granted) co_await sleep_for(w_, grant_takes);
+    // The reply that grants the key must reach the backend before the request does.
+    if (granted && *granted) co_await sleep_for(env_, grant_delivery_time);
   }
 
   void wake_awaiting_keys() {
     for (auto const& [id, waiter] : awaiting_keys_) waiter->turn.give(true);
   }
 
-  ForwardReply give_up_waiting(std::uint64_t const id, std::uint64_t const life, Forward const& forward,
+  ForwardReply give_up_waiting(std::uint64_t const id, std::uint64_t const incarnation, Forward const& forward,
                                SharedCancellation const& cancellation) {
     requests_.erase(id);
-    if (life == life_ && instance_) instance_->queue.withdraw(id);
+    if (incarnation == incarnation_ && instance_) instance_->queue.withdraw(id);
     if (is_cancelled(cancellation)) return cancelled_reply(Proof::not_run);
     return refuse(Refusal::busy, "no slot in time", expected_wait(forward));
   }
 
-  // Wakes the requests that the queue has decided about.
-  void carry_out() {
+  // Resumes the requests that the queue has decided about.
+  void apply_queue_decisions() {
     if (!instance_) return;
     BackendQueue::Decisions const decisions = instance_->queue.take_decisions();
     for (std::uint64_t const id : decisions.refuse) wake(id, false);
     for (std::uint64_t const id : decisions.run) {
       if (wake(id, true)) continue;
-      instance_->queue.finished(w_.now(), 0, Duration::zero(), false);
+      instance_->queue.finished(env_.now(), 0, Duration::zero(), false);
     }
   }
 
@@ -342,96 +348,97 @@
       return same_name(h.name, headers_.remaining_ms) || same_name(h.name, headers_.target_instance) ||
              same_name(h.name, headers_.calling_service) || same_name(h.name, headers_.tenant);
     });
-    std::int64_t const left = std::max<std::int64_t>(as_ms(deadline - w_.now()), 1);
+    std::int64_t const left = std::max<std::int64_t>(as_ms(deadline - env_.now()), 1);
     call.request.headers.push_back({std::string(headers_.remaining_ms), std::to_string(left)});
-    call.request.headers.push_back({std::string(headers_.target_instance), instance_->beat.id});
+    call.request.headers.push_back({std::string(headers_.target_instance), instance_->heartbeat.id});
     call.request.headers.push_back({std::string(headers_.calling_service), forward.calling_service});
     if (!forward.tenant.empty()) call.request.headers.push_back({std::string(headers_.tenant), forward.tenant});
     return call;
   }
 
-  Task<ForwardReply> send(Forward& forward, Instant const deadline, std::uint64_t const life,
+  Task<ForwardReply> send(Forward& forward, Instant const deadline, std::uint64_t const incarnation,
                           SharedCancellation const cancellation) {
-    // While it waited its keys may have moved, or its time have gone.
-    Instant const begun = w_.now();
-    if (life != life_ || !instance_) co_return refuse(Refusal::no_backend, "backend ended", 100ms);
+    // While it waited, its key may have moved or its deadline may have passed.
+    Instant const begun = env_.now();
+    if (incarnation != incarnation_ || !instance_) co_return refuse(Refusal::no_backend, "backend ended", 100ms);
     bool const held = !forward.keyed || key_held(forward, begun);
-    bool const drained = instance_->draining_since && begun - *instance_->draining_since > s_.drain_end;
+    bool const drained = instance_->draining_since && begun - *instance_->draining_since > settings_.drain_end;
     if (is_cancelled(cancellation)) {
-      finished(life, forward.work_class, Duration::zero(), false);
+      finished(incarnation, forward.work_class, Duration::zero(), false);
       co_return cancelled_reply(Proof::not_run);
     }
     if (!held || drained || begun >= deadline) {
-      finished(life, forward.work_class, Duration::zero(), false);
+      finished(incarnation, forward.work_class, Duration::zero(), false);
       co_return refuse(held ? (drained ? Refusal::no_backend : Refusal::too_late) : Refusal::key_not_held,
-                       "not sendable any more", 50ms);
+                       "can no longer be sent", 50ms);
     }
     std::shared_ptr<BackendCaller> const connections = instance_->connections;
-    std::string const instance = instance_->beat.id;
+    std::string const instance = instance_->heartbeat.id;
     BackendCall call = call_of(forward, deadline);
     if (forward.repeatable) call.cancellation = cancellation;
     Result<HttpReply> got = co_await connections->call(std::move(call));
-    Duration const took = w_.now() - begun;
+    Duration const took = env_.now() - begun;
     bool const good = got && got->status < 500 && got->status >= 200;
-    finished(life, forward.work_class, took, good);
-    bool const ended_by_us = !got && forward.repeatable && is_cancelled(cancellation);
-    if (ended_by_us) co_return cancelled_reply(got.error().proof);
-    if (life == life_ && instance_ && reached_backend(got)) instance_->failures.add(w_.now(), !good);
-    ForwardReply reply = got ? judge(std::move(*got), instance) : judge_failure(got.error(), instance);
+    finished(incarnation, forward.work_class, took, good);
+    bool const cancelled_here = !got && forward.repeatable && is_cancelled(cancellation);
+    if (cancelled_here) co_return cancelled_reply(got.error().proof);
+    if (incarnation == incarnation_ && instance_ && reached_backend(got)) instance_->failures.add(env_.now(), !good);
+    ForwardReply reply = got ? classify_reply(std::move(*got), instance) : classify_failure(got.error(), instance);
     co_return reply;
   }
 
-  /** Whether the backend may have run the request, so that its outcome tells of the backend's health. */
+  /** Whether the backend may have run the request, so that its outcome says something about the backend's health. */
   bool reached_backend(Result<HttpReply> const& got) const {
     if (!got) return got.error().proof != Proof::not_run;
     return got->status != 421 && !has_header(got->headers, headers_.not_executed);
   }
 
-  void finished(std::uint64_t const life, std::uint32_t const work_class, Duration const took, bool const measured) {
-    if (life != life_ || !instance_) return;
-    instance_->queue.finished(w_.now(), work_class, took, measured);
-    carry_out();
+  void finished(std::uint64_t const incarnation, std::uint32_t const work_class, Duration const took,
+                bool const measured) {
+    if (incarnation != incarnation_ || !instance_) return;
+    instance_->queue.finished(env_.now(), work_class, took, measured);
+    apply_queue_decisions();
   }
 
-  ForwardReply judge(HttpReply http, std::string const& instance) {
-    bool const marked = has_header(http.headers, headers_.not_executed) || http.status == 421;
-    if (marked) {
-      note_refusal(instance, http.status);
+  ForwardReply classify_reply(HttpReply http, std::string const& instance) {
+    bool const said_not_executed = has_header(http.headers, headers_.not_executed) || http.status == 421;
+    if (said_not_executed) {
+      log_refusal(instance, http.status);
       return refuse(Refusal::by_backend, "backend did not run it", 50ms);
     }
     ForwardReply reply;
     reply.load = load();
-    // Without the mark these promise nothing, though they read like a promise.
-    bool const like_promise = http.status == 503 || http.status == 429 || http.status == 408;
-    reply.outcome = like_promise ? Outcome::unknown : Outcome::answered;
-    if (like_promise) reply.reason = "backend failed with " + std::to_string(http.status);
+    // Without the header these statuses don't guarantee that the request was not run.
+    bool const looks_like_refusal = http.status == 503 || http.status == 429 || http.status == 408;
+    reply.outcome = looks_like_refusal ? Outcome::unknown : Outcome::answered;
+    if (looks_like_refusal) reply.reason = "backend failed with " + std::to_string(http.status);
     reply.reply = std::move(http);
     return reply;
   }
 
-  // A full backend may refuse hundreds a second: they are counted, and told once a second.
-  void note_refusal(std::string const& instance, std::uint16_t const status) {
+  // A full backend may refuse hundreds of requests per second: they are counted and logged once a second.
+  void log_refusal(std::string const& instance, std::uint16_t const status) {
     ++refusals_;
-    if (w_.now() - refusals_told_ < 1s) return;
+    if (env_.now() - refusals_logged_at_ < 1s) return;
     log_info("backend_refused",
              {{"instance", instance}, {"status", std::to_string(status)}, {"so_far", std::to_string(refusals_)}});
-    refusals_told_ = w_.now();
+    refusals_logged_at_ = env_.now();
   }
 
   ForwardReply cancelled_reply(Proof const proof) const {
-    ForwardReply reply = refuse(Refusal::cancelled, "nobody waits for it", Duration::zero());
+    ForwardReply reply = refuse(Refusal::cancelled, "cancelled by the caller", Duration::zero());
     if (proof != Proof::not_run) reply.outcome = Outcome::unknown;
     return reply;
   }
 
-  ForwardReply judge_failure(Error const& error, std::string const& instance) {
+  ForwardReply classify_failure(Error const& error, std::string const& instance) {
     bool const nobody_listens = error.step == "connect" && error.reason == "refused";
-    if (nobody_listens && instance_ && instance_->beat.id == instance) {
+    if (nobody_listens && instance_ && instance_->heartbeat.id == instance) {
       instance_->refused = true;
       instance_->queue.refuse_all();
-      carry_out();
+      apply_queue_decisions();
       log_info("backend_refuses", {{"instance", instance}});
-      events_.ended(instance_->beat.service, instance, "nobody listens at its port");
+      events_.ended(instance_->heartbeat.service, instance, "nobody listens at its port");
       events_.record_changed();
     }
     if (error.proof == Proof::not_run) return refuse(Refusal::no_backend, error.step + ": " + error.reason, 100ms);
@@ -442,26 +449,26 @@
     return reply;
   }
 
-  static constexpr std::size_t most_awaiting_keys = 64;
-  static constexpr Duration grant_takes = 5ms;
+  static constexpr std::size_t max_awaiting_keys = 64;
+  static constexpr Duration grant_delivery_time = 5ms;
 
-  W& w_;
-  LocalBackendSettings const s_;
+  Env& env_;
+  LocalBackendSettings const settings_;
   DataPathHeaders const& headers_;
   ConnectionsFactory factory_;
   Events events_;
-  KeyHolder* keys_ = nullptr;
+  KeyGranter* keys_ = nullptr;
   std::optional<Instance> instance_;
-  std::map<std::string, std::uint64_t> newest_sequences_;  // of each instance that ever beat here
-  std::set<std::string> ended_;                            // instances that have signed off
-  std::string rival_;                                      // an instance that beat while another one was here
-  Instant rival_since_{};
+  std::map<std::string, std::uint64_t> newest_sequences_;  // by instance, of the newest heartbeat
+  std::set<std::string> ended_;                            // instances that have left
+  std::string contender_;  // an instance that sent a heartbeat while another one is current
+  Instant contender_since_{};
   tsl::robin_map<std::uint64_t, std::shared_ptr<Waiter>> requests_;
-  std::map<std::uint64_t, std::shared_ptr<Waiter>> awaiting_keys_;  // in the order of their coming
+  std::map<std::uint64_t, std::shared_ptr<Waiter>> awaiting_keys_;  // in the order of arrival
   std::uint64_t last_id_ = 0;
-  std::uint64_t life_ = 0;
+  std::uint64_t incarnation_ = 0;
   std::uint64_t refusals_ = 0;
-  Instant refusals_told_{};
+  Instant refusals_logged_at_{};
   std::uint32_t announced_running_ = 0;
   std::uint32_t announced_waiting_ = 0;
   Instant load_announced_{};
--- a/source/data_path/request_path.hpp
+++ b/source/data_path/request_path.hpp
@@ -1,9 +1,8 @@
-// The way of one request through the node that took it from its client: its
-// route is found, an endpoint selected, the request forwarded there, and its
-// final answer given. What may be sent again follows from what is proved: a
-// request that was not run may go elsewhere; one of unknown outcome only if it
-// is repeatable and the shared retry budget allows it. Once its client has closed
-// its connection it is cancelled wherever it waits, and sent nowhere else.
+// Handles a request in the node that accepted it from its client: finds its route, selects an endpoint,
+// forwards it there and returns the reply. Whether it may be sent again depends on what is known: a
+// request that was not run may go elsewhere; one of unknown outcome only if it is repeatable and the
+// shared retry budget allows it. When its client closes the connection, the request is cancelled
+// wherever it waits, and not sent again.
 #pragma once
 
 #include "data_path/access_control.hpp"
@@ -26,30 +25,34 @@
 struct RequestPathSettings {
   Address own_address;
   std::string zone;
-  /** The service of the backend on this machine: in whose name its requests go out. */
+  /** The service of the backend on this machine, which its outgoing requests name as the caller. */
   std::string calling_service;
-  /** How often an attempt may go to another endpoint after a proof that it was not run. */
-  std::uint32_t most_endpoints = 4;
-  /** Share of a service's requests, in percent, that this node may send a second time. */
+  /** The most endpoints that a request is sent to, including those that did not run it. */
+  std::uint32_t max_endpoints = 4;
+  /** The share of a service's requests, in percent, that this node may retry. */
   std::uint64_t retry_percent = 10;
   std::uint64_t retry_margin = 2;
-  std::size_t most_in_flight = 4096;
-  /** How long an access key that was dropped may still be used anywhere; none: as long as this node knows it. */
+  std::size_t max_in_flight = 4096;
+  /** How long a removed access key may still be used anywhere; none: as long as this node knows it. */
   std::optional<Duration> revocation_limit;
 };
 
-/** Counts for the log and the operator's state page. */
+/** Counters for the log and the operator's state page. */
 struct RequestCounts {
   std::uint64_t taken = 0, answered = 0, refused = 0, failed = 0, retried = 0;
-  std::uint64_t unknown_key = 0;      // refused as they bore no tenant's access key
-  std::uint64_t unconfirmed_key = 0;  // refused as the node couldn't tell whether access keys were dropped
+  std::uint64_t unknown_key = 0;      // refused because they had no tenant's access key
+  std::uint64_t unconfirmed_key = 0;  // refused because the node couldn't tell whether access keys were removed
 };
 
-template <Surroundings W, class Backend>
+template <Environment Env, class Backend>
 class RequestPath {
  public:
-  RequestPath(W& w, RequestPathSettings settings, DataPathHeaders const& headers, Backend& backend)
-      : w_(w), s_(std::move(settings)), headers_(headers), backend_(backend), access_lease_(s_.revocation_limit) {}
+  RequestPath(Env& env, RequestPathSettings settings, DataPathHeaders const& headers, Backend& backend)
+      : env_(env),
+        settings_(std::move(settings)),
+        headers_(headers),
+        backend_(backend),
+        access_lease_(settings_.revocation_limit) {}
 
   EndpointSelector& selector() { return selector_; }
   RequestCounts const& counts() const { return counts_; }
@@ -58,57 +61,58 @@
 
   void set_router(std::shared_ptr<Router const> router) { router_ = std::move(router); }
   std::shared_ptr<Router const> const& router() const { return router_; }
-  /** The router in force is of the newest configuration that was chosen before `asked`. */
+  /** Confirms that the router in force is of the newest configuration chosen before `asked`. */
   void confirm_access_keys(Instant const asked) { access_lease_.confirm(asked); }
-  /** Whether requests that need an access key can be let in now; true if none needs one. */
-  bool lets_tenants_in() const {
-    return !router_ || !router_->configuration().tenants || access_lease_.valid(w_.now());
+  /** Whether requests that need an access key can be admitted now; true if none needs one. */
+  bool can_admit_tenants() const {
+    return !router_ || !router_->configuration().tenants || access_lease_.valid(env_.now());
   }
-  /** The process ends then at the latest: requests that may last longer are refused from now on. */
+  /** Sets the time at which the process ends at the latest: requests that may last longer are refused from now on. */
   void end_by(Instant const end) { end_ = end; }
-  /** The newest table of who holds which keys. */
+  /** Sets the newest table of key assignments. */
   void set_keys(std::shared_ptr<KeyTable const> keys) { keys_ = std::move(keys); }
 
-  /** Handles one request of a client or of this machine's backend. */
+  /** Handles one request from a client or from this machine's backend. */
   Task<HttpReply> handle(HttpRequest request, std::shared_ptr<HttpExchange> exchange) {
     ++counts_.taken;
     std::shared_ptr<Router const> const router = router_;
     if (!router) co_return refusal("no configuration yet", not_ready_retry);
-    Route const* const route = router->match(header_of(request, "Host"), request.target);
+    Route const* const route = router->match(header_value(request, "Host"), request.target);
     if (route == nullptr) co_return plain_reply(404, "no route");
-    AccessDecision const access = decide_access(*router, *route, request, access_lease_.valid(w_.now()));
+    AccessDecision const access = decide_access(*router, *route, request, access_lease_.valid(env_.now()));
     if (access.verdict != AccessDecision::Verdict::granted) co_return access_refused(access.verdict);
-    if (in_flight_ >= s_.most_in_flight) co_return refusal("too many requests in flight", busy_retry);
+    if (in_flight_ >= settings_.max_in_flight) co_return refusal("too many requests in flight", busy_retry);
     remove_credentials(request, *router, *route, access);
     Result<Attempt> attempt = prepare(*router, *route, access.tenant, std::move(request));
     if (!attempt) co_return plain_reply(400, attempt.error().reason);
     if (end_ && attempt->deadline > *end_) co_return refusal("node is leaving", leaving_retry);
     std::shared_ptr<ClientDeparture> const departure = std::make_shared<ClientDeparture>();
     exchange->on_hang_up = [this, departure, cancellation = attempt->cancellation](ClientState const state) {
-      departure->note(state, w_.now());
+      departure->record_hang_up(state, env_.now());
       cancellation->request();
     };
     if (exchange->client_hung_up()) exchange->on_hang_up(exchange->client);
     ++in_flight_;
     HttpReply reply = co_await run(std::move(*attempt));
     --in_flight_;
-    departure->count(departures_, w_.now());
+    departure->count(departures_, env_.now());
     co_return reply;
   }
 
-  /** The gateway's part: a request from another zone that the own backend can't take goes to another of this zone. */
+  /** Used by gateways: forwards a request from another zone that the own backend can't take within this zone. */
   Task<ForwardReply> pass_on(Forward forward, ForwardReply refused, SharedCancellation cancellation = nullptr) {
     forward.crossed = false;
-    std::set<Address> const tried{s_.own_address};
-    Endpoint const* const other = selector_.select(forward.service, tried, w_.now(), w_.chance(), forward.repeatable);
+    std::set<Address> const tried{settings_.own_address};
+    Endpoint const* const other =
+        selector_.select(forward.service, tried, env_.now(), env_.chance(), forward.repeatable);
     if (other == nullptr || !other->local_zone) co_return refused;
-    Instant const deadline = w_.now() + std::chrono::milliseconds(forward.remaining_ms);
+    Instant const deadline = env_.now() + std::chrono::milliseconds(forward.remaining_ms);
     Address const address = other->address;
     ForwardReply reply = co_await send(address, forward, deadline, std::move(cancellation));
     co_return reply;
   }
 
-  /** A refusal is a promise that the request has not run and never will. */
+  /** Returns a refusal, which guarantees that the request has not run and never will. */
   HttpReply refusal(std::string const& reason, Duration const retry_after) {
     ++counts_.refused;
     return refusal_of(reason, retry_after);
@@ -121,16 +125,16 @@
   static constexpr Duration leaving_retry = 100ms;
   static constexpr Duration no_room_retry = 200ms;
   static constexpr Duration answer_margin = 3ms;
-  static constexpr int late_aim_divisor = 4;
+  static constexpr int late_target_divisor = 4;
   static constexpr Duration key_move_patience = 120ms;
   static constexpr Duration key_move_pause = 15ms;
 
-  /** A request on its way, with what must be known to send it again. */
+  /** A request in progress, with the state needed to send it again. */
   struct Attempt {
     Forward forward;
-    Instant began{};
+    Instant started{};
     Instant deadline{};
-    Duration aim{};  // from `began`; zero: not stated
+    Duration target_latency{};  // from `began`; zero: not specified
     std::uint32_t attempt_limit = 1;
     SharedCancellation cancellation = std::make_shared<Cancellation>();
     RequestState state;
@@ -165,10 +169,10 @@
 
   HttpReply failure(Attempt const& attempt, std::string const& reason) {
     ++counts_.failed;
-    return plain_reply(w_.now() + answer_margin >= attempt.deadline ? 504 : 502, reason);
+    return plain_reply(env_.now() + answer_margin >= attempt.deadline ? 504 : 502, reason);
   }
 
-  static std::optional<std::uint64_t> number(std::string const& text) {
+  static std::optional<std::uint64_t> parse_number(std::string const& text) {
     std::uint64_t value = 0;
     auto const [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc() || end != text.data() + text.size() || text.empty()) return std::nullopt;
@@ -178,35 +182,36 @@
   Result<Attempt> prepare(Router const& router, Route const& route, Tenant const* const tenant, HttpRequest request) {
     Attempt attempt;
     Forward& f = attempt.forward;
-    ServiceDefinition const& service = router.services()[Router::choose(route, w_.chance()())];
-    f.attempt_id = header_of(request, headers_.attempt_id);
+    ServiceDefinition const& service = router.services()[Router::choose(route, env_.chance()())];
+    f.attempt_id = header_value(request, headers_.attempt_id);
     if (f.attempt_id.empty()) return make_error("admit", "", "no attempt id", Proof::not_run);
     f.service = service.name;
     f.keyed = service.keyed;
     if (service.keyed) {
-      std::optional<std::uint32_t> const key = parse_key(header_of(request, headers_.key));
+      std::optional<std::uint32_t> const key = parse_key(header_value(request, headers_.key));
       if (!key) return make_error("admit", "", "no key", Proof::not_run);
       f.key = static_cast<std::uint16_t>(*key);
     }
-    Duration patience = route.timeout;
-    std::optional<std::uint64_t> const remaining = number(header_of(request, headers_.remaining_ms));
-    if (remaining) patience = std::min<Duration>(patience, std::chrono::milliseconds(*remaining));
-    attempt.began = w_.now();
-    attempt.deadline = attempt.began + patience;
-    attempt.aim = std::max<Duration>(Duration::zero(), route.aim);
+    Duration time_limit = route.timeout;
+    std::optional<std::uint64_t> const remaining = parse_number(header_value(request, headers_.remaining_ms));
+    if (remaining) time_limit = std::min<Duration>(time_limit, std::chrono::milliseconds(*remaining));
+    attempt.started = env_.now();
+    attempt.deadline = attempt.started + time_limit;
+    attempt.target_latency = std::max<Duration>(Duration::zero(), route.target_latency);
     attempt.attempt_limit = std::max<std::uint32_t>(route.attempt_limit, 1);
     f.repeatable = route.repeatable;
     f.rank = tenant != nullptr ? tenant->rank.value_or(route.rank) : route.rank;
     if (tenant != nullptr) f.tenant = tenant->name;
     f.work_class = static_cast<std::uint32_t>(digest_of(route.name));
-    f.calling_service = s_.calling_service;
+    f.calling_service = settings_.calling_service;
     f.request = std::move(request);
     return attempt;
   }
 
   RetryBudget& budget(std::string const& service) {
     auto it = budgets_.find(service);
-    if (it == budgets_.end()) it = budgets_.emplace(service, RetryBudget(s_.retry_percent, s_.retry_margin)).first;
+    if (it == budgets_.end())
+      it = budgets_.emplace(service, RetryBudget(settings_.retry_percent, settings_.retry_margin)).first;
     return it.value();
   }
 
@@ -214,12 +219,12 @@
     Forward& f = attempt.forward;
     if (f.keyed) {
       KeyHolderRecord const* const holder = keys_ ? keys_->find(f.service, f.key) : nullptr;
-      if (holder == nullptr || tried.contains(holder->address) || selector_.avoided(holder->address, w_.now()))
+      if (holder == nullptr || tried.contains(holder->address) || selector_.avoided(holder->address, env_.now()))
         return std::nullopt;
-      f.crossed = holder->zone != s_.zone;
+      f.crossed = holder->zone != settings_.zone;
       return holder->address;
     }
-    Endpoint const* const endpoint = selector_.select(f.service, tried, w_.now(), w_.chance(), f.repeatable);
+    Endpoint const* const endpoint = selector_.select(f.service, tried, env_.now(), env_.chance(), f.repeatable);
     if (endpoint == nullptr) return std::nullopt;
     f.crossed = !endpoint->local_zone;
     return endpoint->address;
@@ -229,24 +234,24 @@
                           SharedCancellation const cancellation) {
     selector_.sent(address);
     ForwardReply reply;
-    if (address == s_.own_address) {
+    if (address == settings_.own_address) {
       reply = co_await backend_.run(forward, cancellation);
     } else {
-      Instant const sent = w_.now();
-      Result<ForwardReply> got = co_await ask_cancellable(w_, address, forward, deadline, cancellation);
+      Instant const sent = env_.now();
+      Result<ForwardReply> got = co_await ask_cancellable(env_, address, forward, deadline, cancellation);
       if (got) {
         reply = std::move(*got);
-        selector_.transferred(address, w_.now() - sent - std::chrono::microseconds(reply.here_us), w_.now());
+        selector_.transferred(address, env_.now() - sent - std::chrono::microseconds(reply.elapsed_us), env_.now());
       } else {
-        if (got.error().proof != Proof::not_run) unanswered(address, w_.now() - sent);
+        if (got.error().proof != Proof::not_run) record_unanswered(address, env_.now() - sent);
         reply.outcome = got.error().proof == Proof::not_run ? Outcome::not_run : Outcome::unknown;
         reply.refusal = reply.outcome == Outcome::not_run ? Refusal::unreachable : Refusal::none;
-        if (got.error().step == no_room_step) reply = no_room();
+        if (got.error().step == rejected_step) reply = no_room();
         if (is_cancelled(cancellation)) reply.refusal = Refusal::cancelled;
         reply.reason = got.error().step + ": " + got.error().reason;
       }
     }
-    learn(address, reply);
+    update_selector(address, reply);
     co_return reply;
   }
 
@@ -258,14 +263,14 @@
     return reply;
   }
 
-  // Without an answer the way took at least what was waited for it, as far as that tells more.
-  void unanswered(Address const& address, Duration const waited) {
-    Duration const expected = selector_.expected_transfer(address, w_.now());
-    selector_.transferred(address, std::max(waited, expected), w_.now());
+  // Without a reply, the network time is at least the time waited, if that is more than expected.
+  void record_unanswered(Address const& address, Duration const waited) {
+    Duration const expected = selector_.expected_transfer(address, env_.now());
+    selector_.transferred(address, std::max(waited, expected), env_.now());
   }
 
-  void learn(Address const& address, ForwardReply const& reply) {
-    Instant const now = w_.now();
+  void update_selector(Address const& address, ForwardReply const& reply) {
+    Instant const now = env_.now();
     if (reply.outcome == Outcome::answered)
       selector_.answered(address, reply.load, now);
     else if (reply.refusal == Refusal::busy || reply.refusal == Refusal::too_late)
@@ -277,21 +282,21 @@
       selector_.failed(address, reply.refusal == Refusal::unreachable || reply.refusal == Refusal::no_backend, now);
   }
 
-  /** Whether the backend's own answer should rather be asked for again elsewhere. */
-  bool worth_repeating(Attempt const& attempt, ForwardReply const& reply) const {
+  /** Whether the backend's reply is a failure that should be retried elsewhere. */
+  bool should_retry(Attempt const& attempt, ForwardReply const& reply) const {
     return attempt.forward.repeatable && reply.reply.status >= 500 && reply.reply.status != 504;
   }
 
-  // What is left of the aim when the request arrives there, if its answer is to be back
-  // in time. Once that is hopeless a part of it still says how long to wait for a slot.
-  std::uint32_t aim_left_ms(Attempt const& attempt, Address const& endpoint) const {
-    Duration const spent = w_.now() - attempt.began + selector_.expected_transfer(endpoint, w_.now());
-    Duration const left = std::max(attempt.aim - spent, attempt.aim / late_aim_divisor);
+  // Returns the part of the target latency that is left when the request arrives there, minus the time
+  // for the reply. If it can't be met any more, a fixed part of it still limits the wait for a slot.
+  std::uint32_t target_latency_left_ms(Attempt const& attempt, Address const& endpoint) const {
+    Duration const spent = env_.now() - attempt.started + selector_.expected_transfer(endpoint, env_.now());
+    Duration const left = std::max(attempt.target_latency - spent, attempt.target_latency / late_target_divisor);
     return static_cast<std::uint32_t>(as_ms(left));
   }
 
   std::uint32_t remaining_ms(Attempt const& attempt) const {
-    std::int64_t const left = as_ms(attempt.deadline - w_.now());
+    std::int64_t const left = as_ms(attempt.deadline - env_.now());
     return static_cast<std::uint32_t>(std::max<std::int64_t>(left, 0));
   }
 
@@ -301,31 +306,31 @@
     last.outcome = Outcome::not_run;
     last.refusal = Refusal::no_backend;
     bool may_have_run = false;
-    std::uint32_t arrivals = 0;
+    std::uint32_t arrived_attempts = 0;
     std::uint32_t retry_after_ms = 0;
-    budget(attempt.forward.service).first(w_.now());
-    for (std::uint32_t n = 0; n < s_.most_endpoints; ++n) {
+    budget(attempt.forward.service).record_first(env_.now());
+    for (std::uint32_t n = 0; n < settings_.max_endpoints; ++n) {
       attempt.forward.remaining_ms = remaining_ms(attempt);
       if (attempt.forward.remaining_ms < 2 || attempt.cancellation->requested()) break;
-      attempt.state.step(RequestPhase::selecting);
+      attempt.state.transition(RequestPhase::selecting);
       std::optional<Address> const endpoint = choose(attempt, tried);
       if (!endpoint) break;
-      if (arrivals > 0) {
-        if (arrivals >= attempt.attempt_limit || !budget(attempt.forward.service).extra(w_.now())) break;
+      if (arrived_attempts > 0) {
+        if (arrived_attempts >= attempt.attempt_limit || !budget(attempt.forward.service).try_extra(env_.now())) break;
         ++counts_.retried;
       }
-      attempt.forward.aim_ms = aim_left_ms(attempt, *endpoint);
-      attempt.state.step(RequestPhase::forwarded);
+      attempt.forward.target_latency_ms = target_latency_left_ms(attempt, *endpoint);
+      attempt.state.transition(RequestPhase::forwarded);
       last = co_await send(*endpoint, attempt.forward, attempt.deadline, attempt.cancellation);
-      if (last.outcome == Outcome::answered && !worth_repeating(attempt, last)) break;
-      if (last.outcome != Outcome::not_run || last.refusal == Refusal::by_backend) ++arrivals;
+      if (last.outcome == Outcome::answered && !should_retry(attempt, last)) break;
+      if (last.outcome != Outcome::not_run || last.refusal == Refusal::by_backend) ++arrived_attempts;
       if (last.outcome != Outcome::not_run) {
         may_have_run = true;
         if (!attempt.forward.repeatable) break;
       }
       if (last.retry_after_ms > 0)
         retry_after_ms = retry_after_ms == 0 ? last.retry_after_ms : std::min(retry_after_ms, last.retry_after_ms);
-      // The holder of a key is the only place for it.
+      // Only the holder of a key can serve its requests.
       if (!attempt.forward.keyed)
         tried.insert(*endpoint);
       else if (last.outcome == Outcome::not_run && last.refusal != Refusal::key_not_held)
@@ -338,38 +343,38 @@
     co_return finish(attempt, std::move(last), may_have_run, retry_after_ms);
   }
 
-  // A row on its way between two holders is let go a moment before the table that names
-  // the next one is here.
+  // A row that moves between two holders is released shortly before the table with the next holder
+  // arrives here.
   Task<void> wait_for_another_holder(Attempt const& attempt, Address const refusing) {
-    Instant const until = std::min(w_.now() + key_move_patience, attempt.deadline);
-    while (w_.now() < until && !attempt.cancellation->requested()) {
+    Instant const until = std::min(env_.now() + key_move_patience, attempt.deadline);
+    while (env_.now() < until && !attempt.cancellation->requested()) {
       KeyHolderRecord const* const holder = keys_ ? keys_->find(attempt.forward.service, attempt.forward.key) : nullptr;
       if (holder != nullptr && holder->address != refusing) co_return;
-      co_await sleep_for(w_, key_move_pause);
+      co_await sleep_for(env_, key_move_pause);
     }
   }
 
   HttpReply finish(Attempt& attempt, ForwardReply last, bool const may_have_run, std::uint32_t const retry_after_ms) {
     if (last.outcome == Outcome::answered) {
-      attempt.state.step(RequestPhase::answered);
+      attempt.state.transition(RequestPhase::answered);
       ++counts_.answered;
       return std::move(last.reply);
     }
-    attempt.state.step(RequestPhase::given_up);
-    if (attempt.cancellation->requested()) return abandoned(may_have_run);
+    attempt.state.transition(RequestPhase::given_up);
+    if (attempt.cancellation->requested()) return client_left_reply(may_have_run);
     if (may_have_run) return failure(attempt, last.reason);
     Duration wait = attempt.forward.keyed ? key_retry : busy_retry;
     if (retry_after_ms > 0) wait = std::chrono::milliseconds(retry_after_ms);
     return refusal(last.reason.empty() ? "no usable backend" : last.reason, wait);
   }
 
-  // Its client has closed, or ended its side and may still read; `departures` counts it.
-  static HttpReply abandoned(bool const may_have_run) {
+  // The client has closed the connection, or closed its side and may still read; `departures` counts it.
+  static HttpReply client_left_reply(bool const may_have_run) {
     return may_have_run ? plain_reply(502, "client has left") : refusal_of("client has left", busy_retry);
   }
 
-  W& w_;
-  RequestPathSettings const s_;
+  Env& env_;
+  RequestPathSettings const settings_;
   DataPathHeaders const& headers_;
   Backend& backend_;
   EndpointSelector selector_;
@@ -380,7 +385,7 @@
   RequestCounts counts_;
   DepartureCounts departures_;
   std::size_t in_flight_ = 0;
-  std::optional<Instant> end_;  // of this process, once it was told to go
+  std::optional<Instant> end_;  // of this process, once it was told to end
 };
 
 }  // namespace banktide
--- a/source/programs/backend_main.cpp
+++ b/source/programs/backend_main.cpp
@@ -1,6 +1,6 @@
-// banktide-backend: a stand-in backend for proof. It beats to the node on its
+// banktide-backend: a backend for tests. It sends heartbeats to the node on its
 // machine, answers calls, and writes a line to its record before and after each
-// run, so that what ran is known from outside the mesh.
+// execution, so that executions are known independently of the mesh.
 #include <fcntl.h>
 #include <unistd.h>
 
@@ -22,37 +22,39 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  Settings s("banktide-backend");
-  s.text("service", "", "the service that it stands for");
-  s.text("instance", "", "its own name, new for each start");
-  s.text("address", "", "ip:port to listen at");
-  s.text("node", "", "ip:port of the node's local door");
-  s.text("record", "", "file for the record of runs");
-  s.number("work-ms", 5, 0, 60000, "how long a run takes");
-  s.number("beat-ms", 500, 10, 60000, "time between beats");
-  s.need_name("service");
-  s.need_name("instance");
-  s.need_address("address");
-  s.need_address("node");
-  if (std::optional<int> const code = s.read(argc, argv)) return *code;
-  start_logging(s.text("log-level"), "banktide-backend", s.text("instance"));
-  int const record =
-      s.text("record").empty() ? -1 : ::open(s.text("record").c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
+  Settings settings("banktide-backend");
+  settings.text("service", "", "the service that it stands for");
+  settings.text("instance", "", "its own name, new for each start");
+  settings.text("address", "", "ip:port to listen at");
+  settings.text("node", "", "ip:port of the node's local door");
+  settings.text("record", "", "file for the record of runs");
+  settings.number("work-ms", 5, 0, 60000, "how long a run takes");
+  settings.number("beat-ms", 500, 10, 60000, "time between beats");
+  settings.require_name("service");
+  settings.require_name("instance");
+  settings.require_address("address");
+  settings.require_address("node");
+  if (std::optional<int> const code = settings.read(argc, argv)) return *code;
+  start_logging(settings.text("log-level"), "banktide-backend", settings.text("instance"));
+  int const record = settings.text("record").empty()
+                         ? -1
+                         : ::open(settings.text("record").c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
   Process process;
-  SocketWorld world;
-  std::string const service = s.text("service"), instance = s.text("instance"), node = s.text("node");
-  Duration const work = std::chrono::milliseconds(s.number("work-ms")),
-                 every = std::chrono::milliseconds(s.number("beat-ms"));
+  SocketEnvironment env;
+  std::string const service = settings.text("service"), instance = settings.text("instance"),
+                    node = settings.text("node");
+  Duration const work = std::chrono::milliseconds(settings.number("work-ms")),
+                 every = std::chrono::milliseconds(settings.number("beat-ms"));
   std::uint32_t running = 0;
   bool leaving = false;
-  Instant told{};
+  Instant leave_reported_at{};
   auto const write = [&](std::string const& what, HttpRequest const& q) {
     std::string const line = what + " " + std::to_string(now_ms()) + " " + header(q, "call-id") + " " + service + " " +
                              instance + " " + header(q, "x-key") + " " + header(q, "banktide-epoch") + " " + q.method +
                              "\n";
     if (record >= 0 && ::write(record, line.data(), line.size()) < 0) log_warn("record_failed", {});
   };
-  HttpListener listener(world.io(), s.text("address"), [&](HttpRequest q) -> Task<HttpReply> {
+  HttpListener listener(env.io(), settings.text("address"), [&](HttpRequest q) -> Task<HttpReply> {
     HttpReply reply;
     reply.headers = {{"Content-Type", "application/json"}};
     if (header(q, "banktide-service") != service || header(q, "banktide-instance") != instance) {
@@ -63,7 +65,7 @@
     }
     ++running;
     write("begin", q);
-    co_await sleep_for(world, work);
+    co_await sleep_for(env, work);
     write("end", q);
     --running;
     reply.status = 200;
@@ -77,9 +79,9 @@
     log_warn("start_failed", {{"step", open.error().step}, {"reason", open.error().reason}});
     return 1;
   }
-  std::uint16_t const port = static_cast<std::uint16_t>(parse_address(s.text("address"))->port());
-  HttpCaller<SocketWorld> caller(world);
-  auto const keep_beating = [&]() -> Task<void> {
+  std::uint16_t const port = static_cast<std::uint16_t>(parse_address(settings.text("address"))->port());
+  HttpClient<SocketEnvironment> caller(env);
+  auto const heartbeat_loop = [&]() -> Task<void> {
     while (true) {
       HttpRequest q{
           "POST",
@@ -87,21 +89,22 @@
           {{"Content-Type", "application/json"}},
           Json{{"service", service}, {"instance", instance}, {"port", port}, {"burden", running}, {"leaving", leaving}}
               .dump()};
-      Result<HttpReply> const r = co_await caller.run_at(node, std::move(q), world.now() + 1s);
+      Result<HttpReply> const r = co_await caller.run_at(node, std::move(q), env.now() + 1s);
       if (!r || r->status != 200)
         log_warn("beat_failed",
                  {{"peer", node}, {"reason", r ? "status " + std::to_string(r->status) : r.error().reason}});
-      else if (leaving && told == Instant{})
-        told = world.now();
-      co_await sleep_for(world, leaving && told == Instant{} ? 20ms : every);
+      else if (leaving && leave_reported_at == Instant{})
+        leave_reported_at = env.now();
+      co_await sleep_for(env, leaving && leave_reported_at == Instant{} ? 20ms : every);
     }
   };
-  process.on_thread([&]() {
-    spawn(world, keep_beating());
+  process.run_on_thread([&]() {
+    spawn(env, heartbeat_loop());
     return true;
   });
-  log_info("started", {{"address", s.text("address")}});
-  process.until_told_to_go([&] { leaving = true; },
-                           [&] { return told != Instant{} && world.now() - told > 2s && running == 0; }, [] {}, 6s);
+  log_info("started", {{"address", settings.text("address")}});
+  process.run_until_shutdown(
+      [&] { leaving = true; },
+      [&] { return leave_reported_at != Instant{} && env.now() - leave_reported_at > 2s && running == 0; }, [] {}, 6s);
   std::_Exit(0);
 }
--- a/source/programs/configuration_interface.hpp
+++ b/source/programs/configuration_interface.hpp
@@ -1,10 +1,10 @@
-// The operators' configuration: writing it under a number of their choice and reading
-// the newest. Neither answers without a round of a quorum that began after the call.
+// The operators' configuration: writes under a version of their choice, and reads of the
+// newest version. Each answer needs a quorum round that began after the request arrived.
 //
-// The highest number holds. A number that isn't above the one held changes nothing, and
-// is acknowledged unless other content was acknowledged under it before. The answer is
-// given by what the register holds after the round, never by what one voter held before:
-// a content that only some voters have accepted refuses nobody.
+// The highest version wins. A write with a version that isn't above the current one changes
+// nothing; it is acknowledged unless other content was acknowledged under that version
+// before. The answer follows from the register's value after the round, never from one
+// voter's earlier value: content that only some voters have accepted causes no refusal.
 #pragma once
 
 #include "programs/registry.hpp"
@@ -14,26 +14,27 @@
 
 namespace banktide {
 
-template <Surroundings W>
+template <Environment Env>
 class ConfigurationInterface {
  public:
-  ConfigurationInterface(W& w, Registry<W>& registry, InterfaceAdapter const& adapter)
-      : w_(w), registry_(registry), adapter_(adapter) {}
+  ConfigurationInterface(Env& env, Registry<Env>& registry, InterfaceAdapter const& adapter)
+      : env_(env), registry_(registry), adapter_(adapter) {}
 
   Task<HttpReply> write(WriteConfigurationOperation const operation) {
     std::string const bytes = compress(operation.bytes);
-    auto const step = [&](Held const& now) -> Result<Held> {
+    auto const step = [&](RegisterValue const& now) -> Result<RegisterValue> {
       if (operation.version == 0 && now.revision == 0) return now;
       return claim_version(now, operation.version, operation.bytes, bytes);
     };
-    Result<Held> const done = co_await registry_.registers().change(Register::routing, "", w_.now() + patience, step);
+    Result<RegisterValue> const done =
+        co_await registry_.registers().change(Register::routing, "", env_.now() + request_timeout, step);
     if (!done) {
       log_warn("configuration_not_taken", {{"version", std::to_string(operation.version)},
                                            {"step", done.error().step},
                                            {"reason", done.error().reason}});
       co_return http_reply(adapter_.unavailable_reply(done.error().reason));
     }
-    // Above nothing, it can't come into force and couldn't be read back.
+    // Version 0 isn't newer than an empty register: it can't become active and couldn't be read back.
     if (done->revision == 0) co_return http_reply(adapter_.conflict_reply("versions begin at 00000001"));
     registry_.announce(Register::routing, *done);
     VersionClaim const claim = find_claim(*done, operation.version, operation.bytes);
@@ -48,12 +49,12 @@
   }
 
   Task<HttpReply> read() {
-    Held const known = registry_.held(Register::routing);
-    Result<Held> held = known;
+    RegisterValue const known = registry_.held(Register::routing);
+    Result<RegisterValue> held = known;
     if (!broken_on_purpose("shows_what_it_holds"))
-      held = co_await registry_.registers().read(Register::routing, known, w_.now() + patience);
+      held = co_await registry_.registers().read(Register::routing, known, env_.now() + request_timeout);
     if (!held) co_return http_reply(adapter_.unavailable_reply(held.error().reason));
-    if (held->revision == 0) co_return http_reply(adapter_.unavailable_reply("no configuration was ever sent"));
+    if (held->revision == 0) co_return http_reply(adapter_.unavailable_reply("no configuration has been written yet"));
     Result<std::string> const text = decompress(held->bytes);
     if (!text) {
       log_warn("configuration_unreadable",
@@ -64,11 +65,11 @@
   }
 
  private:
-  // Callers go on to another registry after a second of silence.
-  static constexpr Duration patience = 900ms;
+  // Callers try another registry after one second without an answer.
+  static constexpr Duration request_timeout = 900ms;
 
-  W& w_;
-  Registry<W>& registry_;
+  Env& env_;
+  Registry<Env>& registry_;
   InterfaceAdapter const& adapter_;
 };
 
--- a/source/programs/control_status.hpp
+++ b/source/programs/control_status.hpp
@@ -1,9 +1,9 @@
-// What operators look at when the control plane is in trouble: who votes, how many
-// losses the set of voters can still bear, and how old this registry's knowledge is.
-// It is asked of the voters themselves at each call, so it also tells of a minority.
+// The status page for operators when the control plane has faults: which voters
+// vote, how many more losses the voter set tolerates, and how old this registry's
+// data is. Each request queries the voters directly, so it also works in a minority.
 #pragma once
 
-#include "coordination/voter_watch.hpp"
+#include "coordination/voter_monitor.hpp"
 #include "programs/registry.hpp"
 
 namespace banktide {
@@ -14,12 +14,12 @@
   return target.substr(0, target.find('?')) == control_status_path;
 }
 
-template <Surroundings W>
+template <Environment Env>
 class ControlStatus {
  public:
-  ControlStatus(W& w, Registry<W>& registry) : w_(w), registry_(registry) {}
+  ControlStatus(Env& env, Registry<Env>& registry) : env_(env), registry_(registry) {}
 
-  /// Answers `GET /control/status` with a JSON object.
+  /// Handles `GET /control/status`; the answer is a JSON object.
   Task<HttpReply> call(HttpRequest const question) {
     HttpReply reply;
     if (question.method != "GET") {
@@ -35,16 +35,16 @@
   }
 
  private:
-  static constexpr Duration voter_patience = 400ms;
+  static constexpr Duration voter_timeout = 400ms;
 
   Task<Json> collect() {
-    RegisterClient<W>& registers = registry_.registers();
-    co_await registers.discover(w_.now() + voter_patience, true);
+    RegisterClient<Env>& registers = registry_.registers();
+    co_await registers.discover(env_.now() + voter_timeout, true);
     VoterSet const set = registers.set();
     std::vector<Address> const voters = addresses_of(set);
-    VotersAsk const question{};
-    auto const replies =
-        co_await ask_all<VotersAsk>(w_, voters, question, w_.now() + voter_patience, [](auto const&) { return false; });
+    VotersRequest const question{};
+    auto const replies = co_await ask_all<VotersRequest>(env_, voters, question, env_.now() + voter_timeout,
+                                                         [](auto const&) { return false; });
     std::vector<std::string> conditions(voters.size(), "silent");
     std::size_t voting = 0;
     for (auto const& [at, reply] : replies) {
@@ -53,18 +53,18 @@
       conditions[at] = votes ? "votes" : "doesn't vote";
       voting += votes;
     }
-    co_return described(set, conditions, voting);
+    co_return to_json(set, conditions, voting);
   }
 
-  Json described(VoterSet const& set, std::vector<std::string> const& conditions, std::size_t const voting) const {
+  Json to_json(VoterSet const& set, std::vector<std::string> const& conditions, std::size_t const voting) const {
     VoterSetHealth const health = health_of(set, voting);
     Json status = {{"registry", registry_.settings().id},
                    {"epoch", health.epoch},
-                   {"quorum", quorum_of(set)},
+                   {"quorum", quorum_size(set)},
                    {"voting", health.voting},
-                   {"losses_to_bear", health.losses_to_bear},
-                   {"losses_wanted", set.losses},
-                   {"vouched", registry_.vouched()},
+                   {"losses_to_bear", health.tolerable_losses},
+                   {"losses_wanted", set.tolerated_losses},
+                   {"vouched", registry_.has_quorum_reading()},
                    {"configuration", registry_.held(Register::routing).revision},
                    {"key_table", registry_.held(Register::keys).revision},
                    {"voters", Json::array()}};
@@ -74,8 +74,8 @@
     return status;
   }
 
-  W& w_;
-  Registry<W>& registry_;
+  Env& env_;
+  Registry<Env>& registry_;
 };
 
 }  // namespace banktide
--- a/source/programs/deployment.hpp
+++ b/source/programs/deployment.hpp
@@ -1,22 +1,22 @@
-// The two deployments that banktide is proved on, at the sizes and rates of
-// today: cells, machines, backends, the mix of calls, and the first routing
-// revision and catalogue that an operator would send.
+// The two deployments that banktide is tested with, at their current sizes and
+// rates: zones, machines, backends, the mix of calls, and the first routing
+// revision and catalogue that an operator sends.
 #pragma once
 
 #include "state/layout.hpp"
 
 namespace banktide {
 
-struct BackendPlace {
+struct BackendLocation {
   std::string service;
-  std::size_t cell = 0;
+  std::size_t zone = 0;
 };
 
 struct Deployment {
   std::string name;
-  std::vector<std::string> cells;
-  std::vector<std::size_t> nodes;  // in each cell; the first two are gateways
-  std::vector<BackendPlace> backends;
+  std::vector<std::string> zones;
+  std::vector<std::size_t> nodes;  // in each zone; the first two are gateways
+  std::vector<BackendLocation> backends;
   std::vector<std::string> mix;
   std::string routing, catalogue;
 };
--- a/source/programs/hollow_fleet_objects.cpp
+++ b/source/programs/hollow_fleet_objects.cpp
@@ -5,9 +5,9 @@
 #include "programs/hollow_fleet_interface.hpp"
 #include "programs/process.hpp"
 #include "protocol/key_messages.hpp"
-#include "state/cell_view.hpp"
+#include "state/zone_view.hpp"
 #include "state/key_planner.hpp"
-#include "transport/socket_world.hpp"
+#include "transport/socket_environment.hpp"
 
 #include <ctime>
 #include <functional>
@@ -27,15 +27,15 @@
   return static_cast<double>(t.tv_sec) * 1e6 + static_cast<double>(t.tv_nsec) / 1e3;
 }
 
-// Counted by the allocator: what is asked for and its own overhead.
+// As the allocator counts them, its overhead included.
 double allocated_bytes() {
   struct mallinfo2 const m = mallinfo2();
   return static_cast<double>(m.uordblks + m.hblkhd);
 }
 
-// What `make` leaves allocated for each of `count`, and the shortest time that it took.
-void measure_made(std::ostream& out, std::string const& name, std::size_t const count,
-                  std::function<std::shared_ptr<void>()> const& make) {
+// Prints the bytes per object that `make` leaves allocated, and its shortest run time.
+void measure_construction(std::ostream& out, std::string const& name, std::size_t const count,
+                          std::function<std::shared_ptr<void>()> const& make) {
   double bytes = 0, shortest = 0;
   for (int i = 0; i < repeats; ++i) {
     double const before = allocated_bytes();
@@ -54,7 +54,7 @@
                 "10.1.0." + std::to_string(i % 250) + ":7200",
                 Role::gateway,
                 1,
-                Standing::fit};
+                Liveness::alive};
 }
 
 BackendRecord backend(std::size_t const i) {
@@ -71,21 +71,21 @@
       hollow_service_name(i / 5), "node-" + std::to_string(i), "10.1.0." + std::to_string(i % 250) + ":7200", 8, 0, 0};
 }
 
-std::shared_ptr<CellView> view_of_members(std::size_t const n) {
-  std::shared_ptr<CellView> const view = std::make_shared<CellView>();
+std::shared_ptr<ZoneView> view_of_members(std::size_t const n) {
+  std::shared_ptr<ZoneView> const view = std::make_shared<ZoneView>();
   for (std::size_t i = 0; i < n; ++i) view->members[member(i).id] = member(i);
   return view;
 }
 
-std::shared_ptr<CellView> view_of_backends(std::size_t const n) {
-  std::shared_ptr<CellView> const view = std::make_shared<CellView>();
+std::shared_ptr<ZoneView> view_of_backends(std::size_t const n) {
+  std::shared_ptr<ZoneView> const view = std::make_shared<ZoneView>();
   for (std::size_t i = 0; i < n; ++i) view->backends[{backend(i).service, backend(i).instance}] = backend(i);
   return view;
 }
 
-CellEntry entry_of(std::size_t const n) {
-  CellEntry entry;
-  entry.cell = "zone-2";
+ZoneEntry entry_of(std::size_t const n) {
+  ZoneEntry entry;
+  entry.zone = "zone-2";
   for (std::size_t i = 0; i < n; ++i) {
     entry.gateways.push_back(member(i));
     entry.services.push_back(offer(i));
@@ -95,7 +95,7 @@
 
 using Endpoints = std::map<std::string, EndpointSelector::Endpoints>;
 
-// As a node makes them at each change of its view.
+// Endpoints as a node builds them at each change of its view.
 Endpoints endpoints_of(std::size_t const n) {
   Endpoints all;
   for (std::size_t i = 0; i < n; ++i) {
@@ -130,13 +130,13 @@
 void measure_routes(std::ostream& out, std::size_t const n) {
   HollowConfiguration size;
   size.routes = n;
-  measure_made(out, "route", n, [size] {
+  measure_construction(out, "route", n, [size] {
     Result<ServiceConfiguration> read = read_hollow_configuration(hollow_configuration_bytes(size));
     return std::make_shared<Router>(std::move(*read));
   });
   size.routes = 1;
   size.services = n;
-  measure_made(out, "service", n, [size] {
+  measure_construction(out, "service", n, [size] {
     Result<ServiceConfiguration> read = read_hollow_configuration(hollow_configuration_bytes(size));
     return std::make_shared<Router>(std::move(*read));
   });
@@ -146,21 +146,22 @@
   KeyTable const table = table_of(n);
   Bytes const packed = pack_key_table(table);
   out << "packed_key_row," << n << "," << static_cast<double>(packed.size()) / static_cast<double>(n) << ",0\n";
-  measure_made(out, "key_row", n, [&packed] { return std::make_shared<KeyTable>(*unpack_key_table(packed, 1)); });
+  measure_construction(out, "key_row", n,
+                       [&packed] { return std::make_shared<KeyTable>(*unpack_key_table(packed, 1)); });
 }
 
 void measure_view(std::ostream& out, std::size_t const n) {
-  measure_made(out, "member", n, [n] { return view_of_members(n); });
-  measure_made(out, "backend", n, [n] { return view_of_backends(n); });
-  measure_made(out, "entry_of_backend", n, [n] { return std::make_shared<CellEntry>(entry_of(n)); });
-  CellTold told;
-  told.entry = entry_of(n);
-  Bytes const packed = pack(told);
+  measure_construction(out, "member", n, [n] { return view_of_members(n); });
+  measure_construction(out, "backend", n, [n] { return view_of_backends(n); });
+  measure_construction(out, "entry_of_backend", n, [n] { return std::make_shared<ZoneEntry>(entry_of(n)); });
+  ZoneAnnouncement announcement;
+  announcement.entry = entry_of(n);
+  Bytes const packed = pack(announcement);
   out << "packed_entry_of_backend," << n << "," << static_cast<double>(packed.size()) / static_cast<double>(n)
       << ",0\n";
-  measure_made(out, "unpacked_entry_of_backend", n,
-               [&packed] { return std::make_shared<CellTold>(*unpack<CellTold>(packed)); });
-  measure_made(out, "endpoint", n, [n] {
+  measure_construction(out, "unpacked_entry_of_backend", n,
+                       [&packed] { return std::make_shared<ZoneAnnouncement>(*unpack<ZoneAnnouncement>(packed)); });
+  measure_construction(out, "endpoint", n, [n] {
     std::shared_ptr<EndpointSelector> const selector = std::make_shared<EndpointSelector>();
     selector->replace(endpoints_of(n));
     return selector;
@@ -177,12 +178,12 @@
   BANKTIDE_FIELDS(text)
 };
 
-Task<void> ask_echo(SocketWorld& world, Address const peer, std::size_t const size, std::size_t const count,
+Task<void> ask_echo(SocketEnvironment& env, Address const peer, std::size_t const size, std::size_t const count,
                     std::promise<std::size_t>& done) {
   std::size_t answered = 0;
   for (std::size_t i = 0; i < count; ++i) {
-    Echo const question{std::string(size, 'x')};
-    Result<Echo::Reply> const reply = co_await ask(world, peer, question, world.now() + 2s);
+    Echo const request{std::string(size, 'x')};
+    Result<Echo::Reply> const reply = co_await ask(env, peer, request, env.now() + 2s);
     answered += reply.has_value();
   }
   done.set_value(answered);
@@ -201,7 +202,7 @@
 void measure_frames(std::ostream& out) {
   constexpr std::size_t questions = 20000;
   Process process;
-  SocketWorld server, client;
+  SocketEnvironment server, client;
   Dispatcher dispatcher;
   dispatcher.on<Echo>([](Echo q) -> Task<Echo::Reply> {
     Echo::Reply reply{std::move(q.text)};
@@ -209,11 +210,11 @@
   });
   Result<Address> const address = server.listen("127.0.0.1:0");
   if (!address) return;
-  process.on_thread([&] { return (server.serve(dispatcher), true); });
+  process.run_on_thread([&] { return (server.serve(dispatcher), true); });
   for (std::size_t const size : {16, 64, 256, 1024, 4096, 16384}) {
     std::promise<std::size_t> done;
     double const begun = processor_us();
-    process.on_thread([&] { return (spawn(client, ask_echo(client, *address, size, questions, done)), true); });
+    process.run_on_thread([&] { return (spawn(client, ask_echo(client, *address, size, questions, done)), true); });
     std::size_t const answered = done.get_future().get();
     double const each = (processor_us() - begun) / static_cast<double>(2 * questions);
     out << "message_over_sockets," << size << "," << answered << "," << each << "\n";
--- a/source/programs/hollow_main.cpp
+++ b/source/programs/hollow_main.cpp
@@ -1,6 +1,6 @@
-// banktide-hollow: measures the mesh at sizes that no machine at hand can run for
-// real. It makes one hollow fleet, has one thing happen to it, and prints what was
-// counted as lines of "trial,x,role,metric,mean,highest".
+// banktide-hollow: measures the mesh at sizes that can't be run with real processes
+// on one machine. It creates one hollow fleet, injects one fault, and prints the
+// measurements as lines of "trial,x,role,metric,mean,highest".
 #include "programs/hollow_delivery.hpp"
 #include "programs/hollow_fleet.hpp"
 #include "programs/hollow_fleet_objects.hpp"
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr Duration event_patience = 150s;
-constexpr Duration calm_first = 5s;
-constexpr Duration restart_takes = 1s;
+constexpr Duration event_timeout = 150s;
+constexpr Duration settle_time = 5s;
+constexpr Duration restart_downtime = 1s;
 
 void define(Settings& s) {
   s.text("measure", "fleet", "fleet, objects, frames or delivery");
@@ -70,31 +70,32 @@
 class Trial {
  public:
   explicit Trial(Settings const& s)
-      : s_(s),
+      : settings_(s),
         before_(allocated_bytes()),
         fleet_(fleet_settings(s)),
         seconds_(std::chrono::seconds(s.number("seconds"))) {}
 
   int run() {
-    std::optional<Duration> const formed = fleet_.form(std::chrono::seconds(s_.number("form-seconds")));
+    std::optional<Duration> const formed = fleet_.form(std::chrono::seconds(settings_.number("form-seconds")));
     print("fleet", "form_s", seconds_of(formed));
     if (!formed) {
       report_unformed();
       return 0;
     }
-    fleet_.run_for(calm_first);
+    fleet_.run_for(settle_time);
     print("fleet", "voters", static_cast<double>(fleet_.voters()));
     measure();
-    print("fleet", "memory_per_node_bytes", (allocated_bytes() - before_) / static_cast<double>(s_.number("nodes")));
-    if (s_.text("event") == "zone") lose_zone();
-    if (s_.text("event") == "region") cut_region();
+    print("fleet", "memory_per_node_bytes",
+          (allocated_bytes() - before_) / static_cast<double>(settings_.number("nodes")));
+    if (settings_.text("event") == "zone") lose_zone();
+    if (settings_.text("event") == "region") cut_region();
     return 0;
   }
 
  private:
   void print(std::string const& role, std::string const& metric, double const mean, double const highest) const {
-    std::cout << s_.text("trial") << "," << s_.text("x") << "," << role << "," << metric << "," << mean << ","
-              << highest << std::endl;
+    std::cout << settings_.text("trial") << "," << settings_.text("x") << "," << role << "," << metric << "," << mean
+              << "," << highest << std::endl;
   }
   void print(std::string const& role, std::string const& metric, double const value) const {
     print(role, metric, value, value);
@@ -105,35 +106,37 @@
       if (m.highest > 0) print(m.role, m.metric, m.mean, m.highest);
   }
 
-  // What a fleet that can't form is busy with.
+  // Prints what a fleet that didn't form in time is doing.
   void report_unformed() {
     print("fleet", "voters", static_cast<double>(fleet_.voters()));
-    print("fleet", "ready_share", static_cast<double>(fleet_.ready_nodes()) / static_cast<double>(s_.number("nodes")));
+    print("fleet", "ready_share",
+          static_cast<double>(fleet_.ready_nodes()) / static_cast<double>(settings_.number("nodes")));
     fleet_.reset_meters();
-    fleet_.run_for(calm_first);
+    fleet_.run_for(settle_time);
     print_all(fleet_.measurements());
   }
 
-  // Configurations and restarts come evenly over the time measured.
+  // Spreads configurations and restarts evenly over the measured time.
   void measure() {
     std::size_t const changes = per_time("changes-per-minute"), restarts = per_time("restarts-per-minute");
     constexpr std::size_t steps = 1200;
     fleet_.reset_meters();
     for (std::size_t i = 0; i < steps; ++i) {
-      if (due(i, steps, changes)) fleet_.write_next((changed_++) % s_.number("controls"));
-      if (due(i, steps, restarts)) fleet_.restart_node((restarted_ += 7) % s_.number("nodes"), restart_takes);
+      if (due(i, steps, changes)) fleet_.write_next((changed_++) % settings_.number("controls"));
+      if (due(i, steps, restarts)) fleet_.restart_node((restarted_ += 7) % settings_.number("nodes"), restart_downtime);
       fleet_.run_for(seconds_ / steps);
     }
     print_all(fleet_.measurements());
-    fleet_.run_for(calm_first);
-    print("fleet", "ready_share", static_cast<double>(fleet_.ready_nodes()) / static_cast<double>(s_.number("nodes")));
+    fleet_.run_for(settle_time);
+    print("fleet", "ready_share",
+          static_cast<double>(fleet_.ready_nodes()) / static_cast<double>(settings_.number("nodes")));
     print("fleet", "rows_held", static_cast<double>(fleet_.rows_held()));
     print("fleet", "formed_after", fleet_.formed());
-    print_times("in_force_ms", fleet_.times_to_force());
+    print_times("in_force_ms", fleet_.times_to_activation());
     print_times("acknowledged_ms", fleet_.times_to_acknowledge());
   }
   std::size_t per_time(std::string const& name) const {
-    return s_.number(name) *
+    return settings_.number(name) *
            static_cast<std::size_t>(std::chrono::duration_cast<std::chrono::seconds>(seconds_).count()) / 60;
   }
   static bool due(std::size_t const step, std::size_t const steps, std::size_t const wanted) {
@@ -150,40 +153,40 @@
   }
 
   void lose_zone() {
-    std::size_t const zone = s_.number("zones") - 1;
+    std::size_t const zone = settings_.number("zones") - 1;
     fleet_.lose_zone(zone);
     fleet_.reset_meters();
     std::size_t const left = fleet_.running_backends();
     auto const seen = [&] { return fleet_.nodes_with_other_endpoints(left) == 0; };
-    print("fleet", "zone_lost_seen_s", seconds_of(fleet_.run_until(seen, event_patience)));
+    print("fleet", "zone_lost_seen_s", seconds_of(fleet_.run_until(seen, event_timeout)));
     print_highest("zone_lost");
     std::size_t const acknowledged = fleet_.acknowledged();
     fleet_.write_next(0);
-    auto const in_force = [&] { return fleet_.acknowledged() > acknowledged && fleet_.formed(); };
-    print("fleet", "zone_lost_write_in_force_s", seconds_of(fleet_.run_until(in_force, event_patience)));
-    fleet_.bring_back_zone(zone);
+    auto const is_active = [&] { return fleet_.acknowledged() > acknowledged && fleet_.formed(); };
+    print("fleet", "zone_lost_write_in_force_s", seconds_of(fleet_.run_until(is_active, event_timeout)));
+    fleet_.restore_zone(zone);
     fleet_.reset_meters();
-    print("fleet", "zone_back_s", seconds_of(fleet_.run_until([&] { return fleet_.formed(); }, event_patience)));
+    print("fleet", "zone_back_s", seconds_of(fleet_.run_until([&] { return fleet_.formed(); }, event_timeout)));
     print_highest("zone_back");
   }
 
   void cut_region() {
     fleet_.cut_region(0);
     fleet_.reset_meters();
-    fleet_.run_for(calm_first);
+    fleet_.run_for(settle_time);
     std::size_t const before = fleet_.acknowledged();
     fleet_.write_next(0);
-    fleet_.run_for(calm_first);
+    fleet_.run_for(settle_time);
     print("fleet", "region_cut_write_inside", static_cast<double>(fleet_.acknowledged() - before));
     std::size_t const then = fleet_.acknowledged();
     fleet_.write_next(1);
     fleet_.run_for(seconds_);
     print("fleet", "region_cut_write_outside", static_cast<double>(fleet_.acknowledged() - then));
     print("fleet", "region_cut_ready_share",
-          static_cast<double>(fleet_.ready_nodes()) / static_cast<double>(s_.number("nodes")));
+          static_cast<double>(fleet_.ready_nodes()) / static_cast<double>(settings_.number("nodes")));
     print_highest("region_cut");
     fleet_.heal();
-    print("fleet", "region_healed_s", seconds_of(fleet_.run_until([&] { return fleet_.formed(); }, event_patience)));
+    print("fleet", "region_healed_s", seconds_of(fleet_.run_until([&] { return fleet_.formed(); }, event_timeout)));
   }
 
   void print_highest(std::string const& when) const {
@@ -192,36 +195,36 @@
         print(m.role, when + "_" + m.metric, m.mean, m.highest);
   }
 
-  Settings const& s_;
+  Settings const& settings_;
   double const before_;
   HollowFleet fleet_;
   Duration const seconds_;
   std::size_t changed_ = 0, restarted_ = 0;
 };
 
-void print_delivery(DeliveryTrouble const trouble, std::size_t const routes, DeliveryFigures const& figures) {
+void print_delivery(DeliveryFault const fault, std::size_t const routes, DeliveryResult const& result) {
   auto const line = [&](std::string const& metric, double const value) {
-    std::cout << to_text(trouble) << "," << routes << "," << metric << "," << value << std::endl;
+    std::cout << to_text(fault) << "," << routes << "," << metric << "," << value << std::endl;
   };
-  line("formed", figures.formed);
-  line("acknowledged", static_cast<double>(figures.acknowledged));
+  line("formed", result.formed);
+  line("acknowledged", static_cast<double>(result.acknowledged));
   for (double const share : {0.5, 0.9, 0.99, 0.999, 1.0})
-    line("in_force_ms_" + std::to_string(share).substr(0, 5), figures.to_force.milliseconds(share));
-  line("first_in_force_ms_median", figures.to_first_force.milliseconds(0.5));
-  line("first_in_force_ms_max", figures.to_first_force.milliseconds(1));
-  line("behind", static_cast<double>(figures.behind));
-  for (HollowMeasurement const& m : figures.load)
+    line("in_force_ms_" + std::to_string(share).substr(0, 5), result.activation_times.milliseconds(share));
+  line("first_in_force_ms_median", result.first_activation_times.milliseconds(0.5));
+  line("first_in_force_ms_max", result.first_activation_times.milliseconds(1));
+  line("behind", static_cast<double>(result.behind));
+  for (HollowMeasurement const& m : result.load)
     if (m.metric.ends_with("_bytes") || m.metric == "sent_messages")
       line(m.role + "_" + m.metric + "_mean", m.mean), line(m.role + "_" + m.metric + "_highest", m.highest);
 }
 
 void measure_deliveries(Settings const& s) {
-  for (DeliveryTrouble const trouble : delivery_troubles) {
-    if (s.text("trouble") != "all" && s.text("trouble") != to_text(trouble)) continue;
+  for (DeliveryFault const fault : delivery_faults) {
+    if (s.text("trouble") != "all" && s.text("trouble") != to_text(fault)) continue;
     HollowFleetSettings settings = large_site(s.number("routes"));
     settings.seed = s.number("seed");
     settings.nodes = settings.backends = settings.changing_backends = s.number("site-nodes");
-    print_delivery(trouble, settings.routes, measure_delivery(settings, trouble));
+    print_delivery(fault, settings.routes, measure_delivery(settings, fault));
   }
 }
 
--- a/source/programs/mesh_registry.cpp
+++ b/source/programs/mesh_registry.cpp
@@ -1,44 +1,46 @@
-// banktide-registry on the new data path: settings, sockets and signals around
-// one Registry and what operators ask of it.
+// banktide-registry for the mesh: settings, sockets and signal handling around
+// one Registry and its operator interface.
 #include "programs/mesh_registry.hpp"
 
 #include "programs/mesh_programs.hpp"
 #include "programs/mesh_settings.hpp"
 #include "transport/http_server.hpp"
-#include "transport/socket_world.hpp"
+#include "transport/socket_environment.hpp"
 
 namespace banktide {
 
 namespace {
 
-void define(Settings& s) {
-  define_mesh_settings(s);
-  s.text("control-address", "", "ip:port for operators (HTTP)");
-  s.flag("counted", "this machine counts among those that may be lost; not used");
-  s.list("zones", "names of all zones");
-  s.number("maintenance-lead", 60, 1, 3600, "seconds before a maintenance window at which traffic moves, by default");
-  s.number("maintenance-return", 30, 1, 3600, "seconds over which traffic comes back after a maintenance window");
-  s.need_address("control-address");
+void define(Settings& settings) {
+  define_mesh_settings(settings);
+  settings.text("control-address", "", "ip:port for operators (HTTP)");
+  settings.flag("counted", "this machine counts among those that may be lost; not used");
+  settings.list("zones", "names of all zones");
+  settings.number("maintenance-lead", 60, 1, 3600,
+                  "seconds before a maintenance window at which traffic moves, by default");
+  settings.number("maintenance-return", 30, 1, 3600,
+                  "seconds over which traffic comes back after a maintenance window");
+  settings.require_address("control-address");
 }
 
-RegistrySettings registry_settings(Settings const& s) {
+RegistrySettings registry_settings(Settings const& settings) {
   RegistrySettings r;
-  r.id = s.text("id");
-  r.cell = s.text("zone");
-  r.address = s.text("address");
-  r.seeds = seed_peers(s);
+  r.id = settings.text("id");
+  r.zone = settings.text("zone");
+  r.address = settings.text("address");
+  r.seeds = seed_peers(settings);
   r.timing = mesh_timing();
-  r.store_port = store_port(s);
+  r.store_port = store_port(settings);
   return r;
 }
 
-// A lead must outlast what a leaving backend and a hold on keys may take.
-MaintenanceSettings maintenance_settings(Settings const& s, TimingBounds const& bounds) {
+// The lead must be longer than a backend's drain and a key hold may last.
+MaintenanceSettings maintenance_settings(Settings const& settings, TimingBounds const& bounds) {
   constexpr Duration until_known = 2s;
   MaintenanceSettings m;
-  m.least_lead = std::max(bounds.drain_limit, bounds.hold_limit) + until_known;
-  m.standard_lead = std::max<Duration>(std::chrono::seconds(s.number("maintenance-lead")), m.least_lead);
-  m.return_time = std::chrono::seconds(s.number("maintenance-return"));
+  m.min_lead = std::max(bounds.drain_limit, bounds.hold_limit) + until_known;
+  m.default_lead = std::max<Duration>(std::chrono::seconds(settings.number("maintenance-lead")), m.min_lead);
+  m.return_time = std::chrono::seconds(settings.number("maintenance-return"));
   return m;
 }
 
@@ -46,37 +48,40 @@
 
 int run_mesh_registry(std::vector<std::string> const& arguments, InterfaceAdapter const& adapter) {
   CommandLine line(arguments);
-  Settings s("banktide-registry");
-  define(s);
-  if (std::optional<int> const code = s.read(line.count(), line.words())) return *code;
-  start_logging(s.text("log-level"), "banktide-registry", s.text("id"));
-  Result<TimingBounds> const bounds = adapter.read_bounds(s.list("bounds"));
+  Settings settings("banktide-registry");
+  define(settings);
+  if (std::optional<int> const code = settings.read(line.count(), line.words())) return *code;
+  start_logging(settings.text("log-level"), "banktide-registry", settings.text("id"));
+  Result<TimingBounds> const bounds = adapter.read_bounds(settings.list("bounds"));
   if (!bounds) return start_failed(bounds.error());
   Process process;
-  SocketWorld world;
+  SocketEnvironment env;
   Dispatcher dispatcher;
-  Result<Address> const bound = world.listen(s.text("address"));
+  Result<Address> const bound = env.listen(settings.text("address"));
   if (!bound) return start_failed(bound.error());
-  Registry<SocketWorld> registry(world, registry_settings(s));
-  MeshRegistry<SocketWorld> mesh(world, registry, adapter, key_settings(*bounds), maintenance_settings(s, *bounds));
+  Registry<SocketEnvironment> registry(env, registry_settings(settings));
+  MeshRegistry<SocketEnvironment> mesh(env, registry, adapter, key_settings(*bounds),
+                                       maintenance_settings(settings, *bounds));
   HttpServer operators(
-      world.io(), [&mesh](HttpRequest q, std::shared_ptr<HttpExchange>) { return mesh.interface_call(std::move(q)); },
+      env.io(),
+      [&mesh](HttpRequest q, std::shared_ptr<HttpExchange>) { return mesh.handle_interface_request(std::move(q)); },
       {});
-  Result<Address> const open = process.on_thread([&]() -> Result<Address> {
-    world.serve(dispatcher);
+  Result<Address> const open = process.run_on_thread([&]() -> Result<Address> {
+    env.serve(dispatcher);
     registry.start(dispatcher);
     mesh.start(dispatcher);
-    return operators.listen(s.text("control-address"));
+    return operators.listen(settings.text("control-address"));
   });
   if (!open) return start_failed(open.error());
-  log_info("started", {{"address", *bound}, {"operators", s.text("control-address")}, {"zone", s.text("zone")}});
-  auto const reload = [&] { reload_mesh_settings(s, define, line); };
+  log_info("started",
+           {{"address", *bound}, {"operators", settings.text("control-address")}, {"zone", settings.text("zone")}});
+  auto const reload = [&] { reload_mesh_settings(settings, define, line); };
   auto const leave = [&] {
     registry.leave();
     operators.drain();
   };
   auto const idle = [&] { return registry.idle() && operators.busy() == 0; };
-  process.until_told_to_go(leave, idle, reload, leave_patience(*bounds));
+  process.run_until_shutdown(leave, idle, reload, shutdown_timeout(*bounds));
   std::_Exit(0);
 }
 
--- a/source/programs/mesh_registry.hpp
+++ b/source/programs/mesh_registry.hpp
@@ -1,6 +1,6 @@
-// The registry on the new data path: the operators' interface through an
-// adapter, maintenance windows, and the coordinator of keys, around the registry
-// that keeps the register's values and its zone's feed.
+// The mesh registry: adds the operator interface (through an adapter),
+// maintenance windows and the key coordinator to a Registry, which holds the
+// register values and serves its zone's feed.
 #pragma once
 
 #include "coordination/key_coordinator.hpp"
@@ -10,34 +10,34 @@
 
 namespace banktide {
 
-template <Surroundings W>
+template <Environment Env>
 class MeshRegistry {
  public:
-  MeshRegistry(W& w, Registry<W>& registry, InterfaceAdapter const& adapter, KeySettings const& keys,
+  MeshRegistry(Env& env, Registry<Env>& registry, InterfaceAdapter const& adapter, KeySettings const& keys,
                MaintenanceSettings const& maintenance = {})
-      : w_(w),
+      : env_(env),
         registry_(registry),
         adapter_(adapter),
-        configuration_(w, registry, adapter),
-        status_(w, registry),
-        coordinator_(w, registry.registers(), keys, [this] { return acting(); }),
-        windows_(w, registry.registers(), [this] { return acting(); }),
-        maintenance_(w, registry, windows_, maintenance) {
+        configuration_(env, registry, adapter),
+        status_(env, registry),
+        coordinator_(env, registry.registers(), keys, [this] { return acting(); }),
+        windows_(env, registry.registers(), [this] { return acting(); }),
+        maintenance_(env, registry, windows_, maintenance) {
     windows_.known = [this] { return registry_.held(Register::maintenance); };
-    windows_.on_written = [this](Held const& held) { registry_.announce(Register::maintenance, held); };
+    windows_.on_written = [this](RegisterValue const& held) { registry_.announce(Register::maintenance, held); };
     coordinator_.withheld_zones = [this] { return windows_.plan().withheld_zones(); };
-    coordinator_.on_table = [this](Held const& held) { registry_.announce(Register::keys, held); };
+    coordinator_.on_table = [this](RegisterValue const& held) { registry_.announce(Register::keys, held); };
   }
 
   void start(Dispatcher& dispatcher) {
     coordinator_.attach(dispatcher);
-    spawn(w_, coordinator_.run());
-    spawn(w_, windows_.run());
-    spawn(w_, maintenance_.run());
+    spawn(env_, coordinator_.run());
+    spawn(env_, windows_.run());
+    spawn(env_, maintenance_.run());
   }
 
-  /** A call of an operator. */
-  Task<HttpReply> interface_call(HttpRequest q) {
+  /** Handles an operator's request. */
+  Task<HttpReply> handle_interface_request(HttpRequest q) {
     if (is_control_status_target(q.target)) co_return co_await status_.call(std::move(q));
     if (is_maintenance_target(q.target)) co_return co_await maintenance_.call(std::move(q));
     tl::expected<InterfaceOperation, InterfaceReply> operation = adapter_.interpret(q);
@@ -46,23 +46,23 @@
       co_return co_await configuration_.write(std::move(*write));
     if (std::holds_alternative<ReadConfigurationOperation>(*operation)) co_return co_await configuration_.read();
     if (std::holds_alternative<ReadinessOperation>(*operation))
-      co_return http_reply(adapter_.readiness_reply(registry_.vouched()));
-    co_return http_reply(adapter_.unavailable_reply("backends beat to the node on their machine"));
+      co_return http_reply(adapter_.readiness_reply(registry_.has_quorum_reading()));
+    co_return http_reply(adapter_.unavailable_reply("heartbeats go to the node on the backend's machine"));
   }
 
  private:
-  using Windows = MaintenanceKeeper<W, RegisterClient<W>>;
+  using Windows = MaintenanceKeeper<Env, RegisterClient<Env>>;
 
-  bool acting() const { return registry_.vouched() && registry_.first_of_live_registries(); }
+  bool acting() const { return registry_.has_quorum_reading() && registry_.first_of_live_registries(); }
 
-  W& w_;
-  Registry<W>& registry_;
+  Env& env_;
+  Registry<Env>& registry_;
   InterfaceAdapter const& adapter_;
-  ConfigurationInterface<W> configuration_;
-  ControlStatus<W> status_;
-  KeyCoordinator<W, RegisterClient<W>> coordinator_;
+  ConfigurationInterface<Env> configuration_;
+  ControlStatus<Env> status_;
+  KeyCoordinator<Env, RegisterClient<Env>> coordinator_;
   Windows windows_;
-  MaintenanceInterface<W, Registry<W>, Windows> maintenance_;
+  MaintenanceInterface<Env, Registry<Env>, Windows> maintenance_;
 };
 
 }  // namespace banktide
--- a/source/programs/mesh_settings.hpp
+++ b/source/programs/mesh_settings.hpp
@@ -1,5 +1,5 @@
-// Settings that the programs on the new data path share, and what is worked out
-// from them: the peers to meet first, the bounds, the times of key leases.
+// Settings that the mesh programs share, and the values derived from them: seed
+// peers, timing bounds and key lease timing.
 #pragma once
 
 #include "coordination/feed_timing.hpp"
@@ -9,7 +9,7 @@
 
 namespace banktide {
 
-/** Words of a command line as `main` gets them. */
+/** A command line in the form of the `argc` and `argv` of `main`. */
 class CommandLine {
  public:
   explicit CommandLine(std::vector<std::string> const& words) : words_(words) {
@@ -23,42 +23,44 @@
   std::vector<char*> pointers_;
 };
 
-inline void define_mesh_settings(Settings& s) {
-  s.text("interface", "", "the interface that the process meets; not used");
-  s.text("id", "", "name of this process");
-  s.text("zone", "", "the zone that it stands in");
-  s.text("address", "", "ip:port for other processes");
-  s.list("seed-control", "ip:port of a registry's operator interface; repeat for three");
-  s.text("peer-port", "0", "the port at which registries listen for other processes");
-  s.text("store-port", "0", "the port at which stores listen");
-  s.flag("initial-start", "the whole system starts for the first time");
-  s.text("losses", "1", "how many machines with a disk may be lost at once");
-  s.list("bounds", "name=value, as the operators state them");
-  s.need_name("id");
-  s.need_name("zone");
-  s.need_address("address");
-  s.need_addresses("seed-control", 1);
+inline void define_mesh_settings(Settings& settings) {
+  settings.text("interface", "", "the interface that the process meets; not used");
+  settings.text("id", "", "name of this process");
+  settings.text("zone", "", "the zone that it stands in");
+  settings.text("address", "", "ip:port for other processes");
+  settings.list("seed-control", "ip:port of a registry's operator interface; repeat for three");
+  settings.text("peer-port", "0", "the port at which registries listen for other processes");
+  settings.text("store-port", "0", "the port at which stores listen");
+  settings.flag("initial-start", "the whole system starts for the first time");
+  settings.text("losses", "1", "how many machines with a disk may be lost at once");
+  settings.list("bounds", "name=value, as the operators state them");
+  settings.require_name("id");
+  settings.require_name("zone");
+  settings.require_address("address");
+  settings.require_addresses("seed-control", 1);
 }
 
-/** A number that a template gives as text; `standard` if it gives none. */
-inline std::uint64_t number_of(Settings const& s, std::string const& name, std::uint64_t const standard) {
-  std::string const text = s.text(name);
-  if (text.empty() || text.size() > 9 || text.find_first_not_of("0123456789") != std::string::npos) return standard;
+/** A number that is set as text, as the platform's templates do; `fallback` if the text is not a number. */
+inline std::uint64_t number_of(Settings const& settings, std::string const& name, std::uint64_t const fallback) {
+  std::string const text = settings.text(name);
+  if (text.empty() || text.size() > 9 || text.find_first_not_of("0123456789") != std::string::npos) return fallback;
   return std::stoull(text);
 }
 
-/** The port at which stores listen. */
-inline std::uint16_t store_port(Settings const& s) { return static_cast<std::uint16_t>(number_of(s, "store-port", 0)); }
+/** The port of the stores. */
+inline std::uint16_t store_port(Settings const& settings) {
+  return static_cast<std::uint16_t>(number_of(settings, "store-port", 0));
+}
 
-/** The seeds' addresses for other processes: their machines, at the port that all registries share. */
-inline std::vector<Address> seed_peers(Settings const& s) {
+/** The seeds' addresses for traffic between processes: their hosts with the port that all registries use. */
+inline std::vector<Address> seed_peers(Settings const& settings) {
   std::vector<Address> peers;
-  std::string const port = ":" + s.text("peer-port");
-  for (std::string const& seed : s.list("seed-control")) peers.push_back(seed.substr(0, seed.rfind(':')) + port);
+  std::string const port = ":" + settings.text("peer-port");
+  for (std::string const& seed : settings.list("seed-control")) peers.push_back(seed.substr(0, seed.rfind(':')) + port);
   return peers;
 }
 
-/** How often zones' registries and nodes speak: quicker to come back than the product's own fleet needs. */
+/** The timing of zone feeds: rejoins and warm-ups are quicker than in the stand-alone fleet. */
 inline FeedTiming mesh_timing() {
   FeedTiming t;
   t.join_every = 600ms;
@@ -68,7 +70,7 @@
   return t;
 }
 
-/** The times of key leases that follow from the bounds. */
+/** The key lease timing that follows from the bounds. */
 inline KeySettings key_settings(TimingBounds const& bounds) {
   KeySettings k;
   k.hold_limit = bounds.hold_limit;
@@ -77,20 +79,20 @@
   return k;
 }
 
-/** How long a process told to go may take: a little less than it is given. */
-inline Duration leave_patience(TimingBounds const& bounds) {
+/** How long a process may take to shut down: a little less than the platform's grace period. */
+inline Duration shutdown_timeout(TimingBounds const& bounds) {
   constexpr Duration left_of_grace = 600ms;
   return bounds.shutdown_grace - left_of_grace;
 }
 
-/** Reads the settings again. Whether the system starts for the first time matters at a start only. */
+/** Reloads the settings. `initial-start` matters at the start only, so a change of it needs no restart. */
 template <class Define>
-void reload_mesh_settings(Settings& s, Define define, CommandLine& line) {
-  Process::reload(s, define, line.count(), line.words(),
+void reload_mesh_settings(Settings& settings, Define define, CommandLine& line) {
+  Process::reload(settings, define, line.count(), line.words(),
                   [](std::string const& name, Settings const&) { return name == "initial-start"; });
 }
 
-/** Logs why a start failed; the exit code. */
+/** Logs why a start failed and returns the exit code. */
 inline int start_failed(Error const& m) {
   log_warn("start_failed", {{"step", m.step}, {"peer", m.peer}, {"reason", m.reason}});
   return 1;
--- a/source/programs/operator_interface.hpp
+++ b/source/programs/operator_interface.hpp
@@ -1,9 +1,9 @@
-// The outside calls of operators at a registry: reading and proposing revisions
-// of the product's own layout and catalogue, and looking at the fleet.
+// The operators' HTTP interface of a registry: reads and proposes revisions of the
+// layout and the catalogue, and shows the state of the fleet.
 #pragma once
 
 #include "coordination/register_client.hpp"
-#include "protocol/http_words.hpp"
+#include "protocol/http_helpers.hpp"
 #include "state/catalogue_edit.hpp"
 #include "state/layout.hpp"
 #include "state/slice_moves.hpp"
@@ -11,58 +11,58 @@
 
 namespace banktide {
 
-template <Surroundings W>
+template <Environment Env>
 class Registry;
 
 struct Proposal {
   Register reg{};
   std::string bytes;
-  std::optional<Json> change;  // to the newest catalogue, in place of bytes
+  std::optional<Json> change;  // of the newest catalogue, instead of `bytes`
   std::string match, request;
 };
 
 struct Verdict {
   Register reg{};
   std::uint16_t status = 0;
-  std::string word;  // acknowledged, refused, not-taken or unknown
+  std::string outcome;  // acknowledged, refused, not-taken or unknown
   Revision revision = 0;
   std::string request;
-  Error mishap;
+  Error error;
 
   Json json() const {
-    Json j = {{"register", register_name(reg)}, {"request", request}, {"verdict", word}};
+    Json j = {{"register", register_name(reg)}, {"request", request}, {"verdict", outcome}};
     if (revision > 0) j["revision"] = revision;
-    if (word == "acknowledged") return j;
-    j["step"] = mishap.step;
-    j[word == "refused" ? "pointer" : "peer"] = mishap.peer;
-    j["error"] = mishap.reason;
-    if (word == "unknown") j["advice"] = "ask with GET, or repeat with the same banktide-request";
+    if (outcome == "acknowledged") return j;
+    j["step"] = error.step;
+    j[outcome == "refused" ? "pointer" : "peer"] = error.peer;
+    j["error"] = error.reason;
+    if (outcome == "unknown") j["advice"] = "ask with GET, or repeat with the same banktide-request";
     return j;
   }
 };
 
-template <Surroundings W>
+template <Environment Env>
 class OperatorInterface {
  public:
-  explicit OperatorInterface(Registry<W>& registry)
-      : registry_(registry), register_(registry.registers()), w_(registry.world()) {}
+  explicit OperatorInterface(Registry<Env>& registry)
+      : registry_(registry), register_client_(registry.registers()), env_(registry.environment()) {}
 
-  // What an operator proposes, through whichever door: whole bytes of a
-  // register, or a change to the newest catalogue.
+  // Handles a proposal from any interface: the complete bytes of a register, or a
+  // change to the newest catalogue.
   Task<Verdict> propose(Proposal p) {
-    ++proposing_;
-    Verdict const v = co_await settle(std::move(p));
-    --proposing_;
+    ++proposals_in_flight_;
+    Verdict const v = co_await process_proposal(std::move(p));
+    --proposals_in_flight_;
     co_return v;
   }
-  bool idle() const { return proposing_ == 0; }
+  bool idle() const { return proposals_in_flight_ == 0; }
 
-  Task<Verdict> settle(Proposal p) {
+  Task<Verdict> process_proposal(Proposal p) {
     Verdict v;
     v.reg = p.reg;
     if (p.request.size() > 128)
       co_return refused(v, 400, Error{"check_request", "", "banktide-request is over 128 bytes", Proof::not_run});
-    if (p.request.empty()) p.request = "auto-" + std::to_string(w_.chance()()) + std::to_string(w_.chance()());
+    if (p.request.empty()) p.request = "auto-" + std::to_string(env_.chance()()) + std::to_string(env_.chance()());
     v.request = p.request;
     std::optional<Revision> expected;
     if (!p.match.empty()) {
@@ -78,10 +78,10 @@
     } else if (p.reg == Register::routing) {
       Result<Layout> const l = Layout::read(p.bytes);
       if (!l) co_return bad_revision(v, l.error());
-      Result<Held> const catalogue =
-          co_await register_.read(Register::catalogue, held(Register::catalogue), w_.now() + 2s);
+      Result<RegisterValue> const catalogue =
+          co_await register_client_.read(Register::catalogue, held(Register::catalogue), env_.now() + 2s);
       if (!catalogue) co_return not_taken(v, catalogue.error());
-      registry_.take(Register::catalogue, *catalogue);
+      registry_.apply(Register::catalogue, *catalogue);
       Result<Catalogue> const c =
           catalogue->revision > 0 ? Catalogue::read(catalogue->bytes, *l) : Result<Catalogue>(Catalogue{});
       if (!c)
@@ -90,11 +90,12 @@
                                             " would not fit: " + c.error().reason,
                                         Proof::not_run});
     } else {
-      Result<Held> const routing = co_await register_.read(Register::routing, held(Register::routing), w_.now() + 2s);
+      Result<RegisterValue> const routing =
+          co_await register_client_.read(Register::routing, held(Register::routing), env_.now() + 2s);
       if (!routing) co_return not_taken(v, routing.error());
       if (routing->revision == 0)
         co_return bad_revision(v, Error{"check_references", "", "there is no routing revision yet", Proof::not_run});
-      registry_.take(Register::routing, *routing);
+      registry_.apply(Register::routing, *routing);
       Result<Layout> l = Layout::read(routing->bytes);
       if (!l) co_return bad_revision(v, l.error());
       layout = std::move(*l);
@@ -102,13 +103,13 @@
       if (!c) co_return bad_revision(v, c.error());
     }
     Revision newest = 0;
-    Result<Held> done =
-        co_await register_.change(p.reg, p.request, w_.now() + 5s, [&](Held const& now) -> Result<Held> {
+    Result<RegisterValue> done = co_await register_client_.change(
+        p.reg, p.request, env_.now() + 5s, [&](RegisterValue const& now) -> Result<RegisterValue> {
           newest = now.revision;
           if (expected && *expected != now.revision)
             return make_error("check_if_match", "", "the newest revision is " + std::to_string(now.revision),
                               Proof::not_run);
-          Held next = now;
+          RegisterValue next = now;
           if (p.change) {
             Result<std::string> edited = edit_catalogue(now.bytes, *p.change, layout);
             if (!edited) return tl::unexpected<Error>(edited.error());
@@ -125,11 +126,11 @@
     if (checked && done.error().step == "check_if_match") co_return refused(v, 412, done.error());
     if (checked) co_return bad_revision(v, done.error());
     if (!done) {
-      note("put_" + register_name(p.reg), done.error());
+      record_error("put_" + register_name(p.reg), done.error());
       bool const nothing = done.error().proof == Proof::not_run;
       v.status = nothing ? 503 : 504;
-      v.word = nothing ? "not-taken" : "unknown";
-      v.mishap = done.error();
+      v.outcome = nothing ? "not-taken" : "unknown";
+      v.error = done.error();
       co_return v;
     }
     registry_.announce(p.reg, *done);
@@ -137,40 +138,40 @@
     for (auto const& [id, revision] : done->requests)
       if (id == p.request) v.revision = revision;
     v.status = 200;
-    v.word = "acknowledged";
+    v.outcome = "acknowledged";
     log_info("revision_acknowledged",
              {{"register", register_name(p.reg)}, {"revision", std::to_string(v.revision)}, {"request", p.request}});
     co_return v;
   }
 
-  // Every cell's state, from its own registry; a cell that doesn't answer is
-  // named as silent.
-  Task<Json> whole_fleet() {
+  // The state of all zones, each from its own registry; zones that don't answer
+  // are listed as silent.
+  Task<Json> collect_fleet_state() {
     std::vector<Address> others;
     std::set<std::string> silent;
     for (RegistryEntry const& e : registry_.directory())
       if (e.address != registry_.address()) {
         others.push_back(e.address);
-        silent.insert(e.cell);
+        silent.insert(e.zone);
       }
-    StateAsk const question{true};
+    StateRequest const question{true};
     auto const replies =
-        co_await ask_all<StateAsk>(w_, others, question, w_.now() + 800ms, [](auto const&) { return false; });
+        co_await ask_all<StateRequest>(env_, others, question, env_.now() + 800ms, [](auto const&) { return false; });
     StateReply const own = co_await registry_.state(question);
     Json j = {{"cells", Json::array({Json::parse(own.json)})}};
     for (auto const& [i, r] : replies) {
-      Json const cell = r ? Json::parse(r->json, nullptr, false) : Json();
-      if (!cell.is_object() || !cell.contains("cell")) continue;
-      silent.erase(cell["cell"].get<std::string>());
-      j["cells"].push_back(cell);
+      Json const zone = r ? Json::parse(r->json, nullptr, false) : Json();
+      if (!zone.is_object() || !zone.contains("cell")) continue;
+      silent.erase(zone["cell"].get<std::string>());
+      j["cells"].push_back(zone);
     }
     j["silent"] = silent;
     co_return j;
   }
 
-  // Where each slice is, where it should be, and what it waits for.
+  // For each slice that moves: its current and its target zone, and what it waits for.
   Task<Json> moves() {
-    Json const fleet = co_await whole_fleet();
+    Json const fleet = co_await collect_fleet_state();
     Result<Layout> const layout = Layout::read(held(Register::routing).bytes);
     if (!layout) co_return Json{{"slices", Json::array()}, {"error", "there is no routing revision yet"}};
     Result<Catalogue> const catalogue = held(Register::catalogue).revision > 0
@@ -179,20 +180,20 @@
     co_return slice_moves(fleet, *layout, catalogue ? *catalogue : Catalogue{});
   }
 
-  // The operator's interface.
-  Task<HttpReply> operate(HttpRequest q) {
+  // Routes an operator's HTTP request.
+  Task<HttpReply> handle_operator_request(HttpRequest q) {
     std::string const path = q.target.substr(0, q.target.find('?'));
     if (path == "/live") co_return json_reply(200, {{"live", true}});
     if (path == "/ready")
       co_return json_reply(registry_.ready() ? 200 : 503, {{"ready", registry_.ready()},
-                                                           {"vouched", registry_.vouched()},
+                                                           {"vouched", registry_.has_quorum_reading()},
                                                            {"warm", registry_.warm()},
                                                            {"leaving", registry_.leaving()}});
     if (path == "/fleet" && q.method == "GET") co_return json_reply(200, fleet());
-    if (path == "/mishaps" && q.method == "GET") co_return json_reply(200, registry_.mishaps().json());
-    if (path == "/nodes" && q.method == "GET") co_return json_reply(200, co_await whole_fleet());
+    if (path == "/mishaps" && q.method == "GET") co_return json_reply(200, registry_.recent_errors().json());
+    if (path == "/nodes" && q.method == "GET") co_return json_reply(200, co_await collect_fleet_state());
     if (path == "/moves" && q.method == "GET") co_return json_reply(200, co_await moves());
-    for (Register const r : all_registers) {
+    for (Register const r : operator_registers) {
       if (path != "/" + register_name(r)) continue;
       if (q.method == "GET") co_return co_await get(r);
       if (q.method == "PUT") co_return co_await put(r, std::move(q));
@@ -207,10 +208,10 @@
   static std::string quoted(Revision const r) { return "\"" + std::to_string(r) + "\""; }
 
   Task<HttpReply> get(Register const r) {
-    Result<Held> h = co_await register_.read(r, held(r), w_.now() + 2s);
-    if (!h) co_return not_vouched(h.error());
-    registry_.take(r, *h);
-    if (h->revision == 0) co_return json_reply(404, {{"error", "nothing was ever put"}, {"revision", 0}});
+    Result<RegisterValue> h = co_await register_client_.read(r, held(r), env_.now() + 2s);
+    if (!h) co_return no_quorum(h.error());
+    registry_.apply(r, *h);
+    if (h->revision == 0) co_return json_reply(404, {{"error", "no revision exists yet"}, {"revision", 0}});
     HttpReply reply;
     reply.status = 200;
     reply.headers = {{"Content-Type", "application/json"},
@@ -220,17 +221,19 @@
     co_return reply;
   }
 
-  HttpReply not_vouched(Error const& m) {
-    note("register", m);
-    HttpReply reply = json_reply(
-        503,
-        {{"error", "no majority vouches for a reading"}, {"step", m.step}, {"peer", m.peer}, {"reason", m.reason}});
+  HttpReply no_quorum(Error const& m) {
+    record_error("register", m);
+    HttpReply reply = json_reply(503, {{"error", "no majority of the stores confirms a reading"},
+                                       {"step", m.step},
+                                       {"peer", m.peer},
+                                       {"reason", m.reason}});
     reply.headers.push_back({"Retry-After", "1"});
     return reply;
   }
 
   Task<HttpReply> put(Register const r, HttpRequest q) {
-    Proposal proposal{r, std::move(q.body), std::nullopt, header_of(q, "If-Match"), header_of(q, "banktide-request")};
+    Proposal proposal{r, std::move(q.body), std::nullopt, header_value(q, "If-Match"),
+                      header_value(q, "banktide-request")};
     Verdict const v = co_await propose(std::move(proposal));
     HttpReply reply = json_reply(v.status, v.json());
     if (v.status == 200) reply.headers.push_back({"ETag", quoted(v.revision)});
@@ -240,45 +243,45 @@
 
   static Verdict refused(Verdict v, std::uint16_t const status, Error const& m) {
     v.status = status;
-    v.word = "refused";
-    v.mishap = m;
+    v.outcome = "refused";
+    v.error = m;
     return v;
   }
   Verdict bad_revision(Verdict v, Error const& m) {
-    note("bad_revision", m);
+    record_error("bad_revision", m);
     return refused(std::move(v), m.step == "check_size" ? 413 : m.step == "parse_json" ? 400 : 422, m);
   }
   Verdict not_taken(Verdict v, Error const& m) {
-    note("register", m);
+    record_error("register", m);
     v.status = 503;
-    v.word = "not-taken";
-    v.mishap = m;
+    v.outcome = "not-taken";
+    v.error = m;
     return v;
   }
 
   Json fleet() const {
     Json j = view_json(registry_.view());
-    j["cell"] = registry_.settings().cell;
+    j["cell"] = registry_.settings().zone;
     j["registry"] = registry_.settings().id;
     j["epoch"] = registry_.position().epoch;
     j["position"] = registry_.position().seq;
     j["routing"] = held(Register::routing).revision;
     j["catalogue"] = held(Register::catalogue).revision;
-    j["vouched"] = registry_.vouched();
+    j["vouched"] = registry_.has_quorum_reading();
     Json registries = Json::array();
     for (RegistryEntry const& e : registry_.directory())
-      registries.push_back({{"cell", e.cell}, {"address", e.address}});
+      registries.push_back({{"cell", e.zone}, {"address", e.address}});
     j["registries"] = registries;
     return j;
   }
 
-  Held const& held(Register const r) const { return registry_.held(r); }
-  void note(std::string const& what, Error const& m) { registry_.note(what, m); }
+  RegisterValue const& held(Register const r) const { return registry_.held(r); }
+  void record_error(std::string const& what, Error const& m) { registry_.record_error(what, m); }
 
-  Registry<W>& registry_;
-  RegisterClient<W>& register_;
-  W& w_;
-  std::size_t proposing_ = 0;
+  Registry<Env>& registry_;
+  RegisterClient<Env>& register_client_;
+  Env& env_;
+  std::size_t proposals_in_flight_ = 0;
 };
 
 }  // namespace banktide
--- a/source/programs/proxy_main.cpp
+++ b/source/programs/proxy_main.cpp
@@ -1,4 +1,4 @@
-// banktide-proxy: the node on every application machine; a gateway by setting.
+// banktide-proxy: the proxy on every application machine; a setting makes it a gateway.
 #include "platform/platform_adapter.hpp"
 #include "platform/settings_file.hpp"
 #include "programs/mesh_programs.hpp"
@@ -22,12 +22,12 @@
   s.number("backend-limit", 128, 1, 100000, "calls in flight at one backend");
   s.number("slice-limit", 32, 1, 100000, "calls in flight for one key slice");
   s.number("decisions-kept", 8192, 64, 1000000, "decisions kept for those who watch them");
-  s.need_name("id");
-  s.need_name("cell");
-  s.need_address("address");
-  s.need_address("caller");
-  s.need_address("local");
-  s.need_addresses("seed", 1);
+  s.require_name("id");
+  s.require_name("cell");
+  s.require_address("address");
+  s.require_address("caller");
+  s.require_address("local");
+  s.require_addresses("seed", 1);
 }
 
 }  // namespace
@@ -40,27 +40,27 @@
   if (std::optional<int> const code = s.read(argc, argv)) return *code;
   start_logging(s.text("log-level"), "banktide-proxy", s.text("id"));
   Process process;
-  SocketWorld world;
+  SocketEnvironment env;
   Dispatcher dispatcher;
-  Result<Address> const bound = world.listen(s.text("address"));
+  Result<Address> const bound = env.listen(s.text("address"));
   if (!bound) {
     log_warn("start_failed",
              {{"step", bound.error().step}, {"peer", bound.error().peer}, {"reason", bound.error().reason}});
     return 1;
   }
-  using Edge = HttpCaller<SocketWorld>;
-  Edge edge(world);
+  using Edge = HttpClient<SocketEnvironment>;
+  Edge edge(env);
   ProxySettings settings{s.text("id"), s.text("cell"), *bound, s.flag("gateway"), s.list("seed")};
-  settings.beat_expiry = std::chrono::milliseconds(s.number("beat-expiry-ms"));
+  settings.heartbeat_expiry = std::chrono::milliseconds(s.number("beat-expiry-ms"));
   settings.backend_limit = static_cast<std::uint32_t>(s.number("backend-limit"));
   settings.slice_limit = static_cast<std::uint32_t>(s.number("slice-limit"));
   settings.decisions_kept = s.number("decisions-kept");
-  Proxy<SocketWorld, Edge> proxy(world, edge, settings);
-  HttpListener callers(world.io(), s.text("caller"), [&](HttpRequest q) { return proxy.call(std::move(q)); });
-  HttpListener local(world.io(), s.text("local"),
-                     [&](HttpRequest q) -> Task<HttpReply> { co_return proxy.platform(q); });
-  process.on_thread([&]() {
-    world.serve(dispatcher);
+  Proxy<SocketEnvironment, Edge> proxy(env, edge, settings);
+  HttpListener callers(env.io(), s.text("caller"), [&](HttpRequest q) { return proxy.call(std::move(q)); });
+  HttpListener local(env.io(), s.text("local"),
+                     [&](HttpRequest q) -> Task<HttpReply> { co_return proxy.handle_platform_request(q); });
+  process.run_on_thread([&]() {
+    env.serve(dispatcher);
     proxy.start(dispatcher);
     return true;
   });
@@ -79,23 +79,23 @@
   auto const reload = [&] {
     Process::reload(s, define, argc, argv, [&](std::string const& name, Settings const& fresh) {
       if (name == "beat-expiry-ms")
-        settings.beat_expiry = std::chrono::milliseconds(fresh.number(name));
+        settings.heartbeat_expiry = std::chrono::milliseconds(fresh.number(name));
       else if (name == "backend-limit")
         settings.backend_limit = static_cast<std::uint32_t>(fresh.number(name));
       else if (name == "slice-limit")
         settings.slice_limit = static_cast<std::uint32_t>(fresh.number(name));
       else
         return false;
-      proxy.tune(settings);
+      proxy.apply_settings(settings);
       return true;
     });
   };
   Instant left{};
-  process.until_told_to_go(
+  process.run_until_shutdown(
       [&] {
-        left = world.now();
+        left = env.now();
         proxy.leave();
       },
-      [&] { return proxy.idle() && world.now() - left > 2500ms; }, reload, 5500ms);
+      [&] { return proxy.idle() && env.now() - left > 2500ms; }, reload, 5500ms);
   std::_Exit(0);
 }
--- a/source/programs/registry.hpp
+++ b/source/programs/registry.hpp
@@ -1,8 +1,8 @@
-// A registry: the feed of its own zone, and of zones that have no registry alive
-// and fall to it; what it hears from and tells to the other registries; the
-// values of the registers as a majority vouches for them, handed on to all
-// nodes; and one vote on the leases of key slices. Everything here but the
-// register is memory.
+// A registry. It serves the feed of its own zone and of zones without a live
+// registry that fall to it, exchanges zone summaries with the other registries,
+// distributes the register values that a majority of the stores confirms to all
+// nodes, and has one vote on the leases of key slices. Only the register is
+// durable; all other state is in memory.
 #pragma once
 
 #include "coordination/lease_voter.hpp"
@@ -14,7 +14,7 @@
 #include "programs/operator_interface.hpp"
 #include "state/delta_history.hpp"
 #include "state/key_table_delta.hpp"
-#include "state/mishaps.hpp"
+#include "state/recent_errors.hpp"
 #include "state/text_delta.hpp"
 
 #include <map>
@@ -23,136 +23,139 @@
 
 struct RegistrySettings {
   std::string id;
-  std::string cell;
+  std::string zone;
   Address address;
   std::vector<Address> seeds;
-  std::vector<Address> voters;   // empty: learnt from the stores
-  std::uint16_t store_port = 0;  // at which stores listen on the registries' machines
+  std::vector<Address> voters;   // empty: discovered from the stores
+  std::uint16_t store_port = 0;  // of the stores on the registries' machines
   FeedTiming timing{};
 };
 
-template <Surroundings W>
+template <Environment Env>
 class Registry {
  public:
-  Registry(W& w, RegistrySettings s)
-      : w_(w),
-        s_(std::move(s)),
-        t_(s_.timing),
-        register_(client_of(w, s_)),
-        lease_(w),
-        started_(w.now()),
-        directory_(s_.seeds),
-        entries_(t_),
-        reading_(w, SharedReadingSettings{t_.read_every}, [this] { return read_all(); }),
+  Registry(Env& env, RegistrySettings s)
+      : env_(env),
+        settings_(std::move(s)),
+        timing_(settings_.timing),
+        register_client_(client_of(env, settings_)),
+        lease_(env),
+        started_(env.now()),
+        directory_(settings_.seeds),
+        entries_(timing_),
+        reading_(env, SharedReadingSettings{timing_.read_every}, [this] { return read_all(); }),
         operators_(*this) {
-    directory_.set_own(RegistryEntry{s_.cell, s_.address});
-    own_feed_ = make_feed(s_.cell);
-    feeds_[s_.cell] = own_feed_;
+    directory_.set_own(RegistryEntry{settings_.zone, settings_.address});
+    own_feed_ = make_feed(settings_.zone);
+    feeds_[settings_.zone] = own_feed_;
   }
 
   void start(Dispatcher& dispatcher) {
     dispatcher.on<Join>([this](Join q) { return join(std::move(q)); });
     dispatcher.on<Follow>([this](Follow q) { return follow(std::move(q)); });
-    dispatcher.on<LayoutsAsk>([this](LayoutsAsk q) { return layouts(q); });
-    dispatcher.on<Meet>([this](Meet q) { return meet(std::move(q)); });
-    dispatcher.on<Beat>([this](Beat q) { return beat(std::move(q)); });
+    dispatcher.on<RegisterValuesRequest>([this](RegisterValuesRequest q) { return layouts(q); });
+    dispatcher.on<RegistryExchange>([this](RegistryExchange q) { return meet(std::move(q)); });
+    dispatcher.on<Heartbeat>([this](Heartbeat q) { return on_heartbeat(std::move(q)); });
     dispatcher.on<Suspect>([this](Suspect q) { return suspect(std::move(q)); });
-    dispatcher.on<CellTold>([this](CellTold q) { return cell_told(std::move(q)); });
-    dispatcher.on<Chosen>([this](Chosen q) { return chosen(std::move(q)); });
-    dispatcher.on<LeaseAsk>([this](LeaseAsk q) { return lease(std::move(q)); });
-    dispatcher.on<DecisionsAsk>([this](DecisionsAsk q) { return decisions(std::move(q)); });
-    dispatcher.on<StateAsk>([this](StateAsk q) { return state(q); });
-    spawn(w_, keep_meeting());
-    spawn(w_, reading_.run());
-    if (!s_.voters.empty()) spawn(w_, find_floor());
-    spawn(w_, keep_pulsing());
-    spawn(w_, keep_watching());
-  }
-
-  bool ready() const { return vouched() && warm() && !leaving_; }
+    dispatcher.on<ZoneAnnouncement>([this](ZoneAnnouncement q) { return receive_announcement(std::move(q)); });
+    dispatcher.on<ChosenValue>([this](ChosenValue q) { return chosen(std::move(q)); });
+    dispatcher.on<LeaseRequest>([this](LeaseRequest q) { return lease(std::move(q)); });
+    dispatcher.on<DecisionsRequest>([this](DecisionsRequest q) { return decisions(std::move(q)); });
+    dispatcher.on<StateRequest>([this](StateRequest q) { return state(q); });
+    spawn(env_, meet_loop());
+    spawn(env_, reading_.run());
+    if (!settings_.voters.empty()) spawn(env_, establish_epoch_floor());
+    spawn(env_, pulse_loop());
+    spawn(env_, watch_loop());
+  }
+
+  bool ready() const { return has_quorum_reading() && warm() && !leaving_; }
   void leave() { leaving_ = true; }
   bool leaving() const { return leaving_; }
-  /// Its nodes had time to join it since it started.
-  bool warm() const { return w_.now() - started_ >= t_.warm_up; }
-  /// There is a recent reading of a majority.
-  bool vouched() const { return reading_.newest() && w_.now() - *reading_.newest() < vouched_for; }
-  /// How long ago the question of the latest reading was asked; none: there was no reading.
+  /// Whether its nodes had time to join it since it started.
+  bool warm() const { return env_.now() - started_ >= timing_.warm_up; }
+  /// Whether there is a recent reading that a majority confirmed.
+  bool has_quorum_reading() const {
+    return reading_.latest_start() && env_.now() - *reading_.latest_start() < reading_valid_for;
+  }
+  /// The time since the request of the latest reading was sent; none before the first reading.
   std::optional<Duration> reading_age() const {
-    if (!reading_.newest()) return std::nullopt;
-    return w_.now() - *reading_.newest();
+    if (!reading_.latest_start()) return std::nullopt;
+    return env_.now() - *reading_.latest_start();
   }
 
-  RegistrySettings const& settings() const { return s_; }
-  W& world() { return w_; }
-  Address const& address() const { return s_.address; }
-  RegisterClient<W>& registers() { return register_; }
-  Held const& held(Register const r) const { return held_.at(static_cast<std::size_t>(r)); }
-  /// Of the own zone.
-  CellView const& view() const { return own_feed_->view(); }
+  RegistrySettings const& settings() const { return settings_; }
+  Env& environment() { return env_; }
+  Address const& address() const { return settings_.address; }
+  RegisterClient<Env>& registers() { return register_client_; }
+  RegisterValue const& held(Register const r) const { return held_.at(static_cast<std::size_t>(r)); }
+  /// The view of the own zone.
+  ZoneView const& view() const { return own_feed_->view(); }
   Position position() const { return own_feed_->position(); }
   std::vector<RegistryEntry> const& directory() const { return directory_.entries(); }
-  /// The zones of which something is kept here.
+  /// The zones whose feeds are served here.
   std::vector<std::string> zones() const {
     std::vector<std::string> all;
     for (auto const& [zone, feed] : feeds_) all.push_back(zone);
     return all;
   }
-  /// All zones that a registry or an entry is known of.
+  /// All zones with a known registry or a known zone entry.
   std::set<std::string> zone_names() const {
-    std::set<std::string> names{s_.cell};
-    for (RegistryEntry const& e : directory_.entries()) names.insert(e.cell);
-    for (auto const& [zone, entry] : view().cells) names.insert(zone);
+    std::set<std::string> names{settings_.zone};
+    for (RegistryEntry const& e : directory_.entries()) names.insert(e.zone);
+    for (auto const& [zone, entry] : view().zones) names.insert(zone);
     return names;
   }
-  /// What each zone offers, the own one among them.
-  std::vector<CellEntry> zone_entries() const {
-    std::vector<CellEntry> all{own_feed_->entry()};
-    for (auto const& [zone, entry] : view().cells) all.push_back(entry);
+  /// The entries of all zones, the own zone included: what each offers to the others.
+  std::vector<ZoneEntry> zone_entries() const {
+    std::vector<ZoneEntry> all{own_feed_->entry()};
+    for (auto const& [zone, entry] : view().zones) all.push_back(entry);
     return all;
   }
-  /// Of the registries heard of in the last moments, this has the lowest address.
+  /// Whether this registry has the lowest address of those heard from lately, and so acts for all of them.
   bool first_of_live_registries() const {
-    std::vector<Address> const live = directory_.live(w_.now(), heard_lately);
-    return !live.empty() && live.front() == s_.address;
+    std::vector<Address> const live = directory_.live(env_.now(), live_window);
+    return !live.empty() && live.front() == settings_.address;
   }
 
-  /// Takes up a value that a majority has accepted, and tells the nodes.
-  void take(Register const r, Held const& h) {
-    Held& mine = held_.at(static_cast<std::size_t>(r));
+  /// Applies a value that a majority has accepted and sends it to the nodes.
+  void apply(Register const r, RegisterValue const& h) {
+    RegisterValue& mine = held_.at(static_cast<std::size_t>(r));
     if (h.revision <= mine.revision) return;
-    remember_delta(r, mine, h);
+    record_delta(r, mine, h);
     mine = h;
-    mine.requests.clear();  // only changes need them, which take them from the voters
-    // Written every few seconds of a window; its phases are logged where they are counted.
+    mine.requests.clear();  // only changes need the requests, and they read them from the voters
+    // The maintenance register is written every few seconds during a window; its phases are logged elsewhere.
     if (r != Register::maintenance)
       log_info("revision_known", {{"register", register_name(r)}, {"revision", std::to_string(h.revision)}});
-    for (auto const& [zone, feed] : feeds_) send_down(*feed, r);
+    for (auto const& [zone, feed] : feeds_) send_to_nodes(*feed, r);
   }
-  /// The same, and tells the other registries.
-  void announce(Register const r, Held const& h) {
-    take(r, h);
+  /// As `apply`, and sends the value to the other registries too.
+  void announce(Register const r, RegisterValue const& h) {
+    apply(r, h);
     KeyDelta const* const delta = r == Register::keys ? key_deltas_.newest() : nullptr;
     if (delta != nullptr && delta->to == h.revision) {
-      tell_registries(Chosen{r, Held{}, *delta});
+      send_to_registries(ChosenValue{r, RegisterValue{}, *delta});
     } else {
-      tell_registries(Chosen{r, held(r).revision == h.revision ? held(r) : h, std::nullopt});
+      send_to_registries(ChosenValue{r, held(r).revision == h.revision ? held(r) : h, std::nullopt});
     }
   }
 
-  void note(std::string const& what, Error const& m) { mishaps_.note(w_.now() - started_, what, m); }
-  Mishaps const& mishaps() const { return mishaps_; }
+  void record_error(std::string const& what, Error const& m) { recent_errors_.note(env_.now() - started_, what, m); }
+  RecentErrors const& recent_errors() const { return recent_errors_; }
 
-  // ---- the operators' door
+  // ---- operator interface
 
   Task<Verdict> propose(Proposal p) { return operators_.propose(std::move(p)); }
-  Task<HttpReply> operate(HttpRequest q) { return operators_.operate(std::move(q)); }
+  Task<HttpReply> handle_operator_request(HttpRequest q) { return operators_.handle_operator_request(std::move(q)); }
   bool idle() const { return operators_.idle(); }
 
-  // Decisions of this cell's nodes, as far as they answer in time.
-  Task<DecisionsReply> decisions(DecisionsAsk q) {
+  // The routing decisions of this zone's nodes, of those that answer in time.
+  Task<DecisionsReply> decisions(DecisionsRequest q) {
     std::vector<Address> nodes;
-    for (Member const& m : nodes_kept()) nodes.push_back(m.address);
-    auto replies = co_await ask_all<DecisionsAsk>(w_, nodes, q, w_.now() + 250ms, [](auto const&) { return false; });
+    for (Member const& m : served_nodes()) nodes.push_back(m.address);
+    auto replies =
+        co_await ask_all<DecisionsRequest>(env_, nodes, q, env_.now() + 250ms, [](auto const&) { return false; });
     DecisionsReply all;
     for (auto& [i, r] : replies)
       if (r) merge(all, std::move(*r));
@@ -165,37 +168,37 @@
     all.next.insert(more.next.begin(), more.next.end());
   }
 
-  // This cell as its registry sees it, with every node's own state.
-  Task<StateReply> state(StateAsk q) {
-    Json j = {{"registry", s_.id},
-              {"cell", s_.cell},
+  // The state of this zone as its registry sees it, with each node's own state.
+  Task<StateReply> state(StateRequest q) {
+    Json j = {{"registry", settings_.id},
+              {"cell", settings_.zone},
               {"epoch", position().epoch},
               {"position", position().seq},
               {"routing", held(Register::routing).revision},
               {"catalogue", held(Register::catalogue).revision},
-              {"vouched", vouched()},
+              {"vouched", has_quorum_reading()},
               {"ready", ready()},
               {"nodes", Json::array()},
               {"silent", Json::array()},
               {"grants", Json::array()}};
     for (auto const& [slice, g] : lease_.grants())
-      if (g.until > w_.now())
+      if (g.until > env_.now())
         j["grants"].push_back({{"service", slice.service},
                                {"mapping", slice.mapping},
                                {"slice", slice.slice},
                                {"holder", g.holder},
                                {"epoch", g.epoch},
-                               {"ends_in_ms", as_ms(g.until - w_.now())}});
+                               {"ends_in_ms", as_ms(g.until - env_.now())}});
     if (q.with_nodes) {
       std::vector<Address> nodes;
       std::vector<std::string> ids;
-      for (Member const& m : nodes_kept()) {
+      for (Member const& m : served_nodes()) {
         nodes.push_back(m.address);
         ids.push_back(m.id);
       }
-      StateAsk const question{false};
+      StateRequest const question{false};
       auto const replies =
-          co_await ask_all<StateAsk>(w_, nodes, question, w_.now() + 400ms, [](auto const&) { return false; });
+          co_await ask_all<StateRequest>(env_, nodes, question, env_.now() + 400ms, [](auto const&) { return false; });
       std::set<std::string> silent(ids.begin(), ids.end());
       for (auto const& [i, r] : replies) {
         Json const node = r ? Json::parse(r->json, nullptr, false) : Json();
@@ -209,45 +212,45 @@
   }
 
  private:
-  static constexpr Duration vouched_for = 600ms;
-  static constexpr Duration read_patience = 1s;
-  static constexpr Duration fresh_patience = 300ms;  // of a node that asks for a reading of its own
-  static constexpr Duration heard_lately = 1500ms;
-  static constexpr Duration adopt_after = 1s;  // of this registry's start
-  static constexpr Duration meet_patience = 500ms;
-  static constexpr Duration quiet_reading = 150ms;  // for a majority to agree, before a round makes it
-  static constexpr Duration told_within = 60ms;     // by the writer of a table, of the answers of those who have it
-  // One-way messages may be this late.
-  static constexpr Duration told_may_be_late = 3s;
-  static constexpr std::uint64_t rounds_per_look_at_silent = 8;
-
-  static RegisterClient<W> client_of(W& w, RegistrySettings const& s) {
-    if (!s.voters.empty()) return RegisterClient<W>(w, s.voters);
-    return RegisterClient<W>(w, StoreSeeds{stores_beside(s.seeds, s.store_port)});
-  }
-
-  // ---- values of the registers
-
-  Task<Told> chosen(Chosen q) {
-    if (static_cast<std::size_t>(q.reg) >= held_.size()) co_return Told{};
+  static constexpr Duration reading_valid_for = 600ms;
+  static constexpr Duration read_timeout = 1s;
+  static constexpr Duration fresh_read_timeout = 300ms;  // for a node that asks for a new reading
+  static constexpr Duration live_window = 1500ms;
+  static constexpr Duration adopt_after = 1s;  // counted from this registry's start
+  static constexpr Duration meet_timeout = 500ms;
+  static constexpr Duration passive_read_timeout = 150ms;  // for a majority to agree without a consensus round
+  static constexpr Duration delta_timeout = 60ms;  // for the writer's update to arrive, after a majority has the table
+  // The longest delay of one-way messages that is allowed for.
+  static constexpr Duration max_message_delay = 3s;
+  static constexpr std::uint64_t rounds_per_silent_peer_check = 8;
+
+  static RegisterClient<Env> client_of(Env& env, RegistrySettings const& s) {
+    if (!s.voters.empty()) return RegisterClient<Env>(env, s.voters);
+    return RegisterClient<Env>(env, StoreSeeds{colocated_stores(s.seeds, s.store_port)});
+  }
+
+  // ---- register values
+
+  Task<NoReply> chosen(ChosenValue q) {
+    if (static_cast<std::size_t>(q.reg) >= held_.size()) co_return NoReply{};
     if (!q.key_delta) {
-      take(q.reg, q.held);
-      co_return Told{};
+      apply(q.reg, q.held);
+      co_return NoReply{};
     }
-    // One that doesn't fit is no loss: the register is read in a moment.
-    Result<Held> const next = apply_key_deltas(held(Register::keys), {*q.key_delta});
-    if (next) take(Register::keys, *next);
-    co_return Told{};
+    // A delta that doesn't apply can be ignored: the next reading of the register brings the table.
+    Result<RegisterValue> const next = apply_key_deltas(held(Register::keys), {*q.key_delta});
+    if (next) apply(Register::keys, *next);
+    co_return NoReply{};
   }
 
-  void remember_delta(Register const r, Held const& before, Held const& after) {
+  void record_delta(Register const r, RegisterValue const& before, RegisterValue const& after) {
     if (r == Register::keys) key_deltas_.add_or_clear(make_key_delta(before, after));
     if (r == Register::routing) routing_deltas_.add_or_clear(make_text_delta(before, after));
   }
 
-  // To a zone's nodes goes what has changed of a large value, where that is known.
-  void send_down(ZoneFeed<W>& feed, Register const r) {
-    Held const& newest = held(r);
+  // Large values are sent to a zone's nodes as deltas where the delta is known.
+  void send_to_nodes(ZoneFeed<Env>& feed, Register const r) {
+    RegisterValue const& newest = held(r);
     KeyDelta const* const of_keys = key_deltas_.newest();
     TextDelta const* const of_routing = routing_deltas_.newest();
     if (r == Register::keys && of_keys != nullptr && of_keys->to == newest.revision) {
@@ -259,14 +262,14 @@
     }
   }
 
-  Task<LayoutsReply> layouts(LayoutsAsk q) {
-    if (q.fresh || !vouched()) co_await reading_.read_anew(w_.now() + fresh_patience);
-    LayoutsReply reply;
-    reply.known = vouched();
+  Task<RegisterValuesReply> layouts(RegisterValuesRequest q) {
+    if (q.fresh || !has_quorum_reading()) co_await reading_.read_fresh(env_.now() + fresh_read_timeout);
+    RegisterValuesReply reply;
+    reply.known = has_quorum_reading();
     if (reply.known) reply.reading_age_ms = static_cast<std::uint32_t>(as_ms(*reading_age()) + 1);  // rounded up
     reply.revisions = revisions();
     if (q.revisions_only) co_return reply;
-    for (Register const r : told_registers) {
+    for (Register const r : published_registers) {
       std::size_t const i = static_cast<std::size_t>(r);
       if (reply.revisions[i] <= q.have[i]) continue;
       std::size_t const whole = held_[i].bytes.size();
@@ -292,11 +295,11 @@
   }
 
   Task<bool> read_all() {
-    Instant const deadline = w_.now() + read_patience;
-    // Mostly nothing has changed, and one question tells that of all registers.
-    std::optional<Revisions> const newest = co_await register_.newest_revisions(deadline);
+    Instant const deadline = env_.now() + read_timeout;
+    // Usually nothing has changed, and one request shows that for all registers.
+    std::optional<Revisions> const newest = co_await register_client_.newest_revisions(deadline);
     bool all = true;
-    for (Register const r : told_registers) {
+    for (Register const r : published_registers) {
       bool const current = newest && (*newest)[static_cast<std::size_t>(r)] <= held(r).revision;
       bool const done = current || co_await read_one(r, deadline);
       all = all && done;
@@ -307,129 +310,130 @@
   Task<bool> read_one(Register const r, Instant const deadline) {
     bool const large = r == Register::keys && held(r).revision > 0;
     if (large) {
-      bool const current = co_await confirm_keys(std::min(deadline, w_.now() + quiet_reading));
+      bool const current = co_await confirm_keys(std::min(deadline, env_.now() + passive_read_timeout));
       if (current) co_return true;
     }
-    Held const known = held(r);
-    Result<Held> const h = co_await register_.read(r, known, deadline);
-    if (h) take(r, *h);
+    RegisterValue const known = held(r);
+    Result<RegisterValue> const h = co_await register_client_.read(r, known, deadline);
+    if (h) apply(r, *h);
     co_return h.has_value();
   }
 
-  // A table that was just written comes from the registry that wrote it, by what
-  // has changed; only if it doesn't come the whole is read.
+  // A newly written key table arrives as a delta from the registry that wrote it; the whole table is read only if
+  // that delta doesn't arrive in time.
   Task<bool> confirm_keys(Instant const deadline) {
     Result<ConfirmedRevision> const newest =
-        co_await register_.confirm_revision(Register::keys, held(Register::keys).revision, deadline);
+        co_await register_client_.confirm_revision(Register::keys, held(Register::keys).revision, deadline);
     if (!newest) co_return false;
-    Instant const until = w_.now() + told_within;
-    while (held(Register::keys).revision < newest->revision && w_.now() < until)
-      co_await sleep_for(w_, told_within / 4);
+    Instant const until = env_.now() + delta_timeout;
+    while (held(Register::keys).revision < newest->revision && env_.now() < until)
+      co_await sleep_for(env_, delta_timeout / 4);
     co_return held(Register::keys).revision >= newest->revision;
   }
 
-  // Lease epochs go on from a number that the register has never given before.
-  Task<void> find_floor() {
-    while (!lease_.floored()) {
-      Result<std::uint64_t> const round = co_await register_.rise(Register::routing, w_.now() + 2s);
+  // Lease epochs start from a round number of the register that was never issued before, so they never repeat.
+  Task<void> establish_epoch_floor() {
+    while (!lease_.has_floor()) {
+      Result<std::uint64_t> const round = co_await register_client_.next_number(Register::routing, env_.now() + 2s);
       if (round)
         lease_.set_floor(broken_on_purpose("epochs_start_again") ? 1 : *round << 20);
       else
-        co_await sleep_for(w_, 200ms);
+        co_await sleep_for(env_, 200ms);
     }
   }
 
-  Task<LeaseReply> lease(LeaseAsk q) { co_return lease_.ask(q); }
+  Task<LeaseReply> lease(LeaseRequest q) { co_return lease_.ask(q); }
 
   // ---- other registries
 
-  Task<MeetReply> meet(Meet q) {
-    directory_.learn_names(q.registries, w_.now());
-    MeetReply reply;
-    reply.registries = directory_.told(w_.now());
-    std::size_t const cores = s_.voters.empty() ? directory_.entries().size() : s_.voters.size();
-    reply.cores = static_cast<std::uint32_t>(cores);
+  Task<RegistryExchangeReply> meet(RegistryExchange q) {
+    directory_.learn_addresses(q.registries, env_.now());
+    RegistryExchangeReply reply;
+    reply.registries = directory_.entries_with_ages(env_.now());
+    std::size_t const cores = settings_.voters.empty() ? directory_.entries().size() : settings_.voters.size();
+    reply.registry_count = static_cast<std::uint32_t>(cores);
     co_return reply;
   }
 
-  // Each on its own, so that one that hangs delays no news of the others.
+  // One task for each peer, so that a peer that hangs doesn't delay the others.
   Task<void> meet_one(Address const peer) {
-    Instant const asked = w_.now();
-    Meet const question{directory_.told(asked)};
-    Result<MeetReply> const r = co_await ask(w_, peer, question, asked + meet_patience);
+    Instant const asked = env_.now();
+    RegistryExchange const question{directory_.entries_with_ages(asked)};
+    Result<RegistryExchangeReply> const r = co_await ask(env_, peer, question, asked + meet_timeout);
     if (!r) co_return;
-    directory_.heard(peer, w_.now());
-    directory_.learn_answer(r->registries, asked, w_.now());
+    directory_.record_contact(peer, env_.now());
+    directory_.learn_answer(r->registries, asked, env_.now());
   }
 
-  Task<void> keep_meeting() {
+  Task<void> meet_loop() {
     for (std::uint64_t round = 0;; ++round) {
-      std::set<Address> peers(s_.seeds.begin(), s_.seeds.end());
-      bool const also_silent = round % rounds_per_look_at_silent == 0;
+      std::set<Address> peers(settings_.seeds.begin(), settings_.seeds.end());
+      bool const also_silent = round % rounds_per_silent_peer_check == 0;
       for (RegistryEntry const& e : directory_.entries())
-        if (also_silent || directory_.alive(e.address, w_.now())) peers.insert(e.address);
-      peers.erase(s_.address);
-      for (Address const& peer : peers) spawn(w_, meet_one(peer));
-      directory_.forget_silent(w_.now());
-      if (s_.voters.empty())
-        register_.learn(stores_beside(std::vector<Address>(peers.begin(), peers.end()), s_.store_port));
-      co_await sleep_for(w_, directory_.entries().size() < 2 ? Duration(200ms) : t_.registry_meet_every);
+        if (also_silent || directory_.alive(e.address, env_.now())) peers.insert(e.address);
+      peers.erase(settings_.address);
+      for (Address const& peer : peers) spawn(env_, meet_one(peer));
+      directory_.forget_silent(env_.now());
+      if (settings_.voters.empty())
+        register_client_.add_contacts(
+            colocated_stores(std::vector<Address>(peers.begin(), peers.end()), settings_.store_port));
+      co_await sleep_for(env_, directory_.entries().size() < 2 ? Duration(200ms) : timing_.registry_exchange_every);
     }
   }
 
   template <class Q>
-  void tell_registries(Q const& q) {
+  void send_to_registries(Q const& q) {
     SharedBytes const raw = pack_shared(q);
-    for (Address const& a : directory_.live(w_.now()))
-      if (a != s_.address) w_.tell_raw(a, Q::kind, raw);
+    for (Address const& a : directory_.live(env_.now()))
+      if (a != settings_.address) env_.tell_raw(a, Q::kind, raw);
   }
 
-  // ---- what zones tell each other
+  // ---- zone entries exchanged between registries
 
-  bool keeps(std::string const& zone) const { return directory_.registry_of(zone, w_.now()) == s_.address; }
+  bool serves(std::string const& zone) const { return directory_.registry_of(zone, env_.now()) == settings_.address; }
 
-  Task<Told> cell_told(CellTold q) {
-    directory_.heard(q.sender, w_.now() - told_may_be_late);
-    auto const feed = feeds_.find(q.entry.cell);
-    bool const kept_here = feed != feeds_.end() && feed->second->has_nodes() && keeps(q.entry.cell);
-    CellEntry const* const newer = kept_here ? nullptr : entries_.take(std::move(q), w_.now());
-    if (newer != nullptr) show(*newer);
-    co_return Told{};
+  Task<NoReply> receive_announcement(ZoneAnnouncement q) {
+    directory_.record_contact(q.sender, env_.now() - max_message_delay);
+    auto const feed = feeds_.find(q.entry.zone);
+    bool const kept_here = feed != feeds_.end() && feed->second->has_nodes() && serves(q.entry.zone);
+    ZoneEntry const* const newer = kept_here ? nullptr : entries_.accept(std::move(q), env_.now());
+    if (newer != nullptr) distribute_entry(*newer);
+    co_return NoReply{};
   }
 
-  void show(CellEntry const& entry) {
-    for (auto const& [zone, feed] : feeds_) feed->take_entry(entry);
+  void distribute_entry(ZoneEntry const& entry) {
+    for (auto const& [zone, feed] : feeds_) feed->update_zone_entry(entry);
   }
 
-  void tell_entries() {
+  void send_entries() {
     for (auto const& [zone, feed] : feeds_) {
-      bool const known = feed->warm() && feed->had_nodes() && keeps(zone);
-      std::optional<CellTold> told;
-      if (known) told = entries_.due(zone, feed->position(), w_.now(), [&] { return feed->entry(); });
-      if (!told) continue;
-      told->sender = s_.address;
-      show(told->entry);
-      tell_registries(*told);
+      bool const known = feed->warm() && feed->had_nodes() && serves(zone);
+      std::optional<ZoneAnnouncement> announcement;
+      if (known) announcement = entries_.due(zone, feed->position(), env_.now(), [&] { return feed->entry(); });
+      if (!announcement) continue;
+      announcement->sender = settings_.address;
+      distribute_entry(announcement->entry);
+      send_to_registries(*announcement);
     }
   }
 
-  // ---- feeds of zones
+  // ---- zone feeds
 
-  std::shared_ptr<ZoneFeed<W>> make_feed(std::string const& zone) {
-    FeedSettings settings{zone, s_.id, s_.address, t_};
-    FeedSources sources{[this] { return vouched(); }, [this] { return revisions(); }};
-    std::shared_ptr<ZoneFeed<W>> const feed =
-        std::make_shared<ZoneFeed<W>>(w_, std::move(settings), std::move(sources));
-    entries_.each([&](CellEntry const& entry) { feed->take_entry(entry); });
+  std::shared_ptr<ZoneFeed<Env>> make_feed(std::string const& zone) {
+    FeedSettings settings{zone, settings_.id, settings_.address, timing_};
+    FeedSources sources{[this] { return has_quorum_reading(); }, [this] { return revisions(); }};
+    std::shared_ptr<ZoneFeed<Env>> const feed =
+        std::make_shared<ZoneFeed<Env>>(env_, std::move(settings), std::move(sources));
+    entries_.for_each([&](ZoneEntry const& entry) { feed->update_zone_entry(entry); });
     return feed;
   }
 
-  std::shared_ptr<ZoneFeed<W>> feed_of(std::string const& zone) const {
-    auto const it = feeds_.find(zone.empty() ? s_.cell : zone);
+  std::shared_ptr<ZoneFeed<Env>> feed_of(std::string const& zone) const {
+    auto const it = feeds_.find(zone.empty() ? settings_.zone : zone);
     return it == feeds_.end() ? nullptr : it->second;
   }
 
-  std::vector<Member> nodes_kept() const {
+  std::vector<Member> served_nodes() const {
     std::vector<Member> all;
     for (auto const& [zone, feed] : feeds_)
       for (auto const& [id, m] : feed->view().members)
@@ -438,17 +442,17 @@
   }
 
   Task<JoinReply> join(Join q) {
-    std::string const zone = q.self.cell;
+    std::string const zone = q.self.zone;
     JoinReply reply;
     if (zone.empty()) co_return reply;
-    if (!keeps(zone)) {
-      reply.registry = directory_.registry_of(zone, w_.now());
+    if (!serves(zone)) {
+      reply.registry = directory_.registry_of(zone, env_.now());
       reply.registry_zone = directory_.zone_of(reply.registry);
       co_return reply;
     }
-    std::shared_ptr<ZoneFeed<W>> feed = feed_of(zone);
-    // The zone's own registry may have started a moment later than this one.
-    if (!feed && w_.now() - started_ < adopt_after) co_return reply;
+    std::shared_ptr<ZoneFeed<Env>> feed = feed_of(zone);
+    // Right after this registry's start the zone's own registry may still be starting.
+    if (!feed && env_.now() - started_ < adopt_after) co_return reply;
     if (!feed) {
       feed = make_feed(zone);
       feeds_[zone] = feed;
@@ -459,70 +463,70 @@
 
   Task<FollowReply> follow(Follow q) {
     FollowReply reply;
-    std::shared_ptr<ZoneFeed<W>> const feed = feed_of(q.zone);
-    if (!feed || (!q.zone.empty() && !keeps(q.zone))) co_return reply;
+    std::shared_ptr<ZoneFeed<Env>> const feed = feed_of(q.zone);
+    if (!feed || (!q.zone.empty() && !serves(q.zone))) co_return reply;
     reply = feed->follow(q);
     bool const foreign = q.zone.empty() && reply.snapshot && feed->had_nodes();
-    if (foreign) reply.snapshot->cells.push_back(feed->entry());
+    if (foreign) reply.snapshot->zones.push_back(feed->entry());
     co_return reply;
   }
 
-  Task<Told> beat(Beat q) {
-    std::shared_ptr<ZoneFeed<W>> const feed = feed_of(q.zone);
-    if (feed) feed->beat(q);
-    co_return Told{};
+  Task<NoReply> on_heartbeat(Heartbeat q) {
+    std::shared_ptr<ZoneFeed<Env>> const feed = feed_of(q.zone);
+    if (feed) feed->on_heartbeat(q);
+    co_return NoReply{};
   }
 
-  Task<Told> suspect(Suspect q) {
-    std::shared_ptr<ZoneFeed<W>> const feed = feed_of(q.zone);
+  Task<NoReply> suspect(Suspect q) {
+    std::shared_ptr<ZoneFeed<Env>> const feed = feed_of(q.zone);
     if (feed) feed->suspect(q);
-    co_return Told{};
+    co_return NoReply{};
   }
 
-  Task<void> keep_pulsing() {
+  Task<void> pulse_loop() {
     while (true) {
-      co_await sleep_for(w_, t_.pulse_every);
+      co_await sleep_for(env_, timing_.pulse_every);
       for (auto const& [zone, feed] : feeds_) feed->pulse();
-      tell_entries();
+      send_entries();
     }
   }
 
-  Task<void> keep_watching() {
+  Task<void> watch_loop() {
     while (true) {
-      co_await sleep_for(w_, t_.beat_every);
+      co_await sleep_for(env_, timing_.heartbeat_every);
       for (auto const& [zone, feed] : feeds_)
-        if (feed == own_feed_ || keeps(zone)) feed->watch();
+        if (feed == own_feed_ || serves(zone)) feed->watch();
       drop_empty_feeds();
-      for (CellEntry const& gone : entries_.forget(w_.now())) show(gone);
+      for (ZoneEntry const& gone : entries_.forget(env_.now())) distribute_entry(gone);
     }
   }
 
   void drop_empty_feeds() {
     std::erase_if(feeds_, [&](auto const& f) {
-      if (f.second == own_feed_ || f.second->empty_for() < t_.drop_empty_after) return false;
+      if (f.second == own_feed_ || f.second->empty_for() < timing_.drop_empty_after) return false;
       log_info("zone_dropped", {{"zone", f.first}});
       entries_.stop(f.first);
       return true;
     });
   }
 
-  W& w_;
-  RegistrySettings const s_;
-  FeedTiming const& t_;
-  RegisterClient<W> register_;
-  LeaseVoter<W> lease_;
+  Env& env_;
+  RegistrySettings const settings_;
+  FeedTiming const& timing_;
+  RegisterClient<Env> register_client_;
+  LeaseVoter<Env> lease_;
   Instant const started_;
-  Mishaps mishaps_;
+  RecentErrors recent_errors_;
   RegistryDirectory directory_;
-  std::array<Held, register_count> held_;
-  DeltaHistory<KeyDelta> key_deltas_;       // up to the table held, if any
-  DeltaHistory<TextDelta> routing_deltas_;  // up to the configuration held, if any
+  std::array<RegisterValue, register_count> held_;
+  DeltaHistory<KeyDelta> key_deltas_;       // up to the current key table, if any
+  DeltaHistory<TextDelta> routing_deltas_;  // up to the current configuration, if any
   bool leaving_ = false;
-  std::shared_ptr<ZoneFeed<W>> own_feed_;
-  std::map<std::string, std::shared_ptr<ZoneFeed<W>>> feeds_;
+  std::shared_ptr<ZoneFeed<Env>> own_feed_;
+  std::map<std::string, std::shared_ptr<ZoneFeed<Env>>> feeds_;
   ZoneEntries entries_;
-  SharedReading<W> reading_;
-  OperatorInterface<W> operators_;
+  SharedReading<Env> reading_;
+  OperatorInterface<Env> operators_;
 };
 
 }  // namespace banktide
--- a/source/programs/settings.hpp
+++ b/source/programs/settings.hpp
@@ -1,9 +1,10 @@
-// Settings of a process: one JSON file and flags of the same names, flags win.
-// All errors are told at once. `--check` only checks.
+// Settings of a process: a JSON file and command-line flags of the same names;
+// flags take precedence. All errors are reported at once. `--check` only
+// validates.
 #pragma once
 
 #include "state/layout.hpp"
-#include "transport/socket_world.hpp"
+#include "transport/socket_environment.hpp"
 
 #include <boost/program_options.hpp>
 #include <fstream>
@@ -24,28 +25,28 @@
   }
 
   std::string const& program() const { return program_; }
-  void text(std::string const& name, std::string const& standard, std::string const& what) {
+  void text(std::string const& name, std::string const& fallback, std::string const& description) {
     options_.add_options()(
-        name.c_str(), standard.empty() ? po::value<std::string>() : po::value<std::string>()->default_value(standard),
-        what.c_str());
+        name.c_str(), fallback.empty() ? po::value<std::string>() : po::value<std::string>()->default_value(fallback),
+        description.c_str());
   }
-  void list(std::string const& name, std::string const& what) {
-    options_.add_options()(name.c_str(), po::value<std::vector<std::string>>()->composing(), what.c_str());
+  void list(std::string const& name, std::string const& description) {
+    options_.add_options()(name.c_str(), po::value<std::vector<std::string>>()->composing(), description.c_str());
   }
-  void number(std::string const& name, std::uint64_t const standard, std::uint64_t const least,
-              std::uint64_t const most, std::string const& what) {
-    options_.add_options()(name.c_str(), po::value<std::uint64_t>()->default_value(standard), what.c_str());
-    ranges_[name] = {least, most};
+  void number(std::string const& name, std::uint64_t const fallback, std::uint64_t const minimum,
+              std::uint64_t const maximum, std::string const& description) {
+    options_.add_options()(name.c_str(), po::value<std::uint64_t>()->default_value(fallback), description.c_str());
+    ranges_[name] = {minimum, maximum};
   }
-  void flag(std::string const& name, std::string const& what) {
+  void flag(std::string const& name, std::string const& description) {
     options_.add_options()(name.c_str(), po::value<bool>()->default_value(false)->implicit_value(true)->zero_tokens(),
-                           what.c_str());
+                           description.c_str());
   }
 
-  // Words without a flag belong to this list.
-  void trailing(std::string const& name) { trailing_.add(name.c_str(), -1); }
+  // Positional arguments are added to this list.
+  void positional_list(std::string const& name) { positional_.add(name.c_str(), -1); }
 
-  // Reads; an exit code if the program should end now.
+  // Reads the settings; returns an exit code if the program should exit now.
   std::optional<int> read(int const argc, char const* const* const argv) {
     std::vector<std::string> errors = load(argc, argv);
     if (values_.count("help")) {
@@ -65,20 +66,20 @@
     return std::nullopt;
   }
 
-  // What differs from the settings that are in force, by name.
+  // The names of the settings that differ from `old`.
   std::vector<std::string> changed_from(Settings const& old) const {
     std::vector<std::string> names;
     for (auto const& o : options_.options())
-      if (o->long_name() != "settings" && shown(o->long_name()) != old.shown(o->long_name()))
+      if (o->long_name() != "settings" && value_text(o->long_name()) != old.value_text(o->long_name()))
         names.push_back(o->long_name());
     return names;
   }
 
-  // All errors at once; with --help or --version none matter.
+  // Returns all errors; with --help or --version errors are ignored.
   std::vector<std::string> load(int const argc, char const* const* const argv) {
     std::vector<std::string> errors;
     try {
-      po::store(po::command_line_parser(argc, argv).options(options_).positional(trailing_).run(), values_);
+      po::store(po::command_line_parser(argc, argv).options(options_).positional(positional_).run(), values_);
     } catch (po::error const& e) {
       errors.push_back(e.what());
     }
@@ -95,7 +96,7 @@
   }
 
   void check(std::function<void(std::vector<std::string>&)> f) { checks_.push_back(std::move(f)); }
-  void need_name(std::string const& name) {
+  void require_name(std::string const& name) {
     checks_.push_back([this, name](std::vector<std::string>& errors) {
       std::string const v = text(name);
       bool good = !v.empty() && v.size() <= 63;
@@ -105,15 +106,15 @@
       if (!good) errors.push_back(name + ": needed, 1..63 of a-z 0-9 . _ -");
     });
   }
-  void need_address(std::string const& name) {
+  void require_address(std::string const& name) {
     checks_.push_back([this, name](std::vector<std::string>& errors) {
       if (!parse_address(text(name))) errors.push_back(name + ": needed, as ip:port");
     });
   }
-  void need_addresses(std::string const& name, std::size_t const least) {
-    checks_.push_back([this, name, least](std::vector<std::string>& errors) {
+  void require_addresses(std::string const& name, std::size_t const minimum) {
+    checks_.push_back([this, name, minimum](std::vector<std::string>& errors) {
       std::vector<std::string> const all = list(name);
-      if (all.size() < least) errors.push_back(name + ": at least " + std::to_string(least) + " needed");
+      if (all.size() < minimum) errors.push_back(name + ": at least " + std::to_string(minimum) + " needed");
       for (std::string const& a : all)
         if (!parse_address(a)) errors.push_back(name + ": " + a + " is not ip:port");
     });
@@ -127,7 +128,7 @@
   }
 
  private:
-  std::string shown(std::string const& name) const {
+  std::string value_text(std::string const& name) const {
     if (!values_.count(name)) return "";
     boost::any const& v = values_[name].value();
     if (v.type() == typeid(std::string)) return boost::any_cast<std::string>(v);
@@ -184,7 +185,7 @@
 
   std::string const program_;
   po::options_description options_;
-  po::positional_options_description trailing_;
+  po::positional_options_description positional_;
   po::variables_map values_;
   std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> ranges_;
   std::vector<std::function<void(std::vector<std::string>&)>> checks_;
