--- a/source/programs/shell_main.cpp
+++ b/source/programs/shell_main.cpp
@@ -1,7 +1,7 @@
-// banktide-shell: questions about the fleet's state, asked of any registry's
-// operator door, one-shot or line by line, as text or JSON; and the operators'
-// streams at a prompt. Exit codes: 0 answered, 1 not answered or refused, 2 a
-// question that it doesn't know, 3 not clear (`maintenance status`).
+// banktide-shell: the operators' command-line client. It queries the fleet's state
+// from any registry's operator interface, with one command or line by line, prints
+// text or JSON, and uses the operators' streams. Exit codes: 0 answered, 1 not
+// answered or refused, 2 unknown command, 3 not clear (`maintenance status`).
 #include "programs/maintenance_command.hpp"
 #include "programs/process.hpp"
 #include "state/placement.hpp"
@@ -16,15 +16,15 @@
 
 namespace {
 
-struct Question {
+struct Query {
   char const* name;
   char const* target;
-  char const* rows;     // where in the answer its rows are
-  char const* columns;  // of the text
+  char const* rows;     // the field of the answer that has the rows
+  char const* columns;  // of the printed table
   char const* what;
 };
 
-constexpr Question questions[] = {
+constexpr Query queries[] = {
     {"members", "/fleet", "members", "id cell role standing incarnation address", "processes of the registry's cell"},
     {"backends", "/fleet", "backends", "service instance node port burden standing",
      "backends of the registry's cell, with their burden"},
@@ -47,24 +47,24 @@
     {"mishaps", "/mishaps", "mishaps", "at_ms what step peer reason", "the registry's last mishaps"},
 };
 
-std::string cell_text(Json const& v) {
+std::string field_text(Json const& v) {
   if (v.is_null()) return "-";
   if (v.is_string()) return v.get<std::string>().empty() ? "-" : v.get<std::string>();
   if (v.is_array() && v.size() == 2 && v[0].is_number() && v[1].is_number()) return v[0].dump() + ".." + v[1].dump();
   if (v.is_array()) {
     std::string out;
-    for (Json const& e : v) out += (out.empty() ? "" : ",") + (e.is_object() ? e.value("id", e.dump()) : cell_text(e));
+    for (Json const& e : v) out += (out.empty() ? "" : ",") + (e.is_object() ? e.value("id", e.dump()) : field_text(e));
     return out.empty() ? "-" : out;
   }
   return v.dump();
 }
 
-// Rows of the whole fleet's state are spread over cells and nodes.
+// Collects the rows of one kind from an answer; in the whole fleet's state they are nested in zones and nodes.
 Json rows_of(Json const& answer, std::string const& what) {
   if (!answer.contains("cells") || answer.contains(what)) return answer.value(what, Json::array());
   Json rows = Json::array();
-  for (Json const& cell : answer["cells"])
-    for (Json node : cell.value("nodes", Json::array())) {
+  for (Json const& zone : answer["cells"])
+    for (Json node : zone.value("nodes", Json::array())) {
       if (what == "nodes") {
         rows.push_back(node);
         continue;
@@ -90,7 +90,7 @@
   std::vector<std::vector<std::string>> lines{names};
   for (Json const& row : rows) {
     lines.emplace_back();
-    for (std::string const& c : names) lines.back().push_back(cell_text(row.contains(c) ? row[c] : Json()));
+    for (std::string const& c : names) lines.back().push_back(field_text(row.contains(c) ? row[c] : Json()));
   }
   std::vector<std::size_t> widths(names.size(), 0);
   for (std::vector<std::string> const& line : lines)
@@ -105,8 +105,8 @@
 
 class Shell {
  public:
-  Shell(Process& p, SocketWorld& w, std::vector<Address> doors, bool const json)
-      : process_(p), world_(w), caller_(w), doors_(std::move(doors)), json_(json) {}
+  Shell(Process& p, SocketEnvironment& env, std::vector<Address> registries, bool const json)
+      : process_(p), env_(env), caller_(env), registries_(std::move(registries)), json_(json) {}
 
   int run(std::vector<std::string> const& words) {
     if (words.empty()) return 0;
@@ -116,14 +116,14 @@
     if (words[0] == "put") return put(words);
     if (words[0] == "place") return place(words);
     if (words[0] == "maintenance") return maintenance(words);
-    for (Question const& q : questions)
-      if (words[0] == q.name) return words.size() > 1 ? wrong(words[0] + " takes nothing more") : ask(q);
-    return wrong("no such question: " + words[0] + "; try help");
+    for (Query const& q : queries)
+      if (words[0] == q.name) return words.size() > 1 ? usage_error(words[0] + " takes nothing more") : ask(q);
+    return usage_error("no such question: " + words[0] + "; try help");
   }
 
  private:
   int help() {
-    for (Question const& q : questions) std::cout << "  " << std::left << std::setw(11) << q.name << q.what << "\n";
+    for (Query const& q : queries) std::cout << "  " << std::left << std::setw(11) << q.name << q.what << "\n";
     std::cout
         << "  decisions [service=S] [decision=stay|cross|drop] [cell=C] [after=WORD] [lines=N]   calls as they are decided\n"
            "  send FILE|-         changes, a JSON object a line, each with its verdict as it falls\n"
@@ -135,77 +135,77 @@
     return 0;
   }
 
-  int wrong(std::string const& why) {
+  int usage_error(std::string const& why) {
     std::cerr << "banktide-shell: " << why << "\n";
     return 2;
   }
-  int failed(std::string const& step, std::string const& peer, std::string const& why) {
+  int report_error(std::string const& step, std::string const& peer, std::string const& why) {
     std::cerr << "banktide-shell: " << log_line("mishap", {{"step", step}, {"peer", peer}, {"reason", why}}) << "\n";
     return 1;
   }
 
-  // The first door that answers.
+  // Sends a request to the registries in order, until one answers.
   Result<HttpReply> http(HttpRequest const& q) {
     Result<HttpReply> r = make_error("connect", "", "no registry", Proof::not_run);
-    for (Address const& door : doors_) {
+    for (Address const& registry : registries_) {
       std::promise<Result<HttpReply>> p;
-      process_.on_thread([&]() {
-        asio::co_spawn(world_.executor(), caller_.run_at(door, q, world_.now() + 8s),
+      process_.run_on_thread([&]() {
+        asio::co_spawn(env_.executor(), caller_.run_at(registry, q, env_.now() + 8s),
                        [&](std::exception_ptr e, Result<HttpReply> got) {
-                         p.set_value(e ? Result<HttpReply>(make_error("http", door, "exception")) : std::move(got));
+                         p.set_value(e ? Result<HttpReply>(make_error("http", registry, "exception")) : std::move(got));
                        });
         return true;
       });
       r = p.get_future().get();
-      door_ = door;
+      answering_registry_ = registry;
       if (r || r.error().proof != Proof::not_run) break;
     }
     return r;
   }
 
-  int ask(Question const& question) {
-    HttpRequest const q{"GET", question.target, {}, ""};
+  int ask(Query const& query) {
+    HttpRequest const q{"GET", query.target, {}, ""};
     Result<HttpReply> const r = http(q);
-    if (!r) return failed(r.error().step, r.error().peer, r.error().reason);
-    if (r->status != 200) return failed("answer", door_, std::to_string(r->status) + " " + r->body);
-    std::string const rows = question.rows;
+    if (!r) return report_error(r.error().step, r.error().peer, r.error().reason);
+    if (r->status != 200) return report_error("answer", answering_registry_, std::to_string(r->status) + " " + r->body);
+    std::string const rows = query.rows;
     if (rows.empty()) {
       std::cout << r->body << "\n";
       return 0;
     }
     Json const answer = Json::parse(r->body, nullptr, false);
-    if (!answer.is_object()) return failed("read_answer", door_, "not an object");
+    if (!answer.is_object()) return report_error("read_answer", answering_registry_, "not an object");
     Json const found = rows_of(answer, rows);
     if (json_)
       std::cout << found.dump(1) << "\n";
     else
-      print_table(found, question.columns);
+      print_table(found, query.columns);
     Json silent = answer.value("silent", Json::array());
-    for (Json const& cell : answer.value("cells", Json::array()))
-      for (Json const& s : cell.value("silent", Json::array())) silent.push_back(s);
-    for (Json const& s : silent) std::cerr << "banktide-shell: no answer from " << cell_text(s) << "\n";
+    for (Json const& zone : answer.value("cells", Json::array()))
+      for (Json const& s : zone.value("silent", Json::array())) silent.push_back(s);
+    for (Json const& s : silent) std::cerr << "banktide-shell: no answer from " << field_text(s) << "\n";
     return 0;
   }
 
   int put(std::vector<std::string> const& words) {
     if (words.size() != 3 || (words[1] != "routing" && words[1] != "catalogue"))
-      return wrong("put routing|catalogue FILE");
+      return usage_error("put routing|catalogue FILE");
     std::optional<std::string> const bytes = file_bytes(words[2]);
-    if (!bytes) return failed("read_file", words[2], "can't be read");
+    if (!bytes) return report_error("read_file", words[2], "can't be read");
     HttpRequest const q{"PUT", "/" + words[1], {{"Content-Type", "application/json"}}, *bytes};
     Result<HttpReply> const r = http(q);
-    if (!r) return failed(r.error().step, r.error().peer, r.error().reason);
+    if (!r) return report_error(r.error().step, r.error().peer, r.error().reason);
     std::cout << r->body;
     return r->status == 200 ? 0 : 1;
   }
 
   int maintenance(std::vector<std::string> const& words) {
-    tl::expected<MaintenanceCommand, std::string> const command = read_maintenance_command(words);
-    if (!command) return wrong(command.error());
+    tl::expected<MaintenanceCommand, std::string> const command = parse_maintenance_command(words);
+    if (!command) return usage_error(command.error());
     Result<HttpReply> const r = http(command->request);
-    if (!r) return failed(r.error().step, r.error().peer, r.error().reason);
-    if (r->status != 200) return failed("answer", door_, std::to_string(r->status) + " " + r->body);
-    Json const windows = windows_of(*command, *r);
+    if (!r) return report_error(r.error().step, r.error().peer, r.error().reason);
+    if (r->status != 200) return report_error("answer", answering_registry_, std::to_string(r->status) + " " + r->body);
+    Json const windows = windows_in_reply(*command, *r);
     if (json_)
       std::cout << windows.dump(1) << "\n";
     else
@@ -221,51 +221,52 @@
     return all.str();
   }
 
-  // Only prints the catalogue; to have it is a matter of `put`.
+  // Prints a catalogue only; `put` applies it.
   int place(std::vector<std::string> const& words) {
-    if (words.size() != 2) return wrong("place FILE");
+    if (words.size() != 2) return usage_error("place FILE");
     std::optional<std::string> const constraints = file_bytes(words[1]);
-    if (!constraints) return failed("read_file", words[1], "can't be read");
+    if (!constraints) return report_error("read_file", words[1], "can't be read");
     HttpRequest const q{"GET", "/routing", {}, ""}, c{"GET", "/catalogue", {}, ""};
     Result<HttpReply> const routing = http(q);
-    if (!routing) return failed(routing.error().step, routing.error().peer, routing.error().reason);
-    if (routing->status != 200) return failed("answer", door_, std::to_string(routing->status) + " " + routing->body);
+    if (!routing) return report_error(routing.error().step, routing.error().peer, routing.error().reason);
+    if (routing->status != 200)
+      return report_error("answer", answering_registry_, std::to_string(routing->status) + " " + routing->body);
     Result<HttpReply> const catalogue = http(c);
-    if (!catalogue) return failed(catalogue.error().step, catalogue.error().peer, catalogue.error().reason);
+    if (!catalogue) return report_error(catalogue.error().step, catalogue.error().peer, catalogue.error().reason);
     if (catalogue->status != 200 && catalogue->status != 404)
-      return failed("answer", door_, std::to_string(catalogue->status) + " " + catalogue->body);
+      return report_error("answer", answering_registry_, std::to_string(catalogue->status) + " " + catalogue->body);
     Result<Layout> const layout = Layout::read(routing->body);
-    if (!layout) return failed(layout.error().step, door_, layout.error().reason);
+    if (!layout) return report_error(layout.error().step, answering_registry_, layout.error().reason);
     Result<std::string> const placed =
         Placement::solve(*constraints, *layout, catalogue->status == 200 ? catalogue->body : "");
-    if (!placed) return failed(placed.error().step, placed.error().peer, placed.error().reason);
+    if (!placed) return report_error(placed.error().step, placed.error().peer, placed.error().reason);
     std::cout << *placed << "\n";
     return 0;
   }
 
-  // A reply read line by line while it comes; `line` says whether to go on.
+  // Reads a reply line by line as it arrives; `line` returns whether to go on.
   template <class F>
   int read_lines(std::string const& target, F line) {
     try {
       web::http::client::http_client_config config;
       config.set_timeout(std::chrono::hours(24));
-      web::http::client::http_client client(web::uri("http://" + doors_.front()), config);
+      web::http::client::http_client client(web::uri("http://" + registries_.front()), config);
       web::http::http_response r = client.request(web::http::methods::GET, target).get();
       if (r.status_code() != 200)
-        return failed("answer", doors_.front(),
-                      std::to_string(r.status_code()) + " " + r.extract_utf8string(true).get());
+        return report_error("answer", registries_.front(),
+                            std::to_string(r.status_code()) + " " + r.extract_utf8string(true).get());
       concurrency::streams::streambuf<unsigned char> in = r.body().streambuf();
-      std::string held;
+      std::string buffer;
       while (in.getc().get() >= 0) {
         std::vector<unsigned char> raw(std::max<std::size_t>(1, std::min<std::size_t>(in.in_avail(), 65536)));
         std::size_t const got = in.getn(raw.data(), raw.size()).get();
-        held.append(reinterpret_cast<char const*>(raw.data()), got);
-        for (std::size_t end = 0; (end = held.find('\n')) != std::string::npos; held.erase(0, end + 1))
-          if (!line(held.substr(0, end))) return 0;
+        buffer.append(reinterpret_cast<char const*>(raw.data()), got);
+        for (std::size_t end = 0; (end = buffer.find('\n')) != std::string::npos; buffer.erase(0, end + 1))
+          if (!line(buffer.substr(0, end))) return 0;
       }
       return 0;
     } catch (std::exception const& e) {
-      return failed("read_lines", doors_.front(), e.what());
+      return report_error("read_lines", registries_.front(), e.what());
     }
   }
 
@@ -275,7 +276,7 @@
     for (std::size_t i = 1; i < words.size(); ++i) {
       std::size_t const at = words[i].find('=');
       std::string const name = words[i].substr(0, at);
-      if (at == std::string::npos) return wrong("decisions takes name=value");
+      if (at == std::string::npos) return usage_error("decisions takes name=value");
       if (name == "lines")
         left = std::strtoull(words[i].c_str() + at + 1, nullptr, 10);
       else
@@ -302,14 +303,14 @@
     });
   }
 
-  // The library answers a request only when its body is over, so verdicts come
-  // over a second one.
+  // The HTTP library answers a request only after its body has ended, so the verdicts
+  // are read with a second request.
   int send(std::vector<std::string> const& words) {
-    if (words.size() != 2) return wrong("send FILE, or send - for standard input");
+    if (words.size() != 2) return usage_error("send FILE, or send - for standard input");
     std::ifstream file;
     if (words[1] != "-") {
       file.open(words[1]);
-      if (!file) return failed("read_file", words[1], "can't be read");
+      if (!file) return report_error("read_file", words[1], "can't be read");
     }
     std::istream& in = words[1] == "-" ? std::cin : file;
     std::string const name = "shell-" + std::to_string(std::random_device{}()) + std::to_string(::getpid());
@@ -329,7 +330,7 @@
     try {
       web::http::client::http_client_config config;
       config.set_timeout(std::chrono::hours(24));
-      web::http::client::http_client client(web::uri("http://" + doors_.front()), config);
+      web::http::client::http_client client(web::uri("http://" + registries_.front()), config);
       web::http::http_request q(web::http::methods::POST);
       q.set_request_uri(web::uri("/changes?stream=" + name));
       q.set_body(body.create_istream(), "application/x-ndjson");
@@ -342,9 +343,10 @@
       body.close(std::ios_base::out).wait();
       web::http::http_response r = sent.get();
       if (r.status_code() != 200)
-        code = failed("send", doors_.front(), std::to_string(r.status_code()) + " " + r.extract_utf8string(true).get());
+        code = report_error("send", registries_.front(),
+                            std::to_string(r.status_code()) + " " + r.extract_utf8string(true).get());
     } catch (std::exception const& e) {
-      code = failed("send", doors_.front(), e.what());
+      code = report_error("send", registries_.front(), e.what());
     }
     if (code != 0) std::_Exit(code);
     verdicts.join();
@@ -352,10 +354,10 @@
   }
 
   Process& process_;
-  SocketWorld& world_;
-  HttpCaller<SocketWorld> caller_;
-  std::vector<Address> const doors_;
-  Address door_;
+  SocketEnvironment& env_;
+  HttpClient<SocketEnvironment> caller_;
+  std::vector<Address> const registries_;
+  Address answering_registry_;
   bool const json_;
 };
 
@@ -366,13 +368,13 @@
   return words;
 }
 
-// Flags of a command stand among the program's own; they go back to its words.
+// The flags of a command are parsed with the program's own; `command_words` appends them to the command again.
 void define_command_flags(Settings& s) {
   for (char const* const name : {"opens-in", "lasts", "lead"}) s.text(name, "", "seconds, of maintenance mark");
   s.flag("allow-second", "of maintenance mark: also if another zone is under maintenance then");
   s.flag("force", "of maintenance mark: also if the other zones have too little room, or time is short");
 }
-std::vector<std::string> asked_words(Settings const& s) {
+std::vector<std::string> command_words(Settings const& s) {
   std::vector<std::string> words = s.list("ask");
   for (std::string const name : {"opens-in", "lasts", "lead"})
     if (!s.text(name).empty()) words.insert(words.end(), {"--" + name, s.text(name)});
@@ -381,7 +383,7 @@
   return words;
 }
 
-int at_prompt(Shell& shell) {
+int run_prompt(Shell& shell) {
   EditLine* const editor = el_init("banktide-shell", stdin, stdout, stderr);
   ::History* const history = history_init();
   HistEvent event;
@@ -410,19 +412,19 @@
   s.list("registry", "ip:port of a registry's operator door; repeat, the first that answers is asked");
   s.flag("json", "answers as JSON");
   s.list("ask", "a question; without one the shell reads questions line by line");
-  s.trailing("ask");
+  s.positional_list("ask");
   define_command_flags(s);
-  s.need_addresses("registry", 1);
+  s.require_addresses("registry", 1);
   if (std::optional<int> const code = s.read(argc, argv)) return *code;
   start_logging("OFF", "banktide-shell", "shell");
   Process process;
-  SocketWorld world;
-  Shell shell(process, world, s.list("registry"), s.flag("json"));
+  SocketEnvironment env;
+  Shell shell(process, env, s.list("registry"), s.flag("json"));
   int code = 0;
   if (!s.list("ask").empty()) {
-    code = shell.run(asked_words(s));
+    code = shell.run(command_words(s));
   } else if (::isatty(0)) {
-    code = at_prompt(shell);
+    code = run_prompt(shell);
   } else {
     for (std::string line; code == 0 && std::getline(std::cin, line);) code = shell.run(words_of(line));
   }
--- a/source/protocol/call.hpp
+++ b/source/protocol/call.hpp
@@ -1,5 +1,5 @@
-// A call's way through a node as a state chart: the states have names, and only
-// the steps listed here are taken. Each step lands in the node's journal.
+// The state machine of a call in a node. Each transition is recorded in the
+// node's journal.
 #pragma once
 
 #include "protocol/messages.hpp"
@@ -17,7 +17,7 @@
   return names[static_cast<std::size_t>(s)];
 }
 
-inline bool may_step(CallState const from, CallState const to) {
+inline bool is_valid_transition(CallState const from, CallState const to) {
   switch (from) {
     case CallState::read:
       return to == CallState::admitted || to == CallState::dropped;
@@ -36,11 +36,11 @@
   return false;
 }
 
-class CallChart {
+class CallStateMachine {
  public:
   CallState state() const { return state_; }
   bool step(CallState const to) {
-    if (!may_step(state_, to)) return false;
+    if (!is_valid_transition(state_, to)) return false;
     state_ = to;
     return true;
   }
--- a/source/protocol/slice_lease_messages.hpp
+++ b/source/protocol/slice_lease_messages.hpp
@@ -1,4 +1,4 @@
-// Leases over slices of keys, on the first data path.
+// Leases of slices of keys, on the first data path.
 #pragma once
 
 #include "protocol/message.hpp"
@@ -9,7 +9,7 @@
 
 namespace banktide {
 
-// ---- leases over key slices
+// ---- leases of key slices
 
 // A slice of a service's keys, under one mapping of keys to slices.
 struct Slice {
@@ -32,7 +32,7 @@
   std::vector<std::uint64_t> epochs;
   BANKTIDE_FIELDS(voting, granted, epochs)
 };
-struct LeaseAsk {
+struct LeaseRequest {
   static constexpr std::uint8_t kind = 30;
   using Reply = LeaseReply;
   std::string holder;
--- a/source/simulation/sim_world.hpp
+++ b/source/simulation/sim_world.hpp
@@ -1,11 +1,11 @@
-// The simulated surroundings: virtual time in one queue, machines with
-// processes on them, links that delay, cut and hold back, disks that stall and
-// machines that lose power. Everything is drawn from one seed, so a run replays
-// exactly. The coordination and state code above it is the real one.
+// The simulated environment: virtual time with a single event queue, machines that
+// run processes, links that delay, block and hold back messages, disks that stall and
+// machines that lose power. All randomness comes from one seed, so a run can be
+// replayed exactly. The coordination and state code on top is the production code.
 #pragma once
 
 #include "coordination/acceptor.hpp"
-#include "transport/surroundings.hpp"
+#include "transport/environment.hpp"
 
 #include <map>
 #include <queue>
@@ -25,45 +25,46 @@
   void after(Duration const d, std::function<void()> f) { at(now + d, std::move(f)); }
 
   void run_until(Instant const end) {
-    settle();
+    run_ready_handlers();
     while (!queue_.empty() && queue_.top().at <= end) {
       Entry e = queue_.top();
       queue_.pop();
       now = e.at;
       e.f();
-      settle();
+      run_ready_handlers();
     }
     now = std::max(now, end);
   }
 
-  void settle() {
+  void run_ready_handlers() {
     io.restart();
     io.poll();
   }
 
   void clear() {
     queue_ = {};
-    settle();
+    run_ready_handlers();
   }
 
-  // Cuts are one-way, by machine.
+  // Cuts are one-way links between machines.
   void cut(std::string const& from, std::string const& to) { cuts_.insert({from, to}); }
   void heal() { cuts_.clear(); }
   void heal(std::string const& m) {
     std::erase_if(cuts_, [&](auto const& c) { return c.first == m || c.second == m; });
   }
   bool open(std::string const& from, std::string const& to) const { return !cuts_.contains({from, to}); }
-  bool cut_off(std::string const& m) const {
+  bool has_cut(std::string const& m) const {
     return std::any_of(cuts_.begin(), cuts_.end(), [&](auto const& c) { return c.first == m || c.second == m; });
   }
   Duration delay() {
-    Duration const gust =
-        weather ? Duration(std::chrono::milliseconds(chance() % 10 == 0 ? chance() % 300 : chance() % 5)) : 0ms;
+    Duration const gust = unreliable_links
+                              ? Duration(std::chrono::milliseconds(chance() % 10 == 0 ? chance() % 300 : chance() % 5))
+                              : 0ms;
     return gust + std::chrono::microseconds(100 + chance() % 400 + (chance() % 50 == 0 ? chance() % 5000 : 0));
   }
 
-  // Bad weather: messages take long, overtake one another, get lost or doubled.
-  bool weather = false;
+  // Messages are delayed, reordered, lost or duplicated.
+  bool unreliable_links = false;
 
  private:
   struct Entry {
@@ -79,7 +80,7 @@
 
 class SimNet;
 
-// One run of a process on a machine.
+// One incarnation of a process on a machine.
 class SimProcess : public std::enable_shared_from_this<SimProcess> {
  public:
   struct Pending {
@@ -90,22 +91,22 @@
 
   class Alarm {
    public:
-    explicit Alarm(SimProcess& p) : p_(p), s_(std::make_shared<Pending>()), id_(++p.last_alarm_) {
-      p_.pending_[id_] = s_.get();
+    explicit Alarm(SimProcess& p) : process_(p), state_(std::make_shared<Pending>()), id_(++p.last_alarm_) {
+      process_.pending_[id_] = state_.get();
     }
     Alarm(Alarm const&) = delete;
-    ~Alarm() { p_.pending_.erase(id_); }
+    ~Alarm() { process_.pending_.erase(id_); }
 
     Task<bool> wait(Instant const until) {
-      if (s_->woken) {
-        s_->woken = false;
+      if (state_->woken) {
+        state_->woken = false;
         co_return false;
       }
-      std::uint64_t const mine = ++s_->wait;
+      std::uint64_t const own_wait = ++state_->wait;
       bool const ran_out = co_await asio::async_initiate<asio::use_awaitable_t<> const, void(bool)>(
           [](auto handler, SimProcess* p, std::shared_ptr<Pending> s, Instant t, std::uint64_t n) {
-            auto kept = std::make_shared<decltype(handler)>(std::move(handler));
-            s->handler = [kept](bool const v) { std::move (*kept)(v); };
+            auto shared_handler = std::make_shared<decltype(handler)>(std::move(handler));
+            s->handler = [shared_handler](bool const v) { std::move (*shared_handler)(v); };
             std::weak_ptr<Pending> weak = s;
             std::weak_ptr<SimProcess> self = p->weak_from_this();
             p->sim.at(p->global(t), [weak, self, n] {
@@ -116,16 +117,16 @@
                 });
             });
           },
-          asio::use_awaitable, &p_, s_, until, mine);
-      s_->woken = false;
+          asio::use_awaitable, &process_, state_, until, own_wait);
+      state_->woken = false;
       co_return ran_out;
     }
     void wake() {
-      s_->woken = true;
-      if (!s_->handler) return;
-      std::weak_ptr<Pending> weak = s_;
-      std::uint64_t const n = s_->wait;
-      asio::post(p_.sim.io, [weak, n] {
+      state_->woken = true;
+      if (!state_->handler) return;
+      std::weak_ptr<Pending> weak = state_;
+      std::uint64_t const n = state_->wait;
+      asio::post(process_.sim.io, [weak, n] {
         if (std::shared_ptr<Pending> const st = weak.lock()) fire(st, n, false);
       });
     }
@@ -137,16 +138,16 @@
       s->handler = nullptr;
       h(v && !s->woken);
     }
-    SimProcess& p_;
-    std::shared_ptr<Pending> s_;
+    SimProcess& process_;
+    std::shared_ptr<Pending> state_;
     std::uint64_t const id_;
   };
 
   SimProcess(Sim& s, SimNet& n, std::string m, Address a, std::uint64_t const incarnation)
-      : sim(s), net(n), machine(std::move(m)), address(std::move(a)), run_number(incarnation), chance_(s.chance()) {}
+      : sim(s), net(n), machine(std::move(m)), address(std::move(a)), incarnation(incarnation), chance_(s.chance()) {}
   ~SimProcess() { kill(); }
 
-  // Each machine's clock has an offset and a speed of its own.
+  // Each machine's clock has its own offset and drift.
   Instant now() const { return local(sim.now); }
   __extension__ typedef __int128 Wide;
   Instant local(Instant const t) const {
@@ -165,25 +166,25 @@
   void tell_raw(Address const& peer, std::uint8_t const kind, SharedBytes const& payload);
   void serve(Dispatcher& d) { dispatcher = &d; }
 
-  // Runs now, later if frozen, never if dead.
+  // Runs `f` now, after thawing if the process is frozen, or never if it is dead.
   void run(std::function<void()> f) {
     if (!alive) return;
     if (frozen)
-      held_.push_back(std::move(f));
+      deferred_.push_back(std::move(f));
     else
       f();
   }
   void freeze() { frozen = true; }
   void thaw() {
     frozen = false;
-    std::vector<std::function<void()>> held;
-    held.swap(held_);
-    for (std::function<void()>& f : held) f();
+    std::vector<std::function<void()>> deferred;
+    deferred.swap(deferred_);
+    for (std::function<void()>& f : deferred) f();
   }
   void kill() {
     alive = false;
-    held_.clear();
-    std::map<std::uint64_t, Pending*> pending;  // in order of making, so that a run replays
+    deferred_.clear();
+    std::map<std::uint64_t, Pending*> pending;  // in order of creation, so that runs are reproducible
     pending.swap(pending_);
     std::vector<std::function<void(bool)>> drop;
     for (auto const& [id, p] : pending) {
@@ -196,44 +197,44 @@
   SimNet& net;
   std::string const machine;
   Address const address;
-  std::uint64_t const run_number;
+  std::uint64_t const incarnation;
   Dispatcher* dispatcher = nullptr;
   bool alive = true, frozen = false;
   Duration clock_offset{};
   std::int64_t clock_ppm = 0;
-  std::map<Address, std::uint64_t> connected;  // peer and the run it was
+  std::map<Address, std::uint64_t> connected;  // by peer: the incarnation that the connection leads to
 
  private:
   std::mt19937_64 chance_;
   std::map<std::uint64_t, Pending*> pending_;
   std::uint64_t last_alarm_ = 0;
-  std::vector<std::function<void()>> held_;
+  std::vector<std::function<void()>> deferred_;
 };
 
-// Who listens where, and how a message gets there.
+// The network: which process listens at which address, and the delivery of messages.
 class SimNet {
  public:
   explicit SimNet(Sim& s) : sim(s) {}
   Sim& sim;
   std::map<Address, std::shared_ptr<SimProcess>> at;
   std::map<Address, std::string> machine_of;
-  std::set<std::string> dark;  // machines without power
-  // Sees every message as it is sent; and each answer before it leaves: "yes"
-  // means that its machine lost power first.
-  std::function<void(SimProcess const&, Address const&, std::uint8_t, Bytes const&)> tap;
-  std::function<bool(SimProcess&, std::uint8_t)> struck;
+  std::set<std::string> unpowered;  // machines without power
+  // Called with every message when it is sent.
+  std::function<void(SimProcess const&, Address const&, std::uint8_t, Bytes const&)> on_send;
+  // Called before each reply is sent; true means that the machine lost power first.
+  std::function<bool(SimProcess&, std::uint8_t)> before_reply;
 
   struct Exchange {
     std::shared_ptr<SimProcess> from;
     Address peer;
     std::uint8_t kind = 0;
     Bytes payload;
-    std::function<void(Result<Bytes>)> done;  // none: one-way
-    SharedCancellation cancellation;          // at the receiver; none: can't be cancelled
+    std::function<void(Result<Bytes>)> done;  // empty: one-way
+    SharedCancellation cancellation;          // at the receiver; null: can't be cancelled
     bool sent = false, withdrawn = false;
   };
 
-  // Word to the receiver that the answer is of no more use; lost where the way is cut.
+  // Tells the receiver that the answer is no longer needed; lost if the link is cut.
   void cancel(std::shared_ptr<Exchange> const& x) {
     sim.after(sim.delay(), [this, x] {
       auto const target = at.find(x->peer);
@@ -245,9 +246,9 @@
   void begin(std::shared_ptr<Exchange> const& x, Duration const wait) {
     sim.after(wait, [this, x] {
       if (!x->from->alive || x->withdrawn) return;
-      if (tap) tap(*x->from, x->peer, x->kind, x->payload);
-      if (sim.weather && !x->done && sim.chance() % 8 == 0) return;
-      if (sim.weather && !x->done && sim.chance() % 8 == 0) {
+      if (on_send) on_send(*x->from, x->peer, x->kind, x->payload);
+      if (sim.unreliable_links && !x->done && sim.chance() % 8 == 0) return;
+      if (sim.unreliable_links && !x->done && sim.chance() % 8 == 0) {
         std::shared_ptr<Exchange> const twin = std::make_shared<Exchange>(*x);
         auto const up = at.find(x->peer);
         if (up != at.end() && up->second->alive) deliver(twin, up->second, sim.now + 3s);
@@ -257,19 +258,19 @@
       bool const reach = sim.open(x->from->machine, machine) && sim.open(machine, x->from->machine);
       bool const up = target != at.end() && target->second->alive;
       auto const known = x->from->connected.find(x->peer);
-      bool const joined = up && known != x->from->connected.end() && known->second == target->second->run_number;
+      bool const joined = up && known != x->from->connected.end() && known->second == target->second->incarnation;
       if (joined) {
         x->sent = true;
         deliver(x, target->second, sim.now + 3s);
         return;
       }
       x->from->connected.erase(x->peer);
-      if (!reach || dark.contains(machine) || (up && target->second->frozen && sim.chance() % 2 == 0)) {
+      if (!reach || unpowered.contains(machine) || (up && target->second->frozen && sim.chance() % 2 == 0)) {
         fail(x, 500ms, "connect", "timed out", Proof::not_run);
       } else if (!up) {
         fail(x, sim.delay(), "connect", "refused", Proof::not_run);
       } else {
-        x->from->connected[x->peer] = target->second->run_number;
+        x->from->connected[x->peer] = target->second->incarnation;
         x->sent = true;
         deliver(x, target->second, sim.now + 3s);
       }
@@ -286,12 +287,13 @@
     });
   }
 
-  // What is on its way waits out a cut for a while and then arrives late.
+  // A message in transit waits for a cut link until `give_up` and then arrives late.
   void deliver(std::shared_ptr<Exchange> const& x, std::shared_ptr<SimProcess> const target, Instant const give_up) {
     sim.after(sim.delay(), [this, x, target, give_up] {
       if (!target->alive) {
         x->from->connected.erase(x->peer);
-        if (!dark.contains(target->machine)) fail(x, sim.delay(), "wait_for_reply", "connection lost", Proof::unknown);
+        if (!unpowered.contains(target->machine))
+          fail(x, sim.delay(), "wait_for_reply", "connection lost", Proof::unknown);
         return;
       }
       if (!sim.open(x->from->machine, target->machine)) {
@@ -307,19 +309,19 @@
 
   Task<void> handle(std::shared_ptr<Exchange> x, std::shared_ptr<SimProcess> target) {
     Result<Bytes> reply = co_await target->dispatcher->handlers[x->kind](x->payload, x->cancellation);
-    if (struck && struck(*target, x->kind)) co_return;
-    if (x->done && sim.weather && sim.chance() % 100 == 0) {
+    if (before_reply && before_reply(*target, x->kind)) co_return;
+    if (x->done && sim.unreliable_links && sim.chance() % 100 == 0) {
       x->from->connected.erase(x->peer);
       fail(x, sim.delay(), "wait_for_reply", "connection lost", Proof::unknown);
     } else if (x->done)
-      back(x, target, std::make_shared<Result<Bytes>>(std::move(reply)), sim.now + 3s);
+      deliver_reply(x, target, std::make_shared<Result<Bytes>>(std::move(reply)), sim.now + 3s);
   }
 
-  void back(std::shared_ptr<Exchange> const& x, std::shared_ptr<SimProcess> const target,
-            std::shared_ptr<Result<Bytes>> const reply, Instant const give_up) {
+  void deliver_reply(std::shared_ptr<Exchange> const& x, std::shared_ptr<SimProcess> const target,
+                     std::shared_ptr<Result<Bytes>> const reply, Instant const give_up) {
     sim.after(sim.delay(), [this, x, target, reply, give_up] {
       if (!sim.open(target->machine, x->from->machine)) {
-        if (sim.now < give_up) back(x, target, reply, give_up);
+        if (sim.now < give_up) deliver_reply(x, target, reply, give_up);
         return;
       }
       x->from->run([x, reply] { x->done(*reply); });
@@ -360,32 +362,32 @@
   net.begin(x, 0us);
 }
 
-static_assert(Surroundings<SimProcess>);
+static_assert(Environment<SimProcess>);
 
-// A disk outlives the processes that use it. Power lost during a sync leaves
-// the old record or the new one.
+// A disk that outlives the processes using it. A power loss during a sync leaves
+// either the old record or the new one.
 struct SimDisk {
   VoterRecord durable, unsynced;
   Instant stalled_until{};
   SimProcess* process = nullptr;
 
   Result<VoterRecord> load() { return durable; }
-  Task<Result<bool>> keep(VoterRecord const& r) {
-    SimProcess* const mine = process;
+  Task<Result<bool>> save(VoterRecord const& r) {
+    SimProcess* const owner = process;
     VoterRecord const next = r;
-    Duration wait = std::chrono::microseconds(200 + mine->chance()() % 2000);
-    if (stalled_until > mine->sim.now) wait += stalled_until - mine->sim.now;
+    Duration wait = std::chrono::microseconds(200 + owner->chance()() % 2000);
+    if (stalled_until > owner->sim.now) wait += stalled_until - owner->sim.now;
     if (broken_on_purpose("no_sync")) {
       unsynced = next;
       co_return true;
     }
-    bool const early = mine->chance()() % 2 == 0;
+    bool const early = owner->chance()() % 2 == 0;
     if (early) {
-      co_await sleep_for(*mine, wait / 2);
+      co_await sleep_for(*owner, wait / 2);
       durable = next;
-      co_await sleep_for(*mine, wait / 2);
+      co_await sleep_for(*owner, wait / 2);
     } else {
-      co_await sleep_for(*mine, wait);
+      co_await sleep_for(*owner, wait);
       durable = next;
     }
     co_return true;
--- a/source/state/journal.hpp
+++ b/source/state/journal.hpp
@@ -1,6 +1,5 @@
-// Events in the order they fell, numbered from 1, bounded: a view folds each
-// event as it is appended, so the oldest can be trimmed. A reader asks from a
-// position and is told when what it wanted has been trimmed.
+// A bounded list of events in order, numbered from 1. The oldest events are trimmed; a reader asks for
+// the events after a position and gets none if some of them have been trimmed.
 #pragma once
 
 #include <cstdint>
@@ -10,13 +9,13 @@
 
 namespace banktide {
 
-template <class E>
+template <class Event>
 class Journal {
  public:
   explicit Journal(std::size_t const limit) : limit_(limit) {}
 
-  std::uint64_t append(E e) {
-    events_.push_back(std::move(e));
+  std::uint64_t append(Event event) {
+    events_.push_back(std::move(event));
     if (events_.size() > limit_) {
       events_.pop_front();
       ++trimmed_;
@@ -26,12 +25,12 @@
   std::uint64_t last() const { return trimmed_ + events_.size(); }
   std::uint64_t trimmed() const { return trimmed_; }
 
-  // Events after `seen`, at most `most`; none if some of them are trimmed.
-  std::optional<std::vector<E>> since(std::uint64_t const seen,
-                                      std::size_t const most = static_cast<std::size_t>(-1)) const {
+  // Returns the events after `seen`, at most `max_events`; none if some of them were trimmed.
+  std::optional<std::vector<Event>> since(std::uint64_t const seen,
+                                          std::size_t const max_events = static_cast<std::size_t>(-1)) const {
     if (seen < trimmed_ || seen > last()) return std::nullopt;
-    std::vector<E> out;
-    for (std::size_t i = static_cast<std::size_t>(seen - trimmed_); i < events_.size() && out.size() < most; ++i)
+    std::vector<Event> out;
+    for (std::size_t i = static_cast<std::size_t>(seen - trimmed_); i < events_.size() && out.size() < max_events; ++i)
       out.push_back(events_[i]);
     return out;
   }
@@ -39,7 +38,7 @@
  private:
   std::size_t const limit_;
   std::uint64_t trimmed_ = 0;
-  std::deque<E> events_;
+  std::deque<Event> events_;
 };
 
 }  // namespace banktide
--- a/source/state/key_planner.hpp
+++ b/source/state/key_planner.hpp
@@ -1,8 +1,7 @@
-// Plans who is to hold which keys: from the newest table and the nodes' reports
-// it makes the next table, or none if nothing is to change. A row changes hands
-// only once its holder has let it go, is proved to have ended, or has had no
-// lease for the whole term after its revocation. Nothing here speaks or waits:
-// the coordinator brings reports, tables and the time.
+// Plans the assignment of keys to backends: computes the next key table from the newest table
+// and the nodes' reports, or none if nothing changes. A row gets a new holder only after its
+// holder has released it, is proved to have ended, or has had no lease for a whole lease term
+// after the revocation. Pure state: the coordinator passes in reports, tables and the time.
 #pragma once
 
 #include "protocol/key_messages.hpp"
@@ -20,14 +19,14 @@
   explicit KeyPlanner(KeySettings settings) : settings_(settings) {}
 
   void on_report(Instant now, KeyReport report);
-  /// A chosen table; older ones change nothing.
+  /// Takes a table that the register has chosen; tables older than the known one are ignored.
   void on_table(Instant now, KeyTable table);
-  /// To be called several times a second, also while another coordinator acts:
-  /// after a gap, silence is counted anew, as this process may have been frozen.
+  /// Must be called several times a second, also while another coordinator is active. After a gap
+  /// between calls the silence of backends is counted anew, as this process may have been frozen.
   void tick(Instant now);
-  /// Backends in these zones are to hold no keys, as far as there are others for their service.
+  /// Moves keys away from backends in these zones, if their service has backends elsewhere.
   void withhold_zones(std::set<std::string> zones) { withheld_zones_ = std::move(zones); }
-  /// The table to write next, one revision above the newest known.
+  /// Returns the table to write next, one revision above the newest known.
   std::optional<KeyTable> plan(Instant now);
 
   KeyTable const& table() const { return table_; }
@@ -35,72 +34,72 @@
  private:
   struct Backend {
     KeyReport report;
-    Instant first_heard{};
-    Instant heard{};
-    Instant settled{};         // its load is judged from then on
-    double capacity = 0;       // requests a second, smoothed over its reports; 0: not known
-    std::size_t measured = 0;  // reports that told its capacity
-    bool feeding = false;      // it's new and gets its first share
+    Instant first_report{};
+    Instant last_report{};
+    Instant settling_until{};          // it takes no part in fine rebalancing until then
+    double capacity = 0;               // requests per second, smoothed over its reports; 0: unknown
+    std::size_t capacity_samples = 0;  // reports that gave its capacity
+    bool filling = false;              // new: it is being given its first share
   };
   struct ServiceState {
     Instant first_report{};
     Instant next_rebalance{};
-    std::size_t known = 0;
-    Instant grew{};
+    std::size_t known_backends = 0;
+    Instant last_new_backend{};
     KeyRates rates;
-    Instant level_until{};  // somebody was overloaded, and loads haven't been even for a while yet
+    Instant leveling_until{};  // leveling goes on until then, once a backend was overloaded
   };
-  // A backend that may take rows, and what it has by now.
-  struct Taker {
+  // A backend that may receive rows, and what it holds so far in this plan.
+  struct Recipient {
     Backend* backend = nullptr;
-    std::uint16_t number = no_holder;
-    std::size_t rows = 0;     // held, and on the move to it
-    double cost = 0;          // busy share, and what was given to it since
-    double width = 0;         // its share of the keys
-    std::size_t leaving = 0;  // rows on the move away
+    std::uint16_t holder_index = no_holder;
+    std::size_t rows = 0;     // held, and moving to it
+    double cost = 0;          // its busy share, plus that of the rows assigned to it in this plan
+    double width = 0;         // its share of all keys
+    std::size_t leaving = 0;  // rows moving away from it
     std::size_t arriving = 0;
   };
-  using Takers = std::vector<Taker>;
+  using Recipients = std::vector<Recipient>;
 
   Backend* backend_of(std::string const& instance);
   bool ended(std::string const& instance) const { return ended_.contains(instance); }
-  bool able(Backend const& backend, Instant now) const;
-  bool eligible(Backend const& backend, Instant now) const;
+  bool is_serving(Backend const& backend, Instant now) const;
+  bool is_eligible(Backend const& backend, Instant now) const;
   void find_zones_to_vacate(std::string const& service, Instant now);
-  bool vacated(std::string const& zone) const { return zones_to_vacate_.contains(zone); }
-  Duration silence(std::string const& instance, Instant now) const;
-  bool wait_is_over(Revision revoked, Instant now) const;
+  bool is_vacated(std::string const& zone) const { return zones_to_vacate_.contains(zone); }
+  Duration silent_for(std::string const& instance, Instant now) const;
+  bool revocation_elapsed(Revision revoked, Instant now) const;
   KeyRelease const* release_of(KeyTable const& table, KeyRow const& row) const;
 
-  Takers takers(KeyTable& table, KeyService const& service, Instant now);
-  static Taker* pick(Takers& takers, KeyService const& service, std::size_t row, std::size_t rows_limit);
+  Recipients recipients(KeyTable& table, KeyService const& service, Instant now);
+  static Recipient* pick(Recipients& recipients, KeyService const& service, std::size_t row, std::size_t rows_limit);
   double row_cost(KeyTable const& table, KeyRow const& row) const;
 
-  void create(KeyTable& table, std::string const& name, Instant now);
+  void create_rows(KeyTable& table, std::string const& name, Instant now);
   void revoke_and_restore(KeyTable& table, KeyService& service, Instant now);
   void free_rows(KeyTable& table, KeyService& service, Instant now);
   Backend const* successor_of(KeyHolderRecord const& ended_holder, std::string const& service, Instant now) const;
-  void finish_moves(KeyTable& table, KeyService& service, Takers& takers);
-  void assign_free(KeyService& service, Takers& takers);
-  void drain(KeyTable& table, KeyService& service, Takers& takers);
-  void feed_newcomers(KeyTable& table, KeyService& service, Takers& takers);
-  static void learn_capacity(Backend& backend);
-  static double capacity_of_slot(Takers const& takers);
-  void rebalance(KeyTable const& table, KeyService& service, Takers const& takers, Instant now);
-  void begin_move(KeyTable& table, KeyService& service, std::size_t row, Taker& taker);
+  void finish_moves(KeyTable& table, KeyService& service, Recipients& recipients);
+  void assign_free(KeyService& service, Recipients& recipients);
+  void move_rows_off_draining(KeyTable& table, KeyService& service, Recipients& recipients);
+  void fill_newcomers(KeyTable& table, KeyService& service, Recipients& recipients);
+  static void update_capacity(Backend& backend);
+  static double capacity_of_slot(Recipients const& recipients);
+  void rebalance(KeyTable const& table, KeyService& service, Recipients const& recipients, Instant now);
+  void begin_move(KeyTable& table, KeyService& service, std::size_t row, Recipient& recipient);
   static void merge_free(KeyService& service, std::size_t room);
-  void forget_old(Instant now);
+  void remove_expired(Instant now);
 
   KeySettings const settings_;
   KeyTable table_;
   std::map<std::string, Backend> backends_;  // by instance
   std::map<std::string, ServiceState> services_;
-  std::map<std::string, Instant> ended_;     // and when it was last told
-  std::map<Revision, Instant> revocations_;  // when this process first saw each as chosen
+  std::map<std::string, Instant> ended_;     // and when each was last reported
+  std::map<Revision, Instant> revocations_;  // when this process first saw each in a chosen table
   std::set<std::string> withheld_zones_;
-  std::set<std::string> zones_to_vacate_;  // of these, those that the service being planned can do without
-  Instant watching_since_{};
-  Instant ticked_{};
+  std::set<std::string> zones_to_vacate_;  // those of them that the service being planned can do without
+  Instant observing_since_{};
+  Instant last_tick_{};
 };
 
 }  // namespace banktide
--- a/source/state/key_rebalancer.hpp
+++ b/source/state/key_rebalancer.hpp
@@ -1,7 +1,6 @@
-// One step of evening out the load of a keyed service: cuts hot rows where their
-// load is, begins moves from the most utilised backends to the least, and gathers
-// cool narrow rows again when there are many. It changes rows of the table in the
-// making; whether and when a step is due is for the planner to say.
+// One step of rebalancing the load of a keyed service: splits hot rows, begins moves from the
+// most to the least utilised backends, and merges narrow rows with little load when there are many
+// rows. It changes rows of the table being planned; the planner decides when a step is due.
 #pragma once
 
 #include "state/key_rates.hpp"
@@ -12,22 +11,22 @@
 
 namespace banktide {
 
-/// The part of all keys that lies in a row.
+/// Returns the share of all keys that a row covers.
 double width_of(KeyRow const& row);
 
-// A backend whose rows' rates are known, and what it can do.
+// A backend whose rows' rates are known, with its capacity and load.
 struct LoadedBackend {
   std::string instance;
-  std::uint16_t number = no_holder;
-  double capacity = 0;  // requests a second
+  std::uint16_t holder_index = no_holder;
+  double capacity = 0;  // requests per second
   double busy = 0;
-  bool settling = false;  // it took part in a fine step lately
+  bool settling = false;  // it took part in a fine step recently
   // Filled in from the rows:
-  double demand = 0;    // requests a second on its rows, and on those on the move to it
-  double variance = 0;  // of the demand, by how long the rates were taken
+  double demand = 0;    // requests per second on its rows and on those moving to it
+  double variance = 0;  // of the demand, given how long the rates were measured
   std::size_t rows = 0;
   std::size_t leaving = 0;
-  bool spent = false;  // no more of this step
+  bool done = false;  // takes no further part in this step
   double utilisation() const { return demand / capacity; }
 };
 
@@ -35,46 +34,46 @@
  public:
   KeyRebalancer(KeySettings const& settings, KeyService& service, KeyRates& rates, Revision revision, Instant now);
 
-  /// A backend with a row of unknown rate is left out.
+  /// Adds a backend. One with a row of unknown rate takes no part in the step.
   void add(LoadedBackend backend);
-  /// To be called once all are added; whether anything was changed. Nothing is while
-  /// nobody is overloaded, but what was begun goes on until loads are even.
-  bool even_out(bool begun);
-  /// Whether a backend's load was so far above the mean that it should give.
+  /// Call once all backends are added. Begins to level the load only when a backend is overloaded;
+  /// `begun`: leveling is under way and goes on until loads are even. Returns whether rows changed.
+  bool level_load(bool begun);
+  /// Whether a backend's load was so far above the mean that it should give up rows.
   bool uneven() const { return uneven_; }
-  bool gather_cool_rows();
+  bool merge_cool_rows();
   /// The backends that took part in a fine step.
   std::vector<std::uint16_t> const& settling() const { return settling_; }
 
  private:
   struct Move {
     std::size_t row = 0;
-    LoadedBackend* taker = nullptr;
+    LoadedBackend* recipient = nullptr;
     double rate = 0;
   };
 
-  void sum_up();
+  void sum_loads();
   void find_means();
   double rate_of(KeyRow const& row) const;
   bool movable(KeyRow const& row) const;
   bool overloaded() const;
   double gap(LoadedBackend const& backend) const;
-  double gap_that_calls(LoadedBackend const& backend, double gap) const;
-  bool too_far_apart(double gap) const;
+  double gap_with_noise(LoadedBackend const& backend, double gap) const;
+  bool exceeds_gap(double gap) const;
   LoadedBackend* most_utilised(bool coarse);
   LoadedBackend* least_utilised(bool coarse, KeyRow const* apart_from);
   bool holds_neighbour(LoadedBackend const& backend, std::size_t row) const;
-  bool cut_hot_rows(LoadedBackend& holder);
-  std::vector<KeyCut> grouped(KeyRate const& known, double most, std::size_t parts) const;
-  void cut(std::size_t row, std::vector<KeyCut> const& cuts);
-  std::optional<Move> best_move(LoadedBackend const& giver, bool coarse);
+  bool split_hot_rows(LoadedBackend& holder);
+  std::vector<KeyCut> group_cuts(KeyRate const& known, double most, std::size_t parts) const;
+  void split(std::size_t row, std::vector<KeyCut> const& cuts);
+  std::optional<Move> best_move(LoadedBackend const& donor, bool coarse);
   double hot_keys_of(LoadedBackend const& backend) const;
-  std::optional<Move> move_of_hot_key(LoadedBackend const& giver);
-  void begin(Move const& move, LoadedBackend& giver);
-  bool joinable(KeyRow const& left, KeyRow const& right) const;
-  bool join_neighbours();
-  bool bring_neighbours_together();
-  LoadedBackend* backend(std::uint16_t number);
+  std::optional<Move> move_of_hot_key(LoadedBackend const& donor);
+  void begin(Move const& move, LoadedBackend& donor);
+  bool mergeable(KeyRow const& left, KeyRow const& right) const;
+  bool merge_neighbours();
+  bool move_neighbours_together();
+  LoadedBackend* backend(std::uint16_t holder_index);
   std::size_t rows_limit() const;
 
   KeySettings const& settings_;
@@ -84,10 +83,10 @@
   Instant const now_;
   std::vector<LoadedBackend> backends_;
   std::vector<std::uint16_t> settling_;
-  bool summed_up_ = false;
+  bool loads_summed_ = false;
   bool uneven_ = false;
-  double mean_ = 0;        // utilisation, without backends that one key fills
-  double part_limit_ = 0;  // requests a second that a row may carry without being cut
+  double mean_ = 0;             // utilisation, without backends that a single key overloads
+  double split_threshold_ = 0;  // requests per second above which a row is split
   double width_left_ = 0;
 };
 
--- a/source/state/layout.hpp
+++ b/source/state/layout.hpp
@@ -1,8 +1,7 @@
-// What operators give: the routing layout (cells, services, ways) and the
-// catalogue (which services and key slices each cell can serve). Both are read
-// through one door: size, JSON with no key twice, schema, then references.
-// A refusal names the JSON pointer. Service and cell names become dense indices
-// here and stay so in everything that picks.
+// The documents that operators send: the routing layout (zones, services, path prefixes) and the
+// catalogue (the services and key slices that each zone can serve). Both are validated in the same
+// order: size, JSON without duplicate keys, schema, references. An error names the JSON pointer.
+// Names of services and zones become dense indexes, which all code that selects targets uses.
 #pragma once
 
 #include "protocol/digest.hpp"
@@ -45,8 +44,8 @@
   std::string key_header;  // empty: not keyed
   std::uint32_t slices = 0;
   bool keyed() const { return slices > 0; }
-  // How keys come to slices. Two mappings of one service never hold leases at
-  // the same time, so a change of it is as safe as a move.
+  // Identifies the mapping of keys to slices. Leases of two mappings of one service never exist at
+  // the same time, so a change of the mapping is as safe as a move.
   std::uint64_t mapping() const { return digest_of(key_header + "/" + std::to_string(slices)); }
   bool may_repeat(std::string const& method) const {
     return std::find(idempotent.begin(), idempotent.end(), method) != idempotent.end();
@@ -58,7 +57,7 @@
   return static_cast<std::uint32_t>(digest_of(key) % slices);
 }
 
-struct Way {
+struct PathRoute {
   std::string prefix;
   Index service = no_index;
 };
@@ -86,7 +85,7 @@
     Result<bool> const fits = check_schema(*j, schema);
     if (!fits) return tl::unexpected<Error>(fits.error());
     Layout l;
-    for (Json const& c : (*j)["cells"]) l.cells.add(c.get<std::string>());
+    for (Json const& c : (*j)["cells"]) l.zones.add(c.get<std::string>());
     for (auto const& [name, s] : (*j)["services"].items()) {
       Service service;
       service.name = name;
@@ -100,35 +99,35 @@
       l.services.push_back(std::move(service));
     }
     std::set<std::string> prefixes;
-    std::size_t at = 0;
+    std::size_t index = 0;
     for (Json const& w : (*j)["ways"]) {
-      std::string const pointer = "/ways/" + std::to_string(at++);
-      Way way{w["prefix"].get<std::string>(), l.service_names.find(w["service"].get<std::string>())};
-      if (way.service == no_index)
+      std::string const pointer = "/ways/" + std::to_string(index++);
+      PathRoute route{w["prefix"].get<std::string>(), l.service_names.find(w["service"].get<std::string>())};
+      if (route.service == no_index)
         return make_error("check_references", pointer + "/service", "no such service", Proof::not_run);
-      if (!prefixes.insert(way.prefix).second)
-        return make_error("check_references", pointer + "/prefix", "prefix stands twice", Proof::not_run);
-      l.ways.push_back(std::move(way));
+      if (!prefixes.insert(route.prefix).second)
+        return make_error("check_references", pointer + "/prefix", "duplicate prefix", Proof::not_run);
+      l.path_routes.push_back(std::move(route));
     }
-    std::sort(l.ways.begin(), l.ways.end(),
-              [](Way const& a, Way const& b) { return a.prefix.size() > b.prefix.size(); });
+    std::sort(l.path_routes.begin(), l.path_routes.end(),
+              [](PathRoute const& a, PathRoute const& b) { return a.prefix.size() > b.prefix.size(); });
     return l;
   }
 
-  // The longest prefix that ends at a path segment's end.
-  Index way_of(std::string const& target) const {
+  // Returns the service with the longest prefix of the path that ends at the end of a path segment.
+  Index service_of_path(std::string const& target) const {
     std::string_view const path = std::string_view(target).substr(0, target.find('?'));
-    for (Way const& w : ways) {
+    for (PathRoute const& w : path_routes) {
       if (path.substr(0, w.prefix.size()) != w.prefix) continue;
       if (w.prefix.back() == '/' || path.size() == w.prefix.size() || path[w.prefix.size()] == '/') return w.service;
     }
     return no_index;
   }
 
-  NameIndex cells;
+  NameIndex zones;
   NameIndex service_names;
   std::vector<Service> services;
-  std::vector<Way> ways;
+  std::vector<PathRoute> path_routes;
 };
 
 class Catalogue {
@@ -143,15 +142,14 @@
         "properties": {"slices": {"type": "array", "maxItems": 1024, "items": {"type": "array", "minItems": 2, "maxItems": 2, "items": {"type": "integer", "minimum": 0, "maximum": 1023}}}}}}}}})";
 
   struct Entry {
-    std::string cell;
+    std::string zone;
     std::vector<bool> slices;  // empty: all
     bool serves(std::uint32_t const slice) const { return slices.empty() || (slice < slices.size() && slices[slice]); }
   };
 
-  // An operator's catalogue is checked against the routing revision to the last
-  // name. A node that has a newer routing revision than the catalogue was made
-  // for passes over the names and slices that are gone, and nothing else.
-  static Result<Catalogue> read(std::string const& bytes, Layout const& layout, bool const forgiving = false) {
+  // Every name in an operator's catalogue must exist in the layout. A node whose layout is newer than
+  // the catalogue reads it as `lenient`: names and slices that no longer exist are ignored.
+  static Result<Catalogue> read(std::string const& bytes, Layout const& layout, bool const lenient = false) {
     Result<Json> j = parse_json(bytes);
     if (!j) return tl::unexpected<Error>(j.error());
     Result<bool> const fits = check_schema(*j, schema);
@@ -159,36 +157,36 @@
     Catalogue c;
     c.entries.resize(layout.services.size());
     c.closed.resize(layout.services.size(), false);
-    std::size_t at = 0;
+    std::size_t index = 0;
     for (Json const& name : j->value("closed", Json::array())) {
       Index const s = layout.service_names.find(name.get<std::string>());
-      if (s == no_index && !forgiving)
-        return make_error("check_references", "/closed/" + std::to_string(at), "no such service", Proof::not_run);
+      if (s == no_index && !lenient)
+        return make_error("check_references", "/closed/" + std::to_string(index), "no such service", Proof::not_run);
       if (s != no_index) c.closed[s] = true;
-      ++at;
+      ++index;
     }
-    for (auto const& [cell, services] : (*j)["cells"].items()) {
-      bool const gone = layout.cells.find(cell) == no_index;
-      if (gone && !forgiving) return make_error("check_references", "/cells/" + cell, "no such cell", Proof::not_run);
+    for (auto const& [zone, services] : (*j)["cells"].items()) {
+      bool const gone = layout.zones.find(zone) == no_index;
+      if (gone && !lenient) return make_error("check_references", "/cells/" + zone, "no such cell", Proof::not_run);
       for (auto const& [name, e] : services.items()) {
-        std::string const pointer = "/cells/" + cell + "/" + name;
+        std::string const pointer = "/cells/" + zone + "/" + name;
         Index const s = layout.service_names.find(name);
-        if (s == no_index && !forgiving)
+        if (s == no_index && !lenient)
           return make_error("check_references", pointer, "no such service", Proof::not_run);
         if (s == no_index) continue;
         Service const& service = layout.services[s];
         Entry entry;
-        entry.cell = cell;
+        entry.zone = zone;
         if (gone)
           entry.slices.assign(std::max<std::uint32_t>(service.slices, 1), false);
-        else if (e.contains("slices") && !service.keyed() && !forgiving)
+        else if (e.contains("slices") && !service.keyed() && !lenient)
           return make_error("check_references", pointer + "/slices", "service is not keyed", Proof::not_run);
         if (service.keyed() && !gone) {
           entry.slices.assign(service.slices, !e.contains("slices"));
           for (Json const& range : e.value("slices", Json::array())) {
             std::uint32_t const first = range[0].get<std::uint32_t>();
             std::uint32_t last = range[1].get<std::uint32_t>();
-            if (forgiving)
+            if (lenient)
               last = std::min(last, service.slices - 1);
             else if (first > last || last >= service.slices)
               return make_error("check_references", pointer + "/slices",
@@ -197,11 +195,11 @@
           }
           for (Entry const& other : c.entries[s])
             for (std::uint32_t i = 0; i < service.slices; ++i)
-              if (entry.slices[i] && other.slices[i] && forgiving)
+              if (entry.slices[i] && other.slices[i] && lenient)
                 entry.slices[i] = false;
               else if (entry.slices[i] && other.slices[i])
                 return make_error("check_references", pointer + "/slices",
-                                  "slice " + std::to_string(i) + " is also in cell " + other.cell, Proof::not_run);
+                                  "slice " + std::to_string(i) + " is also in cell " + other.zone, Proof::not_run);
         }
         c.entries[s].push_back(std::move(entry));
       }
@@ -209,66 +207,66 @@
     return c;
   }
 
-  std::vector<std::vector<Entry>> entries;  // by service; none: the catalogue is silent
+  std::vector<std::vector<Entry>> entries;  // by service; empty: the catalogue doesn't mention it
   std::vector<bool> closed;
 };
 
-// What a call may do, before anything is known of backends: the cells it may
-// run in, own first. `dropped` has the reason where there is none.
-struct Choice {
-  bool stay = false;
-  bool settled = false;             // by the catalogue, or by the slice's home
-  bool home = false;                // the catalogue is silent on a keyed service
-  std::vector<std::string> others;  // empty and not settled: any cell
-  std::string dropped;
+// The zones that a call may run in, before backends are considered; the own zone comes first.
+// `refusal` has the reason if there is none.
+struct ZoneChoice {
+  bool in_own_zone = false;
+  bool decided = false;                  // the zones are given by the catalogue or by the slice's home
+  bool by_home = false;                  // by a home zone, as the catalogue doesn't mention the keyed service
+  std::vector<std::string> other_zones;  // empty and not decided: any zone
+  std::string refusal;
 };
 
-// `offering` tells the cells that have a backend of the service now. Where the
-// catalogue is silent on a keyed service, each slice has one home among them,
-// the one with the highest digest, so that all who see the same cells agree;
-// the leases see to it that it moves only when the old home has let go.
-template <class Offering>
-Choice choose_cells(Layout const& layout, Catalogue const& c, std::string const& own, Index const service,
-                    std::uint32_t const slice, Offering offering) {
-  Choice out;
+// `offering` returns the zones that have a backend of the service now. If the catalogue doesn't mention
+// a keyed service, each slice has one home among them: the zone with the highest digest, so that all
+// nodes that see the same zones agree. Leases ensure that a slice moves only after its old home has
+// released it.
+template <class ZonesOffering>
+ZoneChoice choose_zones(Layout const& layout, Catalogue const& c, std::string const& own, Index const service,
+                        std::uint32_t const slice, ZonesOffering offering) {
+  ZoneChoice out;
   if (service < c.closed.size() && c.closed[service]) {
-    out.dropped = "closed by the catalogue";
+    out.refusal = "closed by the catalogue";
     return out;
   }
   if (service >= c.entries.size() || c.entries[service].empty()) {
     if (!layout.services[service].keyed()) {
-      out.stay = true;
+      out.in_own_zone = true;
       return out;
     }
     std::string home;
     std::uint64_t top = 0;
-    for (std::string const& cell : offering()) {
-      std::uint64_t const score = digest_of(layout.services[service].name + "/" + std::to_string(slice) + "@" + cell);
+    for (std::string const& zone : offering()) {
+      std::uint64_t const score = digest_of(layout.services[service].name + "/" + std::to_string(slice) + "@" + zone);
       if (home.empty() || score > top) {
-        home = cell;
+        home = zone;
         top = score;
       }
     }
-    out.home = true;
-    out.settled = true;
+    out.by_home = true;
+    out.decided = true;
     if (home.empty())
-      out.dropped = "no cell has a backend of the keyed service";
+      out.refusal = "no cell has a backend of the keyed service";
     else if (home == own)
-      out.stay = true;
+      out.in_own_zone = true;
     else
-      out.others.push_back(home);
+      out.other_zones.push_back(home);
     return out;
   }
-  out.settled = true;
+  out.decided = true;
   for (Catalogue::Entry const& e : c.entries[service]) {
     if (!e.serves(slice)) continue;
-    if (e.cell == own)
-      out.stay = true;
+    if (e.zone == own)
+      out.in_own_zone = true;
     else
-      out.others.push_back(e.cell);
+      out.other_zones.push_back(e.zone);
   }
-  if (!out.stay && out.others.empty())
-    out.dropped = layout.services[service].keyed() ? "no cell has the slice" : "no cell has the service";
+  if (!out.in_own_zone && out.other_zones.empty())
+    out.refusal = layout.services[service].keyed() ? "no cell has the slice" : "no cell has the service";
   return out;
 }
 
--- a/source/state/sqlite_disk.hpp
+++ b/source/state/sqlite_disk.hpp
@@ -1,8 +1,7 @@
-// The voter's disk: one row in SQLite, synced in full before `keep` returns.
-// The blob is the record as cereal packs it, with its own digest, so that a
-// torn or foreign row is a start-up error and never a vote. `user_version` is
-// the format of the record: the one before this is read and written back as
-// this one with the next change; any other is refused by name.
+// Stores a voter's record as one row in SQLite, fully synced before `save` returns. The blob is the
+// record as cereal packs it, stored with its digest, so that a torn or foreign row is an error at
+// start-up and never becomes a vote. `user_version` is the format of the record: the previous format
+// is read too and replaced by the current one at the next write; any other is refused with an error.
 #pragma once
 
 #include "coordination/acceptor.hpp"
@@ -12,21 +11,21 @@
 
 namespace banktide {
 
-/// A voter's record as it was before the register of maintenance windows.
-struct VoterRecordOfFourRegisters {
-  Phase phase = Phase::blank;
-  std::uint64_t founding = 0;
-  std::array<Slot, 4> slots;
+/// A voter's record in format 2, before the register `maintenance` was added.
+struct VoterRecordFormat2 {
+  BootstrapPhase phase = BootstrapPhase::blank;
+  std::uint64_t bootstrap_id = 0;
+  std::array<RegisterSlot, 4> slots;
   VoterSet set;
   std::uint64_t active_epoch = 0;
   std::uint64_t disk = 0;
-  BANKTIDE_FIELDS(phase, founding, slots, set, active_epoch, disk)
+  BANKTIDE_FIELDS(phase, bootstrap_id, slots, set, active_epoch, disk)
 
-  /// The same record, with nothing in the new register.
-  VoterRecord widened() const {
+  /// Returns the record in the current format, with an empty register `maintenance`.
+  VoterRecord upgraded() const {
     VoterRecord record;
     record.phase = phase;
-    record.founding = founding;
+    record.bootstrap_id = bootstrap_id;
     for (std::size_t i = 0; i < slots.size(); ++i) record.slots[i] = slots[i];
     record.set = set;
     record.active_epoch = active_epoch;
@@ -59,14 +58,14 @@
       return make_error("load_disk", "", sqlite3_errmsg(db_));
     int const rc = sqlite3_step(s);
     Result<VoterRecord> out = VoterRecord{};
-    if (rc == SQLITE_ROW && format() != record_format && format() != format_of_four_registers) {
+    if (rc == SQLITE_ROW && format() != record_format && format() != previous_record_format) {
       out = make_error("load_disk", "",
                        "record of format " + std::to_string(format()) + ", known is " + std::to_string(record_format));
     } else if (rc == SQLITE_ROW) {
       Bytes const raw(static_cast<char const*>(sqlite3_column_blob(s, 0)),
                       static_cast<std::size_t>(sqlite3_column_bytes(s, 0)));
       if (digest_of(raw) != static_cast<std::uint64_t>(sqlite3_column_int64(s, 1)))
-        out = make_error("load_disk", "", "digest differs");
+        out = make_error("load_disk", "", "the digest of the record doesn't match");
       else
         out = read(raw);
     } else if (rc != SQLITE_DONE) {
@@ -76,9 +75,9 @@
     return out;
   }
 
-  Task<Result<bool>> keep(VoterRecord const& r) {
+  Task<Result<bool>> save(VoterRecord const& r) {
     if (format() == record_format) co_return write(r);
-    // The format and the first record of it are there together, or neither is.
+    // The new format and the first record in it are committed together or not at all.
     std::string const number = "BEGIN IMMEDIATE; PRAGMA user_version=" + std::to_string(record_format);
     Result<bool> done = execute(number.c_str());
     if (done) done = write(r);
@@ -87,7 +86,7 @@
     co_return done;
   }
 
-  /// The most pages that the file may have: a full disk, for tests.
+  /// Limits the pages of the file, to simulate a full disk in tests.
   void limit_pages(int const pages) {
     std::string const sql = "PRAGMA max_page_count=" + std::to_string(pages);
     sqlite3_exec(db_, sql.c_str(), nullptr, nullptr, nullptr);
@@ -95,12 +94,11 @@
 
  private:
   static constexpr int record_format = 3;
-  static constexpr int format_of_four_registers = 2;
+  static constexpr int previous_record_format = 2;
 
   Result<VoterRecord> read(Bytes const& raw) const {
     if (format() == record_format) return unpack<VoterRecord>(raw);
-    return unpack<VoterRecordOfFourRegisters>(raw).map(
-        [](VoterRecordOfFourRegisters const& old) { return old.widened(); });
+    return unpack<VoterRecordFormat2>(raw).map([](VoterRecordFormat2 const& old) { return old.upgraded(); });
   }
 
   Result<bool> execute(char const* const sql) {
--- a/tests/coordination/register_stand_in.hpp
+++ b/tests/coordination/fake_register_client.hpp
@@ -1,26 +1,26 @@
-// One register that is changed at a distance: linearizable, and unreachable when told.
+// A fake register client: a linearizable shared value with delays that tests can make unreachable.
 #pragma once
 
 #include "simulation/sim_world.hpp"
 
 namespace banktide {
 
-/** The register as a registry's client sees it: one value, changed at a distance. */
-struct OneRegister {
-  Held held;
+/** The state shared by all fake clients. */
+struct SharedRegister {
+  RegisterValue held;
   bool reachable = true;
-  std::size_t writings = 0;
+  std::size_t writes = 0;
 };
 
-class RegisterStandIn {
+class FakeRegisterClient {
  public:
-  RegisterStandIn(SimProcess& process, OneRegister& shared) : process_(process), shared_(shared) {}
+  FakeRegisterClient(SimProcess& process, SharedRegister& shared) : process_(process), shared_(shared) {}
   template <class Step>
-  Task<Result<Held>> change(Register, std::string, Instant, Step step) {
+  Task<Result<RegisterValue>> change(Register, std::string, Instant, Step step) {
     co_await sleep_for(process_, std::chrono::milliseconds(1 + process_.chance()() % 30));
     if (!shared_.reachable) co_return make_error("change", "", "no majority", Proof::not_run);
-    Result<Held> next = step(shared_.held);
-    if (next && next->revision != shared_.held.revision) ++shared_.writings;
+    Result<RegisterValue> next = step(shared_.held);
+    if (next && next->revision != shared_.held.revision) ++shared_.writes;
     if (next) shared_.held = *next;
     co_await sleep_for(process_, std::chrono::milliseconds(1 + process_.chance()() % 30));
     co_return next;
@@ -28,7 +28,7 @@
 
  private:
   SimProcess& process_;
-  OneRegister& shared_;
+  SharedRegister& shared_;
 };
 
 }  // namespace banktide
--- a/tests/coordination/maintenance_keeper_test.cpp
+++ b/tests/coordination/maintenance_keeper_test.cpp
@@ -1,20 +1,20 @@
-// Registries that count one window down: whoever acts, whichever of them start
-// again, the phases come in order, never sooner than on one clock, and later by
-// no more than what was lost between two writings and while all were down.
+// Registries that count a maintenance window down. Regardless of which registry acts
+// and which ones restart, the phases come in order, never earlier than on a single
+// clock, and later by at most the time lost between two writes and while all were down.
 #include "coordination/maintenance_keeper.hpp"
 
 #include <gtest/gtest.h>
 
-#include "coordination/register_stand_in.hpp"
+#include "coordination/fake_register_client.hpp"
 
 namespace banktide {
 namespace {
 
 struct KeeperTrial {
-  using Keeper = MaintenanceKeeper<SimProcess, RegisterStandIn>;
+  using Keeper = MaintenanceKeeper<SimProcess, FakeRegisterClient>;
   struct Registry {
     std::shared_ptr<SimProcess> process;
-    std::shared_ptr<RegisterStandIn> store;
+    std::shared_ptr<FakeRegisterClient> store;
     std::shared_ptr<Keeper> keeper;
     bool acting = false;
   };
@@ -34,26 +34,26 @@
     r.process = std::make_shared<SimProcess>(sim, net, name, name + ":1", 1);
     r.process->clock_offset = std::chrono::seconds(sim.chance() % 100);
     processes.push_back(r.process);
-    r.store = std::make_shared<RegisterStandIn>(*r.process, shared);
+    r.store = std::make_shared<FakeRegisterClient>(*r.process, shared);
     r.keeper = std::make_shared<Keeper>(*r.process, *r.store, [&r] { return r.acting; });
     r.keeper->known = [this] { return shared.held; };
-    kept.push_back(r.store);
-    kept.push_back(r.keeper);
+    retained.push_back(r.store);
+    retained.push_back(r.keeper);
     spawn(*r.process, r.keeper->run());
   }
   void run_for(Duration const d) { sim.run_until(sim.now + d); }
 
   void mark(std::size_t const i, Duration const opens_in, Duration const lasts) {
-    MaintenanceMark wish;
+    MaintenanceWindowSpec wish;
     wish.zone = "z";
     wish.opens_in = opens_in;
     wish.lasts = lasts;
     wish.lead = 20s;
     wish.return_time = 10s;
     bool done = false;
-    spawn(*registries[i].process, [](Keeper& keeper, MaintenanceMark const wanted, bool& to) -> Task<void> {
+    spawn(*registries[i].process, [](Keeper& keeper, MaintenanceWindowSpec const wanted, bool& to) -> Task<void> {
       MaintenanceEdit const edit = [wanted](MaintenancePlan& plan) -> Result<bool> {
-        return plan.mark(wanted) == MarkOutcome::marked;
+        return plan.schedule(wanted) == ScheduleOutcome::scheduled;
       };
       Result<MaintenancePlan> const plan = co_await keeper.change(edit);
       to = plan.has_value();
@@ -69,13 +69,13 @@
 
   Sim sim;
   SimNet net;
-  OneRegister shared;
+  SharedRegister shared;
   std::vector<std::shared_ptr<SimProcess>> processes;
-  std::vector<std::shared_ptr<void>> kept;
+  std::vector<std::shared_ptr<void>> retained;
   std::vector<Registry> registries;
 };
 
-TEST(MaintenanceKeeper, every_registry_goes_through_the_phases_at_the_same_time) {
+TEST(MaintenanceKeeper, all_registries_change_phase_at_the_same_time) {
   KeeperTrial trial(1);
   trial.mark(0, 60s, 30s);
   trial.run_for(30s);
@@ -88,13 +88,13 @@
   for (std::size_t i = 0; i < 2; ++i) EXPECT_EQ(trial.window(i).phase, MaintenancePhase::returning);
   trial.run_for(10s);
   for (std::size_t i = 0; i < 2; ++i) EXPECT_EQ(trial.window(i).phase, MaintenancePhase::over);
-  std::size_t const writings = trial.shared.writings;
-  EXPECT_LT(writings, 40u);
+  std::size_t const writes = trial.shared.writes;
+  EXPECT_LT(writes, 40u);
   trial.run_for(60s);
-  EXPECT_EQ(trial.shared.writings, writings) << "nothing is left to count";
+  EXPECT_EQ(trial.shared.writes, writes) << "nothing is left to count";
 }
 
-TEST(MaintenanceKeeper, a_restart_of_all_costs_only_the_time_since_the_last_writing) {
+TEST(MaintenanceKeeper, a_restart_of_all_loses_only_the_time_since_the_last_write) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     KeeperTrial trial(seed);
     trial.mark(0, 300s, 30s);
@@ -111,12 +111,12 @@
     trial.run_for(500ms);
     Duration const passed = trial.sim.now - marked_at;
     std::int64_t const on_one_clock = as_ms(Duration(300s) - passed);
-    EXPECT_GE(trial.window(0).left, on_one_clock) << "never sooner; seed " << seed;
-    EXPECT_LE(trial.window(0).left, on_one_clock + as_ms(lost)) << "seed " << seed;
+    EXPECT_GE(trial.window(0).remaining, on_one_clock) << "never earlier; seed " << seed;
+    EXPECT_LE(trial.window(0).remaining, on_one_clock + as_ms(lost)) << "seed " << seed;
   }
 }
 
-TEST(MaintenanceKeeper, two_that_act_at_once_or_in_turn_count_no_time_twice) {
+TEST(MaintenanceKeeper, registries_that_act_at_once_or_in_turn_count_no_time_twice) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     KeeperTrial trial(seed);
     trial.mark(1, 200s, 30s);
@@ -126,13 +126,13 @@
     }
     std::int64_t const on_one_clock = as_ms(Duration(200s) - (trial.sim.now - Instant{std::chrono::hours(1)}));
     for (std::size_t i = 0; i < 2; ++i) {
-      EXPECT_GE(trial.window(i).left, on_one_clock) << "seed " << seed;
-      EXPECT_LE(trial.window(i).left, on_one_clock + 6000) << "seed " << seed;
+      EXPECT_GE(trial.window(i).remaining, on_one_clock) << "seed " << seed;
+      EXPECT_LE(trial.window(i).remaining, on_one_clock + 6000) << "seed " << seed;
     }
   }
 }
 
-TEST(MaintenanceKeeper, without_a_majority_the_phases_go_on_and_are_written_afterwards) {
+TEST(MaintenanceKeeper, without_a_majority_the_phases_continue_and_are_written_afterwards) {
   KeeperTrial trial(1);
   trial.mark(0, 60s, 30s);
   trial.shared.reachable = false;
--- a/tests/coordination/register_client_test.cpp
+++ b/tests/coordination/register_client_test.cpp
@@ -1,4 +1,4 @@
-// The register against a plain list of changes, under cuts, kills, stalls and lost disks.
+// The register compared with a reference list of changes under partitions, crashes, disk stalls and lost disks.
 #include "coordination/register_client.hpp"
 
 #include "simulation/sim_world.hpp"
@@ -8,10 +8,10 @@
 namespace banktide {
 namespace {
 
-// Four voters and three racing coordinators under cuts, kills, stalls and a
-// lost disk. The value is the list of all changes made; the plain model is that
-// list: each acknowledged change once and in order, none that was said not
-// taken, and no reading older than what was acknowledged before it.
+// Four voters and three concurrent clients under partitions, crashes, disk stalls
+// and lost disks. The value is the list of all changes. Every acknowledged change
+// must occur in it exactly once and in order, no change reported as not executed may
+// occur, and no read may be older than a change acknowledged before it.
 struct RegisterTrial {
   explicit RegisterTrial(std::uint64_t const seed) : sim(seed), net(sim), disks(4) {
     for (int i = 0; i < 4; ++i) voters.push_back("store-" + std::to_string(i) + ":1");
@@ -43,26 +43,28 @@
     dispatchers.push_back(std::make_unique<Dispatcher>());
     acceptors.back()->attach(*dispatchers.back());
     p->serve(*dispatchers.back());
-    spawn(*p, acceptors.back()->settle());
+    spawn(*p, acceptors.back()->run_until_voting());
   }
 
   Task<void> keep_changing(std::size_t const c) {
     while (!over) {
       std::string const id = std::to_string(c) + "." + std::to_string(++made) + ";";
-      auto const append = [id](Held const& now) -> Result<Held> {
-        Held next = now;
+      auto const append = [id](RegisterValue const& now) -> Result<RegisterValue> {
+        RegisterValue next = now;
         ++next.revision;
         next.bytes += id;
         return next;
       };
       std::size_t const known = acked.size();
-      Result<Held> const r = co_await coordinators[c]->change(Register::routing, id, clients[c]->now() + 3s, append);
+      Result<RegisterValue> const r =
+          co_await coordinators[c]->change(Register::routing, id, clients[c]->now() + 3s, append);
       if (r)
         acked.push_back(id);
       else if (r.error().proof == Proof::not_run)
         refused.push_back(id);
-      Held const none{};
-      Result<Held> const seen = co_await coordinators[c]->read(Register::routing, none, clients[c]->now() + 3s);
+      RegisterValue const none{};
+      Result<RegisterValue> const seen =
+          co_await coordinators[c]->read(Register::routing, none, clients[c]->now() + 3s);
       if (seen) {
         for (std::size_t i = 0; i < known; ++i)
           EXPECT_NE((";" + seen->bytes).find(";" + acked[i]), std::string::npos) << "stale reading";
@@ -75,35 +77,35 @@
     }
   }
 
-  static Result<Held> kept(Held const& now) {
-    Held next = now;
+  static Result<RegisterValue> kept(RegisterValue const& now) {
+    RegisterValue next = now;
     next.revision = 1;
     next.bytes = "kept";
     return next;
   }
-  Task<void> write_kept() {
+  Task<void> write_once() {
     written = co_await coordinators[0]->change(Register::routing, "r", clients[0]->now() + 3s, &kept);
   }
   Task<void> read_once() {
-    Held const none{};
+    RegisterValue const none{};
     seen = co_await coordinators[1]->read(Register::routing, none, clients[1]->now() + 3s);
   }
 
-  void trouble() {
+  void inject_fault() {
     std::size_t const i = sim.chance() % 4;
-    Duration const a_while = std::chrono::milliseconds(100 + sim.chance() % 1500);
+    Duration const duration = std::chrono::milliseconds(100 + sim.chance() % 1500);
     switch (sim.chance() % 5) {
       case 0:
       case 1:
-        if (down) break;
-        down = true;
+        if (voter_down) break;
+        voter_down = true;
         net.at[voters[i]]->kill();
         if (sim.chance() % 2 == 0) disks[i].durable = VoterRecord{};
-        sim.after(a_while, [this, i] { start(i); });
-        sim.after(a_while + 3s, [this] { down = false; });
+        sim.after(duration, [this, i] { start(i); });
+        sim.after(duration + 3s, [this] { voter_down = false; });
         break;
       case 2:
-        disks[i].stalled_until = sim.now + a_while;
+        disks[i].stalled_until = sim.now + duration;
         break;
       case 3: {
         std::string const m = sim.chance() % 2 ? "core-" + std::to_string(i) : "client-" + std::to_string(i % 3);
@@ -111,13 +113,13 @@
           if (sim.chance() % 2) sim.cut(m, other);
           if (sim.chance() % 2) sim.cut(other, m);
         }
-        sim.after(a_while, [this] { sim.heal(); });
+        sim.after(duration, [this] { sim.heal(); });
         break;
       }
       default:
         break;
     }
-    if (!over) sim.after(std::chrono::milliseconds(200 + sim.chance() % 800), [this] { trouble(); });
+    if (!over) sim.after(std::chrono::milliseconds(200 + sim.chance() % 800), [this] { inject_fault(); });
   }
 
   Sim sim;
@@ -129,19 +131,19 @@
   std::vector<std::unique_ptr<Dispatcher>> dispatchers;
   std::vector<std::unique_ptr<RegisterClient<SimProcess>>> coordinators;
   std::vector<std::string> acked, refused;
-  Result<Held> written = make_error("", "", ""), seen = make_error("", "", "");
+  Result<RegisterValue> written = make_error("", "", ""), seen = make_error("", "", "");
   std::string last;
   std::uint64_t runs = 0, made = 0;
-  bool over = false, down = false;
+  bool over = false, voter_down = false;
 };
 
-TEST(RegisterClient, agrees_with_a_plain_list_of_changes_whatever_fails) {
+TEST(RegisterClient, matches_the_reference_list_of_changes_under_faults) {
   std::size_t acked = 0;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     RegisterTrial t(seed);
     t.sim.run_until(t.sim.now + 3s);
     for (std::size_t c = 0; c < 3; ++c) spawn(*t.clients[c], t.keep_changing(c));
-    t.sim.after(500ms, [&] { t.trouble(); });
+    t.sim.after(500ms, [&] { t.inject_fault(); });
     t.sim.run_until(t.sim.now + 20s);
     t.over = true;
     t.sim.heal();
@@ -159,9 +161,9 @@
   EXPECT_GT(acked, 1000u);
 }
 
-// A value that only two of the others hold: a lost disk must have it again
-// before the next may be lost.
-TEST(RegisterClient, a_voter_that_lost_its_disk_holds_again_what_it_had_before_the_next_one_is_lost) {
+// A voter that lost its disk must recover a value that only two others hold before
+// it votes again. Otherwise the next lost disk would lose the value.
+TEST(RegisterClient, a_voter_that_lost_its_disk_recovers_its_values_before_it_votes) {
   for (std::string const name : {"", "votes_blank"}) {
     mutant_name = name;
     RegisterTrial t(3);
@@ -172,7 +174,7 @@
     };
     t.sim.run_until(t.sim.now + 3s);
     t.net.at[t.voters[3]]->kill();
-    spawn(*t.clients[0], t.write_kept());
+    spawn(*t.clients[0], t.write_once());
     t.sim.run_until(t.sim.now + 4s);
     ASSERT_TRUE(t.written) << t.written.error().reason;
     lose(2);
--- a/tests/coordination/store_trial.hpp
+++ b/tests/coordination/store_trial.hpp
@@ -1,5 +1,5 @@
-// Stores and clients on the simulated network, for the tests of the register:
-// stores found it, join it, lose power and lose their disks.
+// Stores and clients on the simulated network for the tests of the register: stores
+// bootstrap it, join it, lose power and lose their disks.
 #pragma once
 
 #include "coordination/membership.hpp"
@@ -10,7 +10,7 @@
 namespace banktide {
 
 struct StoreTrial {
-  /// `stores` machines, the first three of which are the seeds.
+  /// Creates `stores` machines; the first three are the seeds.
   StoreTrial(std::uint64_t const seed, std::size_t const stores, std::uint32_t const losses)
       : sim(seed), net(sim), losses(losses), disks(stores), memberships(stores), acceptors(stores) {
     for (std::size_t i = 0; i < stores; ++i) addresses.push_back("store-" + std::to_string(i) + ":1");
@@ -23,9 +23,9 @@
       registers.push_back(std::make_unique<RegisterClient<SimProcess>>(*clients.back(), StoreSeeds{seeds}));
     }
   }
-  // What was spawned last starts first, so that it ends with its process.
+  // Starts the coroutines spawned last, so that they end with their processes.
   ~StoreTrial() {
-    sim.settle();
+    sim.run_ready_handlers();
     for (std::shared_ptr<SimProcess> const& p : all) p->kill();
     for (std::shared_ptr<SimProcess> const& p : clients) p->kill();
     sim.clear();
@@ -47,7 +47,7 @@
     settings.initial_start = initial;
     settings.losses = losses;
     memberships[i] = std::make_shared<Membership<SimProcess, SimDisk>>(*p, *acceptors[i], settings);
-    buried.emplace_back(acceptors[i], memberships[i]);
+    retired.emplace_back(acceptors[i], memberships[i]);
     dispatchers.push_back(std::make_unique<Dispatcher>());
     acceptors[i]->attach(*dispatchers.back());
     memberships[i]->attach(*dispatchers.back());
@@ -63,9 +63,9 @@
   void wipe(std::size_t const i) { disks[i].durable = VoterRecord{}; }
 
   void run_for(Duration const d) { sim.run_until(sim.now + d); }
-  /// Runs until the condition holds; false if it didn't within `most`.
-  bool run_until(std::function<bool()> const& holds, Duration const most) {
-    Instant const end = sim.now + most;
+  /// Runs until the condition holds; returns false if it doesn't within `limit`.
+  bool run_until(std::function<bool()> const& holds, Duration const limit) {
+    Instant const end = sim.now + limit;
     while (!holds() && sim.now < end) run_for(20ms);
     return holds();
   }
@@ -77,8 +77,8 @@
     return true;
   }
 
-  /// What each running store knows of the set, for the message of a check that failed.
-  std::string described() {
+  /// The voter set known to each running store, for failure messages.
+  std::string describe() {
     std::string out;
     for (std::size_t i = 0; i < addresses.size(); ++i) {
       if (!net.at.contains(addresses[i]) || !net.at[addresses[i]]->alive) continue;
@@ -91,32 +91,33 @@
     return out;
   }
 
-  // Whole calls, run to their end.
-  Result<Held> put(std::size_t const client, Register const reg, Revision const revision, std::string const bytes,
-                   Duration const patience = 5s) {
-    auto const newer = [&](Held const& now) -> Result<Held> {
-      Held next = now;
+  // Complete operations: each of these runs the simulation until the operation ends.
+  Result<RegisterValue> put(std::size_t const client, Register const reg, Revision const revision,
+                            std::string const bytes, Duration const patience = 5s) {
+    auto const newer = [&](RegisterValue const& now) -> Result<RegisterValue> {
+      RegisterValue next = now;
       if (revision <= now.revision) return next;
       next.revision = revision;
       next.bytes = bytes;
       return next;
     };
-    std::optional<Result<Held>> done;
+    std::optional<Result<RegisterValue>> done;
     spawn(*clients[client], put_one(client, reg, newer, patience, done));
     run_until([&] { return done.has_value(); }, patience + 2s);
-    return done ? *done : Result<Held>(make_error("put", "", "no end"));
+    return done ? *done : Result<RegisterValue>(make_error("put", "", "no end"));
   }
-  Result<Held> get(std::size_t const client, Register const reg, Duration const patience = 5s) {
-    std::optional<Result<Held>> done;
+  Result<RegisterValue> get(std::size_t const client, Register const reg, Duration const patience = 5s) {
+    std::optional<Result<RegisterValue>> done;
     spawn(*clients[client], get_one(client, reg, patience, done));
     run_until([&] { return done.has_value(); }, patience + 2s);
-    return done ? *done : Result<Held>(make_error("get", "", "no end"));
+    return done ? *done : Result<RegisterValue>(make_error("get", "", "no end"));
   }
-  Result<Confirmed> confirm(std::size_t const client, Register const reg, Held const known, Duration const patience) {
-    std::optional<Result<Confirmed>> done;
+  Result<ConfirmedValue> confirm(std::size_t const client, Register const reg, RegisterValue const known,
+                                 Duration const patience) {
+    std::optional<Result<ConfirmedValue>> done;
     spawn(*clients[client], confirm_one(client, reg, known, patience, done));
     run_until([&] { return done.has_value(); }, patience + 2s);
-    return done ? *done : Result<Confirmed>(make_error("confirm", "", "no end"));
+    return done ? *done : Result<ConfirmedValue>(make_error("confirm", "", "no end"));
   }
 
   using Newest = std::optional<std::array<Revision, register_count>>;
@@ -132,16 +133,16 @@
 
   template <class F>
   Task<void> put_one(std::size_t const c, Register const reg, F newer, Duration const patience,
-                     std::optional<Result<Held>>& done) {
+                     std::optional<Result<RegisterValue>>& done) {
     done = co_await registers[c]->change(reg, "", clients[c]->now() + patience, newer);
   }
   Task<void> get_one(std::size_t const c, Register const reg, Duration const patience,
-                     std::optional<Result<Held>>& done) {
-    Held const none{};
+                     std::optional<Result<RegisterValue>>& done) {
+    RegisterValue const none{};
     done = co_await registers[c]->read(reg, none, clients[c]->now() + patience);
   }
-  Task<void> confirm_one(std::size_t const c, Register const reg, Held const known, Duration const patience,
-                         std::optional<Result<Confirmed>>& done) {
+  Task<void> confirm_one(std::size_t const c, Register const reg, RegisterValue const known, Duration const patience,
+                         std::optional<Result<ConfirmedValue>>& done) {
     done = co_await registers[c]->confirm(reg, known, clients[c]->now() + patience);
   }
 
@@ -150,11 +151,11 @@
   std::uint32_t const losses;
   std::vector<Address> addresses, seeds;
   std::vector<SimDisk> disks;
-  // The processes outlive what runs on them: its alarms sign off there as they go.
+  // The processes must outlive the objects that run on them, whose alarms deregister there on destruction.
   std::vector<std::shared_ptr<SimProcess>> all, clients;
   std::vector<std::shared_ptr<Membership<SimProcess, SimDisk>>> memberships;
   std::vector<std::shared_ptr<Acceptor<SimProcess, SimDisk>>> acceptors;
-  std::vector<std::pair<std::shared_ptr<void>, std::shared_ptr<void>>> buried;
+  std::vector<std::pair<std::shared_ptr<void>, std::shared_ptr<void>>> retired;
   std::vector<std::unique_ptr<Dispatcher>> dispatchers;
   std::vector<std::unique_ptr<RegisterClient<SimProcess>>> registers;
   std::uint64_t runs = 0;
--- a/tests/coordination/voter_set_test.cpp
+++ b/tests/coordination/voter_set_test.cpp
@@ -1,19 +1,20 @@
-// The set of voters: how many must agree, founding from seeds, joining,
-// removal, and changes that race, stop half done, or meet lost disks.
+// The voter set: quorum sizes, bootstrapping from seeds, joining and removal, and
+// changes that run concurrently, are interrupted or coincide with lost disks.
 #include "tests/coordination/store_trial.hpp"
 
 namespace banktide {
 namespace {
 
-// A plain model: every quorum, every set of lost disks, every group that a
-// voter without a disk may hear.
-TEST(VoterSet, whoever_recovers_hears_one_that_holds_what_any_quorum_holds_and_never_needs_more_than_are_left) {
-  struct Core {
+// Exhaustive: every quorum, every set of lost disks, every group of voters from which
+// a recovering voter may receive answers.
+TEST(VoterSet, a_recovery_quorum_intersects_every_quorum_and_never_needs_more_voters_than_are_left) {
+  struct SetSize {
     std::size_t voters, losses;
   };
-  for (Core const core : {Core{3, 1}, Core{4, 1}, Core{5, 2}, Core{6, 2}, Core{7, 3}, Core{3, 2}}) {
-    std::size_t const quorum = quorum_of(core.voters, core.losses);
-    std::size_t const enough = recovery_quorum_of(core.voters, core.losses);
+  for (SetSize const core :
+       {SetSize{3, 1}, SetSize{4, 1}, SetSize{5, 2}, SetSize{6, 2}, SetSize{7, 3}, SetSize{3, 2}}) {
+    std::size_t const quorum = quorum_size(core.voters, core.losses);
+    std::size_t const enough = recovery_quorum_size(core.voters, core.losses);
     EXPECT_LE(enough, core.voters - core.losses);
     unsigned const subsets = 1u << core.voters;
     bool fewer_would_miss = false;
@@ -22,13 +23,13 @@
       for (unsigned lost = 0; lost < subsets; ++lost) {
         if (static_cast<std::size_t>(__builtin_popcount(lost)) > core.losses) continue;
         EXPECT_NE(held & ~lost, 0u);
-        for (unsigned heard = 0; heard < subsets; ++heard) {
-          if ((heard & lost) != 0) continue;
-          std::size_t const n = static_cast<std::size_t>(__builtin_popcount(heard));
+        for (unsigned answered = 0; answered < subsets; ++answered) {
+          if ((answered & lost) != 0) continue;
+          std::size_t const n = static_cast<std::size_t>(__builtin_popcount(answered));
           if (n == enough) {
-            EXPECT_NE(heard & held, 0u);
+            EXPECT_NE(answered & held, 0u);
           }
-          if (n + 1 == enough) fewer_would_miss = fewer_would_miss || (heard & held) == 0;
+          if (n + 1 == enough) fewer_would_miss = fewer_would_miss || (answered & held) == 0;
         }
       }
     }
@@ -36,13 +37,13 @@
   }
 }
 
-// One voter by itself, asked directly.
-struct LoneVoter {
-  LoneVoter() : trial(1, 3, 1), asker(*trial.clients[0]) {
-    before = first_set({"store-0:1", "a:1", "b:1"}, 1);
-    after = set_with(before, VoterEntry{"store-1:1", 77});
-    trial.disks[0].durable.phase = Phase::voting;
-    trial.disks[0].durable.founding = 9;
+// Single voters that are sent requests directly.
+struct SingleVoters {
+  SingleVoters() : trial(1, 3, 1), client(*trial.clients[0]) {
+    before = initial_set({"store-0:1", "a:1", "b:1"}, 1);
+    after = with_voter_added(before, VoterEntry{"store-1:1", 77});
+    trial.disks[0].durable.phase = BootstrapPhase::voting;
+    trial.disks[0].durable.bootstrap_id = 9;
     trial.disks[0].durable.set = before;
     trial.disks[0].durable.disk = 5;
     trial.disks[1].durable.disk = 76;
@@ -62,14 +63,14 @@
     p->serve(*trial.dispatchers.back());
   }
   template <class Q>
-  static Task<void> ask_one(SimProcess& w, Address const peer, Q const q, std::optional<typename Q::Reply>& out) {
-    Result<typename Q::Reply> const r = co_await ask<Q>(w, peer, q, w.now() + 1s);
+  static Task<void> ask_one(SimProcess& env, Address const peer, Q const q, std::optional<typename Q::Reply>& out) {
+    Result<typename Q::Reply> const r = co_await ask<Q>(env, peer, q, env.now() + 1s);
     if (r) out = *r;
   }
   template <class Q>
-  typename Q::Reply said(std::size_t const store, Q const q) {
+  typename Q::Reply reply_to(std::size_t const store, Q const q) {
     std::optional<typename Q::Reply> out;
-    spawn(asker, ask_one<Q>(asker, trial.addresses[store], q, out));
+    spawn(client, ask_one<Q>(client, trial.addresses[store], q, out));
     trial.run_for(2s);
     EXPECT_TRUE(out);
     return out.value_or(typename Q::Reply{});
@@ -91,52 +92,52 @@
   Activate activate() const {
     Activate q;
     q.set = after;
-    q.founding = 9;
+    q.bootstrap_id = 9;
     q.slots[2].accepted.round = 3;
     q.slots[2].held.bytes = "copied";
     return q;
   }
 
   StoreTrial trial;
-  SimProcess& asker;
+  SimProcess& client;
   VoterSet before, after;
 };
 
-TEST(VoterSet, a_sealed_voter_says_what_it_holds_and_votes_in_neither_set_until_it_is_activated) {
-  LoneVoter v;
-  EXPECT_TRUE(v.said(0, LoneVoter::value(0, 4, "own")).accepted);
-  SealReply const sealed = v.said(0, v.seal());
+TEST(VoterSet, a_sealed_voter_reports_its_slots_and_votes_in_neither_set_until_it_is_activated) {
+  SingleVoters v;
+  EXPECT_TRUE(v.reply_to(0, SingleVoters::value(0, 4, "own")).accepted);
+  SealReply const sealed = v.reply_to(0, v.seal());
   EXPECT_TRUE(sealed.sealed);
   EXPECT_EQ(sealed.slots[2].held.bytes, "own");
-  AcceptReply const old = v.said(0, LoneVoter::value(0, 5, "late"));
+  AcceptReply const old = v.reply_to(0, SingleVoters::value(0, 5, "late"));
   EXPECT_FALSE(old.voting);
   ASSERT_TRUE(old.newer);
   EXPECT_EQ(*old.newer, v.after);
-  Peek look;
+  ReadRegister look;
   look.reg = Register::keys;
-  EXPECT_FALSE(v.said(0, look).voting);
-  EXPECT_FALSE(v.said(0, LoneVoter::value(1, 5, "early")).voting);
-  EXPECT_EQ(v.trial.disks[0].durable.set, v.after);  // kept, for a restart
-  EXPECT_TRUE(v.said(0, v.activate()).active);
+  EXPECT_FALSE(v.reply_to(0, look).voting);
+  EXPECT_FALSE(v.reply_to(0, SingleVoters::value(1, 5, "early")).voting);
+  EXPECT_EQ(v.trial.disks[0].durable.set, v.after);  // stored, to survive a restart
+  EXPECT_TRUE(v.reply_to(0, v.activate()).active);
   look.epoch = 1;
-  PeekReply const now = v.said(0, look);
+  ReadRegisterReply const now = v.reply_to(0, look);
   EXPECT_TRUE(now.voting);
-  EXPECT_EQ(now.revision, 4u);  // its own was newer than what it was told
-  EXPECT_TRUE(v.said(0, LoneVoter::value(1, 5, "next")).accepted);
+  EXPECT_EQ(now.revision, 4u);  // its own value was newer than the one received
+  EXPECT_TRUE(v.reply_to(0, SingleVoters::value(1, 5, "next")).accepted);
 }
 
-TEST(VoterSet, only_the_empty_disk_that_was_added_is_activated_and_it_takes_up_what_it_is_told) {
-  LoneVoter v;
-  EXPECT_FALSE(v.said(1, v.activate()).active);
-  EXPECT_FALSE(v.said(1, v.seal()).sealed);
+TEST(VoterSet, only_the_empty_disk_that_was_added_is_activated_and_it_adopts_the_received_slots) {
+  SingleVoters v;
+  EXPECT_FALSE(v.reply_to(1, v.activate()).active);
+  EXPECT_FALSE(v.reply_to(1, v.seal()).sealed);
   v.trial.disks[1].durable.disk = 77;
   v.trial.power_off(1);
   v.serve(1);
-  EXPECT_TRUE(v.said(1, v.activate()).active);
+  EXPECT_TRUE(v.reply_to(1, v.activate()).active);
   EXPECT_EQ(v.trial.disks[1].durable.slots[2].held.bytes, "copied");
 }
 
-TEST(VoterSet, rounds_go_on_rising_from_one_set_to_the_next) {
+TEST(VoterSet, rounds_increase_from_one_set_to_the_next) {
   Ballot promised;
   promised.round = 8;
   Ballot next;
@@ -147,27 +148,27 @@
   EXPECT_TRUE(next.may_follow(promised));
 }
 
-// What a set holds by copying alone is no agreement: a voter that was away may
-// hold something newer of the epoch before.
-TEST(VoterSet, a_reading_does_not_rest_on_ballots_of_an_older_set) {
+// Slots copied on activation don't count as agreement: a voter that was unreachable
+// may hold a newer value of the previous epoch.
+TEST(VoterSet, a_read_does_not_rely_on_ballots_of_an_older_set) {
   StoreTrial t(8, 3, 1);
-  VoterSet const before = first_set({"store-0:1", "store-1:1"}, 0);
+  VoterSet const before = initial_set({"store-0:1", "store-1:1"}, 0);
   for (std::size_t i = 0; i < 3; ++i) {
-    t.disks[i].durable.phase = Phase::voting;
-    t.disks[i].durable.founding = 9;
+    t.disks[i].durable.phase = BootstrapPhase::voting;
+    t.disks[i].durable.bootstrap_id = 9;
     t.disks[i].durable.disk = i + 1;
-    t.disks[i].durable.set = set_with(before, VoterEntry{"store-2:1", 3});
+    t.disks[i].durable.set = with_voter_added(before, VoterEntry{"store-2:1", 3});
     t.disks[i].durable.active_epoch = 1;
     t.disks[i].durable.slots[2].accepted.round = 4;
     t.disks[i].durable.slots[2].held.revision = 4;
     t.start(i, false);
   }
-  EXPECT_FALSE(t.confirm(0, Register::keys, Held{}, 1s));
-  EXPECT_EQ(t.get(0, Register::keys)->revision, 4u);  // writes it in the new set
-  EXPECT_TRUE(t.confirm(0, Register::keys, Held{}, 1s));
+  EXPECT_FALSE(t.confirm(0, Register::keys, RegisterValue{}, 1s));
+  EXPECT_EQ(t.get(0, Register::keys)->revision, 4u);  // writes it back in the new set
+  EXPECT_TRUE(t.confirm(0, Register::keys, RegisterValue{}, 1s));
 }
 
-TEST(VoterSet, three_seeds_found_the_register_and_every_other_store_is_added) {
+TEST(VoterSet, three_seeds_bootstrap_the_register_and_every_other_store_is_added) {
   for (std::size_t const stores : {3u, 4u, 5u, 7u}) {
     StoreTrial t(stores, stores, stores >= 5 ? 2 : 1);
     t.start_all(true);
@@ -179,14 +180,14 @@
   }
 }
 
-TEST(VoterSet, nothing_is_founded_by_stores_that_are_not_told_to) {
+TEST(VoterSet, stores_without_the_initial_start_setting_bootstrap_nothing) {
   StoreTrial t(1, 4, 1);
   t.start_all(false);
   t.run_for(10s);
   for (std::size_t i = 0; i < 4; ++i) EXPECT_FALSE(t.acceptors[i]->voting());
 }
 
-TEST(VoterSet, a_founding_goes_on_where_a_loss_of_power_stopped_it) {
+TEST(VoterSet, bootstrapping_continues_after_a_power_loss) {
   for (int ms = 20; ms <= 400; ms += 20) {
     StoreTrial t(static_cast<std::uint64_t>(ms), 5, 2);
     t.start_all(true);
@@ -197,7 +198,7 @@
   }
 }
 
-TEST(VoterSet, a_store_that_is_gone_is_removed_and_added_again_when_it_is_back) {
+TEST(VoterSet, a_failed_store_is_removed_and_added_again_when_it_returns) {
   StoreTrial t(5, 4, 1);
   t.start_all(true);
   ASSERT_TRUE(t.run_until([&] { return t.all_vote(4); }, 20s));
@@ -214,30 +215,31 @@
   EXPECT_EQ(t.get(1, Register::routing)->bytes, "five");
 }
 
-// Values are put all the while by a client, stores join, and machines lose
-// power or, one at a time, their disk, at any moment of a change.
-struct Storm {
-  explicit Storm(std::uint64_t const seed, std::size_t const stores) : t(seed, stores, 1) {
+// Clients write continuously while stores join and machines lose power or, one at a
+// time, their disk, at any moment of a set change.
+struct FaultRun {
+  explicit FaultRun(std::uint64_t const seed, std::size_t const stores) : t(seed, stores, 1) {
     for (std::size_t i = 0; i < 3; ++i) t.start(i, true);
   }
-  Task<void> keep_putting(std::size_t const c) {
+  Task<void> write_continuously(std::size_t const c) {
     while (!over) {
-      Revision const mine = ++made * 3 + c;
-      auto const newer = [mine](Held const& now) -> Result<Held> {
-        Held next = now;
-        if (mine <= now.revision) return next;
-        next.revision = mine;
-        next.bytes = std::to_string(mine);
+      Revision const revision_to_write = ++last_write * 3 + c;
+      auto const newer = [revision_to_write](RegisterValue const& now) -> Result<RegisterValue> {
+        RegisterValue next = now;
+        if (revision_to_write <= now.revision) return next;
+        next.revision = revision_to_write;
+        next.bytes = std::to_string(revision_to_write);
         return next;
       };
-      Result<Held> const r = co_await t.registers[c]->change(Register::keys, "", t.clients[c]->now() + 3s, newer);
+      Result<RegisterValue> const r =
+          co_await t.registers[c]->change(Register::keys, "", t.clients[c]->now() + 3s, newer);
       if (r) {
         acknowledged = std::max(acknowledged, r->revision);
         ++puts;
       }
       Revision const floor = acknowledged;
-      Held const none{};
-      Result<Confirmed> const seen =
+      RegisterValue const none{};
+      Result<ConfirmedValue> const seen =
           co_await t.registers[c]->confirm(Register::keys, none, t.clients[c]->now() + 100ms);
       if (seen) {
         EXPECT_GE(seen->held.revision, floor);
@@ -247,10 +249,10 @@
       co_await sleep_for(*t.clients[c], std::chrono::milliseconds(t.sim.chance() % 40));
     }
   }
-  void trouble() {
+  void inject_fault() {
     if (over) return;
     std::size_t const i = t.sim.chance() % t.addresses.size();
-    Duration const a_while = std::chrono::milliseconds(50 + t.sim.chance() % 900);
+    Duration const duration = std::chrono::milliseconds(50 + t.sim.chance() % 900);
     bool const up = t.net.at.contains(t.addresses[i]) && t.net.at[t.addresses[i]]->alive;
     std::uint64_t const kind = t.sim.chance() % 4;
     if (up && kind <= 1 && !lost) {
@@ -258,26 +260,26 @@
       if (kind == 0 && t.all_vote_or_down()) {
         lost = true;
         t.wipe(i);
-        watch(i);
+        watch_recovery(i);
       }
-      t.sim.after(a_while, [this, i] { t.start(i, false); });
+      t.sim.after(duration, [this, i] { t.start(i, false); });
     } else if (kind == 2) {
       for (std::size_t k = 0; k < t.addresses.size(); ++k)
         if (t.sim.chance() % 2) t.sim.cut("core-" + std::to_string(i), "core-" + std::to_string(k));
       t.sim.cut("core-" + std::to_string(i), "client-" + std::to_string(t.sim.chance() % 3));
-      t.sim.after(a_while, [this] { t.sim.heal(); });
+      t.sim.after(duration, [this] { t.sim.heal(); });
     } else {
-      t.disks[i].stalled_until = t.sim.now + a_while;
+      t.disks[i].stalled_until = t.sim.now + duration;
     }
-    t.sim.after(std::chrono::milliseconds(200 + t.sim.chance() % 900), [this] { trouble(); });
+    t.sim.after(std::chrono::milliseconds(200 + t.sim.chance() % 900), [this] { inject_fault(); });
   }
-  // The next disk may be lost once the last has been made good.
-  void watch(std::size_t const i) {
+  // Allows the next disk loss once the last affected store votes again.
+  void watch_recovery(std::size_t const i) {
     t.sim.after(200ms, [this, i] {
       if (t.net.at[t.addresses[i]]->alive && t.acceptors[i]->voting())
         lost = false;
       else
-        watch(i);
+        watch_recovery(i);
     });
   }
 
@@ -291,17 +293,17 @@
   };
   Trial t;
   Revision acknowledged = 0;
-  std::uint64_t made = 0, puts = 0, confirmed = 0;
+  std::uint64_t last_write = 0, puts = 0, confirmed = 0;
   bool over = false, lost = false;
 };
 
-TEST(VoterSet, no_acknowledged_value_is_lost_and_no_confirmed_reading_is_stale_while_sets_change_and_machines_fail) {
+TEST(VoterSet, no_acknowledged_value_is_lost_and_no_confirmed_read_is_stale_during_set_changes_and_faults) {
   std::uint64_t puts = 0, confirmed = 0;
   for (std::uint64_t seed = 1; seed <= 16; ++seed) {
-    Storm s(seed, 6);
+    FaultRun s(seed, 6);
     ASSERT_TRUE(s.t.run_until([&] { return s.t.all_vote(3); }, 20s));
-    for (std::size_t c = 0; c < 3; ++c) spawn(*s.t.clients[c], s.keep_putting(c));
-    s.t.sim.after(300ms, [&] { s.trouble(); });
+    for (std::size_t c = 0; c < 3; ++c) spawn(*s.t.clients[c], s.write_continuously(c));
+    s.t.sim.after(300ms, [&] { s.inject_fault(); });
     for (std::size_t i = 3; i < 6; ++i) s.t.sim.after(1s * (i - 2), [&s, i] { s.t.start(i, false); });
     s.t.run_for(15s);
     s.over = true;
@@ -310,7 +312,7 @@
     for (std::size_t i = 0; i < 6; ++i)
       if (!s.t.net.at.contains(s.t.addresses[i]) || !s.t.net.at[s.t.addresses[i]]->alive) s.t.start(i, false);
     EXPECT_TRUE(s.t.run_until([&] { return s.t.all_vote(6); }, 40s)) << "seed " << seed;
-    Result<Held> const seen = s.t.get(0, Register::keys);
+    Result<RegisterValue> const seen = s.t.get(0, Register::keys);
     ASSERT_TRUE(seen) << "seed " << seed;
     EXPECT_GE(seen->revision, s.acknowledged) << "seed " << seed;
     puts += s.puts;
--- a/tests/data_path/request_path_test.cpp
+++ b/tests/data_path/request_path_test.cpp
@@ -1,5 +1,5 @@
-// A request's way among nodes that answer as they are told: what is sent again
-// follows from what is proved, and a refusal is given only if nothing ran.
+// Requests among nodes with scripted replies: retries depend on what the outcome proves, and a request
+// is refused only if it has not run anywhere.
 #include "data_path/request_path.hpp"
 
 #include <gtest/gtest.h>
@@ -30,7 +30,7 @@
 
 ForwardReply unknown() { return ForwardReply{}; }
 
-/** Takes what is forwarded and answers the same each time. */
+/** Accepts forwarded requests and returns the same reply each time. */
 struct AnsweringNode {
   ForwardReply reply;
   Duration answers_after{};
@@ -66,7 +66,7 @@
     r.host = service + ".test";
     r.prefix = "/";
     r.timeout = 2s;
-    r.aim = 1s;
+    r.target_latency = 1s;
     r.attempt_limit = 2;
     r.targets = {WeightedService{index, 1}};
     return r;
@@ -79,7 +79,7 @@
     return process;
   }
 
-  /** A node with a backend of `orders`; the selector hears of it at once. */
+  /** Adds a node with a backend of `orders`, which the selector knows at once. */
   AnsweringNode& add_node(std::string const& name, ForwardReply const& reply, bool const local_zone = true) {
     AnsweringNode& node = *nodes.emplace_back(std::make_unique<AnsweringNode>());
     node.reply = reply;
@@ -97,8 +97,8 @@
     return node;
   }
 
-  /** Every key of `accounts` is held by the backend beside this node. */
-  void give_keys_to(std::string const& node) {
+  /** Assigns every key of `accounts` to the backend of this node. */
+  void assign_keys_to(std::string const& node) {
     std::shared_ptr<KeyTable> table = std::make_shared<KeyTable>();
     table->add_holder(KeyHolderRecord{"i-1", node, node + ":1", "zone-1"});
     KeyRow row;
@@ -125,18 +125,18 @@
     return q;
   }
 
-  HttpReply play(HttpRequest q) {
+  HttpReply send(HttpRequest q) {
     std::optional<HttpReply> out;
-    spawn(*own.process, [](RequestTrial& t, HttpRequest question, std::optional<HttpReply>& to) -> Task<void> {
+    spawn(*own.process, [](RequestTrial& t, HttpRequest request_to_send, std::optional<HttpReply>& to) -> Task<void> {
       std::shared_ptr<HttpExchange> exchange = std::make_shared<HttpExchange>();
-      to = co_await t.path->handle(std::move(question), exchange);
+      to = co_await t.path->handle(std::move(request_to_send), exchange);
     }(*this, std::move(q), out));
     sim.run_until(sim.now + 5s);
     EXPECT_TRUE(out.has_value());
     return out.value_or(HttpReply{});
   }
 
-  std::size_t arrivals() const {
+  std::size_t received_requests() const {
     std::size_t all = 0;
     for (std::unique_ptr<AnsweringNode> const& node : nodes) all += node->seen.size();
     return all;
@@ -151,123 +151,123 @@
   std::unique_ptr<RequestPath<SimProcess, AnsweringNode>> path;
 };
 
-bool says_when_to_come_back(HttpReply const& reply) {
+bool has_retry_after(HttpReply const& reply) {
   return std::any_of(reply.headers.begin(), reply.headers.end(),
                      [](Header const& h) { return h.name == "Retry-After"; });
 }
 
 TEST(RequestPath, without_a_configuration_requests_are_refused) {
   RequestTrial trial;
-  HttpReply const reply = trial.play(RequestTrial::request("orders"));
+  HttpReply const reply = trial.send(RequestTrial::request("orders"));
   EXPECT_EQ(reply.status, 503);
-  EXPECT_TRUE(says_when_to_come_back(reply));
+  EXPECT_TRUE(has_retry_after(reply));
 }
 
 TEST(RequestPath, a_host_without_a_route_is_not_found) {
   RequestTrial trial;
   trial.configure();
-  EXPECT_EQ(trial.play(RequestTrial::request("nobody")).status, 404);
+  EXPECT_EQ(trial.send(RequestTrial::request("nobody")).status, 404);
 }
 
-TEST(RequestPath, a_request_without_an_attempt_id_or_key_is_wrong) {
+TEST(RequestPath, a_request_without_an_attempt_id_or_key_is_invalid) {
   RequestTrial trial;
   trial.configure();
-  HttpRequest nameless = RequestTrial::request("orders");
-  nameless.headers.erase(nameless.headers.begin() + 1);
-  EXPECT_EQ(trial.play(nameless).status, 400);
+  HttpRequest without_id = RequestTrial::request("orders");
+  without_id.headers.erase(without_id.headers.begin() + 1);
+  EXPECT_EQ(trial.send(without_id).status, 400);
   HttpRequest keyless = RequestTrial::request("accounts");
   keyless.headers.pop_back();
-  EXPECT_EQ(trial.play(keyless).status, 400);
+  EXPECT_EQ(trial.send(keyless).status, 400);
 }
 
-TEST(RequestPath, the_answer_of_the_chosen_node_is_given) {
+TEST(RequestPath, returns_the_reply_of_the_chosen_node) {
   RequestTrial trial;
   trial.configure();
   AnsweringNode const& node = trial.add_node("n-1", answer(201));
-  EXPECT_EQ(trial.play(RequestTrial::request("orders")).status, 201);
+  EXPECT_EQ(trial.send(RequestTrial::request("orders")).status, 201);
   ASSERT_EQ(node.seen.size(), 1u);
   EXPECT_EQ(node.seen[0].attempt_id, "a-1");
   EXPECT_EQ(node.seen[0].service, "orders");
   EXPECT_FALSE(node.seen[0].crossed);
 }
 
-TEST(RequestPath, the_client_s_remaining_time_goes_along) {
+TEST(RequestPath, forwards_the_client_s_remaining_time) {
   RequestTrial trial;
   trial.configure();
   AnsweringNode const& node = trial.add_node("n-1", answer(200));
   HttpRequest q = RequestTrial::request("orders");
   q.headers.push_back({"remaining", "400"});
-  trial.play(q);
+  trial.send(q);
   ASSERT_EQ(node.seen.size(), 1u);
   EXPECT_LE(node.seen[0].remaining_ms, 400u);
   EXPECT_GT(node.seen[0].remaining_ms, 0u);
 }
 
-TEST(RequestPath, what_was_not_run_goes_to_another_node_and_costs_no_retry) {
+TEST(RequestPath, a_request_that_was_not_run_goes_to_another_node_and_costs_no_retry) {
   RequestTrial trial;
   trial.configure();
   trial.add_node("n-1", refused(Refusal::busy, 40));
   trial.add_node("n-2", refused(Refusal::no_backend));
   trial.add_node("n-3", answer(200));
-  for (int i = 0; i < 10; ++i) EXPECT_EQ(trial.play(RequestTrial::request("orders")).status, 200);
+  for (int i = 0; i < 10; ++i) EXPECT_EQ(trial.send(RequestTrial::request("orders")).status, 200);
   EXPECT_EQ(trial.path->counts().retried, 0u);
 }
 
-TEST(RequestPath, a_node_that_is_gone_is_not_run) {
+TEST(RequestPath, a_request_to_a_node_that_is_gone_counts_as_not_run) {
   RequestTrial trial;
   trial.configure();
   trial.add_node("n-1", answer(200)).process->kill();
   trial.net.at.erase("n-1:1");
   trial.add_node("n-2", answer(200));
-  for (int i = 0; i < 10; ++i) EXPECT_EQ(trial.play(RequestTrial::request("orders")).status, 200);
+  for (int i = 0; i < 10; ++i) EXPECT_EQ(trial.send(RequestTrial::request("orders")).status, 200);
 }
 
-TEST(RequestPath, refused_everywhere_is_refused_with_a_time_to_come_back) {
+TEST(RequestPath, a_request_refused_everywhere_is_refused_with_a_retry_time) {
   RequestTrial trial;
   trial.configure();
   trial.add_node("n-1", refused(Refusal::busy, 90));
   trial.add_node("n-2", refused(Refusal::busy, 40));
-  HttpReply const reply = trial.play(RequestTrial::request("orders"));
+  HttpReply const reply = trial.send(RequestTrial::request("orders"));
   EXPECT_EQ(reply.status, 503);
-  ASSERT_TRUE(says_when_to_come_back(reply));
+  ASSERT_TRUE(has_retry_after(reply));
   EXPECT_EQ(reply.headers.back().value, "0.040");
 }
 
-TEST(RequestPath, an_unknown_outcome_is_not_sent_again_if_the_route_is_not_repeatable) {
+TEST(RequestPath, an_unknown_outcome_is_not_retried_if_the_route_is_not_repeatable) {
   RequestTrial trial;
   trial.configure();
   trial.add_node("n-1", unknown());
   trial.add_node("n-2", unknown());
-  HttpReply const reply = trial.play(RequestTrial::request("orders"));
+  HttpReply const reply = trial.send(RequestTrial::request("orders"));
   EXPECT_EQ(reply.status, 502);
-  EXPECT_FALSE(says_when_to_come_back(reply));
-  EXPECT_EQ(trial.arrivals(), 1u);
+  EXPECT_FALSE(has_retry_after(reply));
+  EXPECT_EQ(trial.received_requests(), 1u);
 }
 
-TEST(RequestPath, an_unknown_outcome_is_sent_again_if_the_route_is_repeatable) {
+TEST(RequestPath, an_unknown_outcome_is_retried_if_the_route_is_repeatable) {
   RequestTrial trial;
   trial.make_repeatable(2);
   trial.configure();
   trial.add_node("n-1", unknown());
   trial.add_node("n-2", unknown());
   trial.add_node("n-3", unknown());
-  EXPECT_EQ(trial.play(RequestTrial::request("orders")).status, 502);
-  EXPECT_EQ(trial.arrivals(), 2u);
+  EXPECT_EQ(trial.send(RequestTrial::request("orders")).status, 502);
+  EXPECT_EQ(trial.received_requests(), 2u);
   EXPECT_EQ(trial.path->counts().retried, 1u);
 }
 
-TEST(RequestPath, a_failed_answer_of_a_repeatable_route_is_asked_for_elsewhere) {
+TEST(RequestPath, a_failed_reply_of_a_repeatable_route_is_retried_elsewhere) {
   RequestTrial trial;
   trial.make_repeatable(3);
   trial.configure();
   trial.add_node("n-1", answer(500));
   trial.add_node("n-2", answer(500));
-  HttpReply const reply = trial.play(RequestTrial::request("orders"));
+  HttpReply const reply = trial.send(RequestTrial::request("orders"));
   EXPECT_EQ(reply.status, 500);
-  EXPECT_EQ(trial.arrivals(), 2u);
+  EXPECT_EQ(trial.received_requests(), 2u);
 }
 
-TEST(RequestPath, nothing_is_refused_that_may_have_run) {
+TEST(RequestPath, a_request_that_may_have_run_is_not_refused) {
   RequestTrial trial;
   trial.make_repeatable(4);
   trial.configure();
@@ -275,7 +275,7 @@
   AnsweringNode& second = trial.add_node("n-2", refused(Refusal::busy, 40));
   for (int i = 0; i < 20; ++i) {
     std::size_t const arrived = first.seen.size();
-    HttpReply const reply = trial.play(RequestTrial::request("orders"));
+    HttpReply const reply = trial.send(RequestTrial::request("orders"));
     std::uint16_t const expected = first.seen.size() > arrived ? 502 : 503;
     EXPECT_EQ(reply.status, expected);
   }
@@ -283,11 +283,11 @@
   EXPECT_GT(second.seen.size(), 0u);
 }
 
-TEST(RequestPath, second_sendings_keep_to_the_budget) {
+TEST(RequestPath, retries_stay_within_the_budget) {
   RequestTrial trial;
   trial.make_repeatable(2);
   trial.configure();
-  // They fail, but are never left alone: an answer of status 500 is the backend's own.
+  // The nodes fail but are never avoided: a reply with status 500 is the backend's own.
   for (std::string const name : {"n-1", "n-2", "n-3"}) trial.add_node(name, answer(500));
   constexpr std::size_t requests = 60;
   std::vector<std::optional<HttpReply>> replies(requests);
@@ -304,10 +304,10 @@
   }
   RequestPathSettings const settings;
   EXPECT_EQ(trial.path->counts().retried, requests * settings.retry_percent / 100 + settings.retry_margin);
-  EXPECT_EQ(trial.arrivals(), requests + trial.path->counts().retried);
+  EXPECT_EQ(trial.received_requests(), requests + trial.path->counts().retried);
 }
 
-TEST(RequestPath, clients_that_leave_are_counted_with_the_time_that_the_node_was_still_busy) {
+TEST(RequestPath, clients_that_leave_are_counted_with_the_time_that_the_node_went_on_working) {
   RequestTrial trial;
   trial.configure();
   trial.add_node("n-1", answer(200)).answers_after = 700ms;
@@ -326,44 +326,44 @@
   EXPECT_EQ(counts.reset, 0u);
   EXPECT_EQ(counts.outlived, 1u);
   EXPECT_GE(counts.outlived_ms, 500u);
-  EXPECT_EQ(trial.play(RequestTrial::request("orders")).status, 200);
+  EXPECT_EQ(trial.send(RequestTrial::request("orders")).status, 200);
   EXPECT_EQ(counts.closed, 1u);
 }
 
-TEST(RequestPath, a_key_goes_to_its_holder_and_to_nobody_else) {
+TEST(RequestPath, a_keyed_request_goes_only_to_the_holder_of_its_key) {
   RequestTrial trial;
   trial.configure();
   trial.add_node("n-1", answer(200));
   AnsweringNode& holder = trial.add_node("n-2", answer(200));
-  trial.give_keys_to("n-2");
-  EXPECT_EQ(trial.play(RequestTrial::request("accounts")).status, 200);
+  trial.assign_keys_to("n-2");
+  EXPECT_EQ(trial.send(RequestTrial::request("accounts")).status, 200);
   ASSERT_EQ(holder.seen.size(), 1u);
   EXPECT_EQ(holder.seen[0].key, 7);
   holder.reply = refused(Refusal::key_not_held);
-  EXPECT_EQ(trial.play(RequestTrial::request("accounts")).status, 503);
-  EXPECT_EQ(trial.arrivals(), 2u);
+  EXPECT_EQ(trial.send(RequestTrial::request("accounts")).status, 503);
+  EXPECT_EQ(trial.received_requests(), 2u);
 }
 
-TEST(RequestPath, a_key_without_a_holder_is_refused) {
+TEST(RequestPath, a_request_on_a_key_without_a_holder_is_refused) {
   RequestTrial trial;
   trial.configure();
   trial.add_node("n-1", answer(200));
-  HttpReply const reply = trial.play(RequestTrial::request("accounts"));
+  HttpReply const reply = trial.send(RequestTrial::request("accounts"));
   EXPECT_EQ(reply.status, 503);
-  EXPECT_TRUE(says_when_to_come_back(reply));
-  EXPECT_EQ(trial.arrivals(), 0u);
+  EXPECT_TRUE(has_retry_after(reply));
+  EXPECT_EQ(trial.received_requests(), 0u);
 }
 
-TEST(RequestPath, to_another_zone_a_request_is_marked_as_crossed) {
+TEST(RequestPath, a_request_to_another_zone_is_marked_as_crossed) {
   RequestTrial trial;
   trial.configure();
   AnsweringNode const& gateway = trial.add_node("n-far", answer(200), false);
-  EXPECT_EQ(trial.play(RequestTrial::request("orders")).status, 200);
+  EXPECT_EQ(trial.send(RequestTrial::request("orders")).status, 200);
   ASSERT_EQ(gateway.seen.size(), 1u);
   EXPECT_TRUE(gateway.seen[0].crossed);
 }
 
-TEST(RequestPath, a_gateway_passes_on_within_its_zone_only) {
+TEST(RequestPath, a_gateway_forwards_within_its_zone_only) {
   RequestTrial trial;
   AnsweringNode const& far = trial.add_node("n-far", answer(200), false);
   Forward forward;
@@ -393,15 +393,15 @@
   return q;
 }
 
-// Guards against UNASKED: a tenant's requests go by its own rank, and no other node gets its key.
-TEST(RequestPath, a_tenant_s_rank_goes_before_the_route_s_and_its_key_stays_here) {
+// Guards against UNASKED: requests use their tenant's rank, and no other node gets the access key.
+TEST(RequestPath, a_tenant_s_rank_overrides_the_route_s_and_its_key_is_not_forwarded) {
   RequestTrial t;
   for (Route& r : t.configuration.routes) r.rank = 3;
   t.configuration.tenants = std::vector<Tenant>{{"mill", {"k1"}, 6}, {"forge", {"k2"}, std::nullopt}};
   t.configure();
   AnsweringNode& node = t.add_node("n1", answer(200));
-  EXPECT_EQ(t.play(request_with_key("k1")).status, 200);
-  EXPECT_EQ(t.play(request_with_key("k2")).status, 200);
+  EXPECT_EQ(t.send(request_with_key("k1")).status, 200);
+  EXPECT_EQ(t.send(request_with_key("k2")).status, 200);
   ASSERT_EQ(node.seen.size(), 2u);
   EXPECT_EQ(node.seen[0].tenant, "mill");
   EXPECT_EQ(node.seen[0].rank, 6u);
@@ -410,16 +410,16 @@
   for (Forward const& seen : node.seen) EXPECT_FALSE(has_header(seen.request.headers, "Authorization"));
 }
 
-// Guards against UNASKED: a key that was passed on stands for its new owner from the next configuration on.
-TEST(RequestPath, a_key_that_was_passed_on_stands_for_its_new_tenant) {
+// Guards against UNASKED: an access key given to another tenant counts for it from the next configuration on.
+TEST(RequestPath, an_access_key_given_to_another_tenant_counts_for_it) {
   RequestTrial t;
   t.configuration.tenants = std::vector<Tenant>{{"mill", {"k1"}, std::nullopt}, {"forge", {}, std::nullopt}};
   t.configure();
   AnsweringNode& node = t.add_node("n1", answer(200));
-  t.play(request_with_key("k1"));
+  t.send(request_with_key("k1"));
   std::swap((*t.configuration.tenants)[0].access_keys, (*t.configuration.tenants)[1].access_keys);
   t.configure();
-  t.play(request_with_key("k1"));
+  t.send(request_with_key("k1"));
   ASSERT_EQ(node.seen.size(), 2u);
   EXPECT_EQ(node.seen[0].tenant, "mill");
   EXPECT_EQ(node.seen[1].tenant, "forge");
--- a/tests/platform/configuration_reader_test.cpp
+++ b/tests/platform/configuration_reader_test.cpp
@@ -1,4 +1,4 @@
-// Operators' configurations: every fault is refused, everything else is taken.
+// Reading of configurations: every invalid one is refused, every valid one accepted.
 #include "platform/configuration_reader.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 
 using Json = nlohmann::json;
 
-std::string const golden = R"({"revision":"000000a7","routingEntries":[
+std::string const sample = R"({"revision":"000000a7","routingEntries":[
   {"name":"read","domain":"Shop.test","pathPrefix":"/items/","routeType":"idempotent","releaseS":1.5,"targetS":0.25,
    "precedence":3,"distribution":[{"destination":"mill","share":75},{"destination":"forge","share":25.5}],
    "attemptLimit":4},
@@ -22,7 +22,7 @@
   {"name":"mill","healthPath":"/well","connectionLimit":90,"partitioned":true,"warmS":2.5,"grants":"keepalive"}],
  "admissionLimits":{"headerMaxBytes":2048,"bodyMaxBytes":5000000,"headerGuardS":0.75,"idleGuardS":20}})";
 
-Json document() { return Json::parse(golden); }
+Json document() { return Json::parse(sample); }
 Json& route(Json& document, std::size_t const index) { return document["routingEntries"][index]; }
 
 bool accepted(Json const& document) { return read_valid_configuration(document.dump()).has_value(); }
@@ -30,7 +30,7 @@
 }  // namespace
 
 TEST(ConfigurationReader, ReadsEveryField) {
-  Result<ServiceConfiguration> const read = read_valid_configuration(golden);
+  Result<ServiceConfiguration> const read = read_valid_configuration(sample);
   ASSERT_TRUE(read) << read.error().reason;
   EXPECT_EQ(read->version, 0xa7u);
   ASSERT_EQ(read->routes.size(), 2u);
@@ -40,7 +40,7 @@
   EXPECT_EQ(first.prefix, "/items/");
   EXPECT_TRUE(first.repeatable);
   EXPECT_EQ(first.timeout, 1500ms);
-  EXPECT_EQ(first.aim, 250ms);
+  EXPECT_EQ(first.target_latency, 250ms);
   EXPECT_EQ(first.rank, 3u);
   EXPECT_EQ(first.attempt_limit, 4u);
   ASSERT_EQ(first.targets.size(), 2u);
@@ -65,16 +65,16 @@
   EXPECT_EQ(read->limits.idle_timeout, 20s);
 }
 
-TEST(ConfigurationReader, RefusesABodyCutAnywhere) {
-  for (std::size_t length = 0; length < golden.size(); ++length)
-    EXPECT_FALSE(read_configuration(std::string_view(golden).substr(0, length))) << "cut after " << length;
+TEST(ConfigurationReader, RefusesTruncatedBodies) {
+  for (std::size_t length = 0; length < sample.size(); ++length)
+    EXPECT_FALSE(read_configuration(std::string_view(sample).substr(0, length))) << "cut after " << length;
 }
 
-TEST(ConfigurationReader, RefusesWhatIsNoConfiguration) {
+TEST(ConfigurationReader, RefusesOtherDocuments) {
   for (std::string const body : {"", "null", "7", "[]", "{}", "\"x\"", "[{}]", "{\"revision\":\"00000001\"}"})
     EXPECT_FALSE(read_configuration(body)) << body;
-  EXPECT_FALSE(read_configuration(golden + "}"));
-  EXPECT_FALSE(read_configuration(golden + golden));
+  EXPECT_FALSE(read_configuration(sample + "}"));
+  EXPECT_FALSE(read_configuration(sample + sample));
   EXPECT_FALSE(read_configuration(std::string(100000, '[')));
   EXPECT_FALSE(read_configuration("{\"x\":" + std::string(100000, '{')));
 }
@@ -119,7 +119,7 @@
   EXPECT_FALSE(accepted(none));
 }
 
-TEST(ConfigurationReader, RefusesTwoRoutesOnOnePlace) {
+TEST(ConfigurationReader, RefusesDuplicateRoutes) {
   Json changed = document();
   route(changed, 1)["pathPrefix"] = "/items/";
   EXPECT_FALSE(accepted(changed));
@@ -135,16 +135,16 @@
   EXPECT_TRUE(accepted(changed));
 }
 
-TEST(ConfigurationReader, RefusesAimsAMinuteOverTheTimeout) {
+TEST(ConfigurationReader, RefusesTargetLatenciesAMinuteOverTheTimeout) {
   Json changed = document();
   route(changed, 0)["releaseS"] = 0.3;
-  for (double const aim : {60.3, 61.0, 1e9, 1e300}) {
-    route(changed, 0)["targetS"] = aim;
-    EXPECT_FALSE(accepted(changed)) << aim;
+  for (double const target_latency : {60.3, 61.0, 1e9, 1e300}) {
+    route(changed, 0)["targetS"] = target_latency;
+    EXPECT_FALSE(accepted(changed)) << target_latency;
   }
-  for (double const aim : {0.0, 0.3, 0.4, 30.0, 60.299}) {
-    route(changed, 0)["targetS"] = aim;
-    EXPECT_TRUE(accepted(changed)) << aim;
+  for (double const target_latency : {0.0, 0.3, 0.4, 30.0, 60.299}) {
+    route(changed, 0)["targetS"] = target_latency;
+    EXPECT_TRUE(accepted(changed)) << target_latency;
   }
 }
 
@@ -176,12 +176,12 @@
   EXPECT_EQ(refused, 40u);
 }
 
-TEST(ConfigurationReader, RefusesASectionThatStandsTwice) {
-  std::string const twice = golden.substr(0, golden.size() - 1) + ",\"revision\":\"00000009\"}";
+TEST(ConfigurationReader, RefusesDuplicateSections) {
+  std::string const twice = sample.substr(0, sample.size() - 1) + ",\"revision\":\"00000009\"}";
   EXPECT_FALSE(read_configuration(twice));
 }
 
-TEST(ConfigurationReader, PassesOverUnknownFieldsEverywhere) {
+TEST(ConfigurationReader, IgnoresUnknownFieldsEverywhere) {
   Json const extra = Json::parse(R"({"destination":[{"share":-1}],"domain":"","more":[[{"revision":null}],{}]})");
   Json changed = document();
   changed["future"] = extra;
@@ -195,9 +195,9 @@
   EXPECT_EQ(read->services.size(), 2u);
 }
 
-// Guards against UNASKED: a part of the configuration that was never built went unnoticed.
-TEST(ConfigurationReader, TellsWhichSectionsItPassedOver) {
-  EXPECT_TRUE(read_configuration(golden)->ignored_sections.empty());
+// Guards against ignoring a section of the configuration that isn't implemented without reporting it.
+TEST(ConfigurationReader, ReportsIgnoredSections) {
+  EXPECT_TRUE(read_configuration(sample)->ignored_sections.empty());
   Json changed = document();
   changed["future"] = {{"routingEntries", 1}};
   changed["later"] = 7;
@@ -224,8 +224,8 @@
   EXPECT_TRUE((*read->tenants)[2].access_keys.empty());
 }
 
-TEST(ConfigurationReader, TellsNoTenantsFromAnEmptyList) {
-  EXPECT_FALSE(read_configuration(golden)->tenants);
+TEST(ConfigurationReader, DistinguishesNoTenantsFromAnEmptyList) {
+  EXPECT_FALSE(read_configuration(sample)->tenants);
   Json changed = document();
   changed["subscribers"] = nullptr;
   EXPECT_FALSE(read_configuration(changed.dump())->tenants);
@@ -233,7 +233,7 @@
   EXPECT_TRUE(read_configuration(changed.dump())->tenants);
 }
 
-TEST(ConfigurationReader, RefusesTenantsThatCannotBeToldApartOrNamed) {
+TEST(ConfigurationReader, RefusesUnnamedTenantsAndSharedKeys) {
   for (std::string const tenants :
        {R"([{"name":"a","accessKeys":["k"]},{"name":"b","accessKeys":["l","k"]}])", R"([{"accessKeys":["k"]}])",
         R"([{"name":"","accessKeys":["k"]}])", R"([{"name":"a\r\nx","accessKeys":["k"]}])", R"([{"name":7}])",
@@ -249,17 +249,17 @@
   EXPECT_TRUE(accepted(same)) << "a tenant may name its own key twice";
 }
 
-TEST(ConfigurationReader, TakesEmptyListsAnyOrderAndWhatIsNotStated) {
+TEST(ConfigurationReader, AcceptsEmptyListsAnyOrderAndAbsentFields) {
   EXPECT_TRUE(read_valid_configuration(R"({"destinations":[],"routingEntries":[],"revision":"00000001"})"));
   Result<ServiceConfiguration> const read = read_valid_configuration(
       R"( {"revision":"00000001","destinations":[{"name":"a"}],
            "routingEntries":[{"pathPrefix":"/x","domain":"h","destination":"a"}]} )");
   ASSERT_TRUE(read) << read.error().reason;
   EXPECT_FALSE(read->routes[0].repeatable);
-  EXPECT_EQ(read->routes[0].aim, read->routes[0].timeout);
+  EXPECT_EQ(read->routes[0].target_latency, read->routes[0].timeout);
 }
 
-TEST(ConfigurationReader, TakesThousandsOfRoutes) {
+TEST(ConfigurationReader, AcceptsThousandsOfRoutes) {
   constexpr std::size_t count = 5000;
   Json many = document();
   for (std::size_t i = 0; i < count; ++i) {
@@ -273,13 +273,14 @@
   EXPECT_EQ(read->routes.size(), count + 2);
 }
 
-TEST(ConfigurationReader, NeverFailsOtherwiseOnSpoiltBytes) {
+TEST(ConfigurationReader, DoesNotCrashOnCorruptedBytes) {
   std::mt19937 random(11);
   std::size_t refused = 0;
   for (int round = 0; round < 5000; ++round) {
-    std::string spoilt = golden;
-    for (int change = 0; change < 3; ++change) spoilt[random() % spoilt.size()] = static_cast<char>(random() % 256);
-    if (!read_valid_configuration(spoilt)) ++refused;
+    std::string corrupted = sample;
+    for (int change = 0; change < 3; ++change)
+      corrupted[random() % corrupted.size()] = static_cast<char>(random() % 256);
+    if (!read_valid_configuration(corrupted)) ++refused;
   }
   EXPECT_GT(refused, 0u);
 }
--- a/tests/programs/access_revocation_test.cpp
+++ b/tests/programs/access_revocation_test.cpp
@@ -1,5 +1,5 @@
-// Access keys that are taken away, on whole meshes on virtual time: no process lets a request with such a key in once
-// the bound is over, whatever it is cut off from, and no other key is refused for good meanwhile.
+// Revocation of access keys, on whole meshes on virtual time: no process admits a request with a revoked key after the
+// revocation limit, whatever it is partitioned from, and no valid key is rejected as unknown.
 #include "platform/platform_adapter.hpp"
 #include "tests/programs/mesh_trial.hpp"
 
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr Duration revocation_limit = 5s;
-constexpr Duration between_requests = 100ms;
+constexpr Duration request_interval = 100ms;
 
-/// Version 1 has two keys, each later version only the second.
+/// Version 1 has two keys; later versions have only the second.
 ServiceConfiguration one_key_fewer(std::uint64_t const version) {
   std::string const keys = version == 1 ? R"("dropped","kept")" : R"("kept")";
   std::string routes, services;
@@ -36,22 +36,22 @@
   return options;
 }
 
-/// A request that a client sent, and what it was told.
-struct Asked {
+/// A request that a client sent, and the status it got.
+struct SentRequest {
   std::string machine;
   std::string key;
   Instant sent{};
   std::uint16_t status = 0;
 };
 
-/// A mesh whose clients all ask with both keys, again and again.
+/// A mesh whose clients repeatedly send requests with both keys.
 class RevocationTrial {
  public:
   explicit RevocationTrial(std::uint64_t const seed) : mesh(seed, {"a", "b", "c"}, with_revocation()) {}
 
-  void start_asking() {
+  void start_clients() {
     for (auto& [name, machine] : mesh.machines)
-      for (std::string const key : {"dropped", "kept"}) spawn(*machine.process, keep_asking(name, key));
+      for (std::string const key : {"dropped", "kept"}) spawn(*machine.process, client_loop(name, key));
   }
 
   void cut_off(std::string const& machine) {
@@ -61,42 +61,43 @@
     }
   }
 
-  /// Sends version 2 until it is acknowledged; when that was.
+  /// Sends version 2 until it is acknowledged; returns the time of the acknowledgement.
   Instant revoke() {
-    bool const taken =
-        mesh.run_until([&] { return mesh.operate("b", "PUT", "/configuration", "2").status == 200; }, 20s);
+    bool const taken = mesh.run_until(
+        [&] { return mesh.call_operator_interface("b", "PUT", "/configuration", "2").status == 200; }, 20s);
     EXPECT_TRUE(taken);
     return mesh.sim.now;
   }
 
   std::size_t count(std::string const& machine, std::string const& key, std::uint16_t const status, Instant const from,
                     Instant const to) const {
-    return static_cast<std::size_t>(std::count_if(asked.begin(), asked.end(), [&](std::shared_ptr<Asked> const& a) {
-      return (machine.empty() || a->machine == machine) && a->key == key && a->status == status && a->sent >= from &&
-             a->sent < to;
-    }));
+    return static_cast<std::size_t>(
+        std::count_if(sent_requests.begin(), sent_requests.end(), [&](std::shared_ptr<SentRequest> const& a) {
+          return (machine.empty() || a->machine == machine) && a->key == key && a->status == status &&
+                 a->sent >= from && a->sent < to;
+        }));
   }
 
   MeshTrial mesh;
-  std::vector<std::shared_ptr<Asked>> asked;
+  std::vector<std::shared_ptr<SentRequest>> sent_requests;
 
  private:
-  Task<void> keep_asking(std::string const name, std::string const key) {
+  Task<void> client_loop(std::string const name, std::string const key) {
     MeshTrial::Machine const& machine = mesh.machines.at(name);
     std::shared_ptr<SimProcess> const process = machine.process;
     std::shared_ptr<MeshNode<SimProcess>> const node = machine.node;
     while (true) {
-      co_await sleep_for(*process, between_requests);
-      std::shared_ptr<Asked> const record = std::make_shared<Asked>();
+      co_await sleep_for(*process, request_interval);
+      std::shared_ptr<SentRequest> const record = std::make_shared<SentRequest>();
       record->machine = name;
       record->key = key;
       record->sent = process->now();
-      asked.push_back(record);
+      sent_requests.push_back(record);
       HttpRequest request;
       request.method = "GET";
       request.target = "/thing";
       request.headers = {{"Host", "browse.test"},
-                         {"attempt", name + key + std::to_string(asked.size())},
+                         {"attempt", name + key + std::to_string(sent_requests.size())},
                          {"Authorization", "Bearer " + key}};
       HttpReply const reply = co_await node->request(std::move(request), std::make_shared<HttpExchange>());
       record->status = reply.status;
@@ -109,12 +110,12 @@
 class AccessRevocation : public ::testing::TestWithParam<std::uint64_t> {};
 INSTANTIATE_TEST_SUITE_P(Seeds, AccessRevocation, ::testing::Values(1, 2, 3));
 
-// Guards against CONFIG: a key that was taken away still works on a machine that hears nothing of it.
+// Guards against CONFIG: a revoked key still works on a machine that is cut off from the control plane.
 TEST_P(AccessRevocation, ends_in_time_on_a_machine_that_is_cut_off) {
   RevocationTrial trial(GetParam());
   ASSERT_TRUE(trial.mesh.form());
   Instant const begun = trial.mesh.sim.now;
-  trial.start_asking();
+  trial.start_clients();
   trial.mesh.run_for(3s);
   trial.cut_off(cut_machine);
   Instant const cut = trial.mesh.sim.now;
@@ -127,19 +128,20 @@
   Instant const end = trial.mesh.sim.now;
   EXPECT_GT(trial.count(cut_machine, "dropped", 200, begun, cut), 10u);
   EXPECT_EQ(trial.count("", "dropped", 200, revoked + revocation_limit, end), 0u);
-  // Cut off it can't tell good keys from dropped ones: it promises that nothing ran, and says no more.
+  // While cut off it can't tell valid keys from revoked ones: it answers 503 (not executed), not 401.
   EXPECT_GT(trial.count(cut_machine, "kept", 503, revoked + revocation_limit, healed), 10u);
   EXPECT_EQ(trial.count("", "kept", 401, begun, end), 0u);
   EXPECT_GT(trial.count(cut_machine, "kept", 200, healed + 4s, end), 10u);
   EXPECT_GT(trial.count(cut_machine, "dropped", 401, healed + 4s, end), 10u);
 }
 
-// Guards against CONFIG and against refusing everybody: in touch a key ends within the bound for any change.
+// Guards against CONFIG, and against refusing everybody: on connected machines a revoked key ends as fast as any
+// configuration change takes effect.
 TEST_P(AccessRevocation, ends_with_the_news_on_machines_in_touch) {
   RevocationTrial trial(GetParam());
   ASSERT_TRUE(trial.mesh.form());
   Instant const begun = trial.mesh.sim.now;
-  trial.start_asking();
+  trial.start_clients();
   trial.mesh.run_for(10s);
   Instant const revoked = trial.revoke();
   trial.mesh.run_for(10s);
@@ -150,11 +152,11 @@
   EXPECT_EQ(trial.count("", "kept", 401, begun, end) + trial.count("", "kept", 503, begun, end), 0u);
 }
 
-// Guards against CONFIG: the control plane is gone as a whole, and comes back.
+// Guards against CONFIG while the whole control plane is down, and after it is back.
 TEST_P(AccessRevocation, nobody_is_let_in_for_longer_than_the_bound_without_the_control_plane) {
   RevocationTrial trial(GetParam());
   ASSERT_TRUE(trial.mesh.form());
-  trial.start_asking();
+  trial.start_clients();
   trial.mesh.run_for(3s);
   trial.mesh.kill_registries();
   Instant const gone = trial.mesh.sim.now;
--- a/tests/programs/client_leaves_trial.hpp
+++ b/tests/programs/client_disconnect_trial.hpp
@@ -1,20 +1,20 @@
 // Whole nodes on real sockets, from the client's connection to the backend's: up to
-// three nodes in two zones, one of them beside a backend that a test drives by hand.
-// Nodes run tasks that never end, so they are kept until the process ends.
+// three nodes in two zones, one of them with a backend that the test drives by hand.
+// Nodes run tasks that never end, so they are kept until the process exits.
 #pragma once
 
 #include "programs/mesh_node.hpp"
 #include "tests/transport/backend_stand_in.hpp"
-#include "transport/socket_world.hpp"
+#include "transport/socket_environment.hpp"
 
 #include <gtest/gtest.h>
 #include <future>
 
 namespace banktide {
 
-/// How long a test waits for what must come; it bounds no speed, only how long a failure takes.
-inline constexpr Duration patience = 20s;
-/// Longer than `patience`, so that no deadline ends a request instead.
+/// How long a test waits for an event before it fails; it checks no timing.
+inline constexpr Duration event_timeout = 20s;
+/// Longer than `event_timeout`, so that no deadline ends a request instead.
 inline constexpr Duration route_timeout = 120s;
 
 inline constexpr DataPathHeaders trial_header_names{"X-Attempt", "X-Remaining", "X-Target", "X-Answering", "X-Key",
@@ -40,16 +40,16 @@
 
 inline asio::io_context& pool_io() { return crossplat::threadpool::shared_instance().service(); }
 
-/// Lets everything else on the thread run until it holds, or `patience` is over.
-inline Task<bool> until(std::function<bool()> const holds) {
-  Instant const end = std::chrono::steady_clock::now() + patience;
+/// Lets other tasks of the thread run until `holds` returns true or `event_timeout` is over.
+inline Task<bool> wait_until(std::function<bool()> const holds) {
+  Instant const end = std::chrono::steady_clock::now() + event_timeout;
   while (!holds() && std::chrono::steady_clock::now() < end) co_await asio::post(pool_io(), asio::use_awaitable);
   co_return holds();
 }
 
-/// Whether the connection ended, by either kind of end, before `patience` ran out.
-inline Task<bool> ends(std::shared_ptr<Peer> const peer) {
-  asio::steady_timer limit(peer->socket.get_executor(), patience);
+/// Whether the connection was closed or reset before `event_timeout` was over.
+inline Task<bool> wait_for_end(std::shared_ptr<Peer> const peer) {
+  asio::steady_timer limit(peer->socket.get_executor(), event_timeout);
   limit.async_wait([peer](ErrorCode const& cancelled) {
     ErrorCode ignored;
     if (!cancelled) peer->socket.cancel(ignored);
@@ -60,15 +60,15 @@
   co_return error&& error != asio::error::operation_aborted;
 }
 
-/// The backend's port; each connection is handed to the test.
+/// The backend's listener; it hands each connection to the test.
 class TestBackend {
  public:
   explicit TestBackend(asio::io_context& io) : acceptor_(io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)) {}
   Address address() const { return address_of(acceptor_.local_endpoint()); }
 
-  /// The next connection; none if none came before `patience` ran out.
+  /// The next connection; throws if none arrives before `event_timeout` is over.
   Task<std::shared_ptr<Peer>> accept() {
-    asio::steady_timer limit(acceptor_.get_executor(), patience);
+    asio::steady_timer limit(acceptor_.get_executor(), event_timeout);
     limit.async_wait([this](ErrorCode const& cancelled) {
       ErrorCode ignored;
       if (!cancelled) acceptor_.cancel(ignored);
@@ -83,7 +83,7 @@
   tcp::acceptor acceptor_;
 };
 
-// Requests to `orders.test` may be repeated, those to `payments.test` may not; both go to one service.
+// Requests to `orders.test` are idempotent, those to `payments.test` are not; both go to one service.
 inline ServiceConfiguration two_routes_to_orders() {
   ServiceConfiguration all;
   all.services = {{"orders", "/health", 0, false, 0s}};
@@ -95,24 +95,24 @@
     route.repeatable = name == "orders";
     route.attempt_limit = 3;
     route.timeout = route_timeout;
-    route.aim = route_timeout;
+    route.target_latency = route_timeout;
     route.targets = {WeightedService{0, 1}};
     all.routes.push_back(route);
   }
   return all;
 }
 
-/// What the nodes of a trial are given.
+/// Options of the nodes of a trial.
 struct TestNodeOptions {
   DataPathHeaders headers = trial_header_names;
   ServiceConfiguration configuration = two_routes_to_orders();
 };
 
-/// One node, its connections to peers and the port for its clients.
+/// One node with its peer connections and its HTTP server for clients.
 class TestNode {
  public:
   TestNode(std::string const& id, std::string const& zone, TestNodeOptions const& options = {})
-      : peers_(*world_.listen("127.0.0.1:0")) {
+      : peers_(*env_.listen("127.0.0.1:0")) {
     make_adapter(options.headers);
     MeshNodeSettings settings;
     settings.follower.id = id;
@@ -120,15 +120,15 @@
     settings.follower.address = peers_;
     settings.service = "orders";
     ConnectionsFactory const factory = [this](Address const& address, std::size_t const limit) {
-      return std::make_unique<BackendConnections>(world_.io(), address, limit);
+      return std::make_unique<BackendConnections>(env_.io(), address, limit);
     };
-    node_ = std::make_unique<MeshNode<SocketWorld>>(world_, settings, adapter_, factory);
+    node_ = std::make_unique<MeshNode<SocketEnvironment>>(env_, settings, adapter_, factory);
     HttpHandler const handler = [this](HttpRequest q, std::shared_ptr<HttpExchange> x) {
       return node_->request(std::move(q), std::move(x));
     };
-    server_ = std::make_unique<HttpServer>(world_.io(), handler, HttpServerLimits{});
+    server_ = std::make_unique<HttpServer>(env_.io(), handler, HttpServerLimits{});
     clients_ = *server_->listen("127.0.0.1:0");
-    world_.serve(dispatcher_);
+    env_.serve(dispatcher_);
     node_->start(dispatcher_);
     node_->path().set_router(std::make_shared<Router const>(options.configuration));
   }
@@ -136,22 +136,22 @@
 
   Address const& clients() const { return clients_; }
   Address const& peers() const { return peers_; }
-  MeshNode<SocketWorld>& node() { return *node_; }
+  MeshNode<SocketEnvironment>& node() { return *node_; }
   HttpServer& server() { return *server_; }
 
-  /// A backend beats here.
-  Task<void> take_backend(Address const address, std::uint32_t const slots) {
-    beat_.id = "i-1";
-    beat_.service = "orders";
-    beat_.address = address;
-    beat_.slots = slots;
-    beat_.sequence = 1;
+  /// Sends the node the first heartbeat of a backend.
+  Task<void> register_backend(Address const address, std::uint32_t const slots) {
+    heartbeat_.id = "i-1";
+    heartbeat_.service = "orders";
+    heartbeat_.address = address;
+    heartbeat_.slots = slots;
+    heartbeat_.sequence = 1;
     HttpRequest const request;
-    HttpReply const reply = co_await node_->interface_call(request);
+    HttpReply const reply = co_await node_->handle_interface_request(request);
     EXPECT_EQ(reply.status, 200);
   }
 
-  /// Requests go to that node from now on, and to no other.
+  /// From now on all requests are sent to that node.
   void send_to(TestNode const& other, bool const same_zone) {
     Endpoint endpoint;
     endpoint.node = "other";
@@ -166,63 +166,67 @@
   void make_adapter(DataPathHeaders const& headers) {
     adapter_.headers = headers;
     adapter_.interpret = [this](HttpRequest const&) -> tl::expected<InterfaceOperation, InterfaceReply> {
-      return InterfaceOperation(HeartbeatOperation{beat_});
+      return InterfaceOperation(HeartbeatOperation{heartbeat_});
     };
     adapter_.heartbeat_reply = [](HeartbeatAnswer const&) { return InterfaceReply{200, "", "", "", ""}; };
   }
 
-  SocketWorld world_;
+  SocketEnvironment env_;
   Address const peers_;
   Address clients_;
   Dispatcher dispatcher_;
   InterfaceAdapter adapter_;
-  BackendHeartbeat beat_;
-  std::unique_ptr<MeshNode<SocketWorld>> node_;
+  BackendHeartbeat heartbeat_;
+  std::unique_ptr<MeshNode<SocketEnvironment>> node_;
   std::unique_ptr<HttpServer> server_;
 };
 
-/// Where the request's backend stands, seen from the node that takes it.
-enum class Way : std::uint8_t { same_node, same_zone, through_gateway };
+/// The path of a request: where its backend is, as seen from the node that accepts it.
+enum class RoutingPath : std::uint8_t { same_node, same_zone, through_gateway };
 
-/// The nodes of one way, the last of them beside the backend.
-class LeavingTrial {
+/// The nodes on one path, the last of them beside the backend.
+class RoutingPathTrial {
  public:
-  explicit LeavingTrial(Way const way, TestNodeOptions const& options = {})
-      : taker_(std::make_shared<TestNode>("taker", "zone-1", options)), holder_(taker_) {
-    if (way != Way::same_node) holder_ = std::make_shared<TestNode>("holder", zone_of(way), options);
-    if (way == Way::through_gateway) gateway_ = std::make_shared<TestNode>("gateway", "zone-2", options);
+  explicit RoutingPathTrial(RoutingPath const routing_path, TestNodeOptions const& options = {})
+      : ingress_(std::make_shared<TestNode>("taker", "zone-1", options)), backend_node_(ingress_) {
+    if (routing_path != RoutingPath::same_node)
+      backend_node_ = std::make_shared<TestNode>("holder", zone_of(routing_path), options);
+    if (routing_path == RoutingPath::through_gateway)
+      gateway_ = std::make_shared<TestNode>("gateway", "zone-2", options);
     backend_ = std::make_shared<TestBackend>(crossplat::threadpool::shared_instance().service());
-    static std::vector<std::shared_ptr<void>>& kept = *new std::vector<std::shared_ptr<void>>();
-    kept.insert(kept.end(), {taker_, holder_, gateway_, backend_});
+    static std::vector<std::shared_ptr<void>>& keep_alive = *new std::vector<std::shared_ptr<void>>();
+    keep_alive.insert(keep_alive.end(), {ingress_, backend_node_, gateway_, backend_});
   }
 
-  Task<void> form(Way const way, std::uint32_t const slots) {
-    co_await holder_->take_backend(backend_->address(), slots);
-    if (way == Way::same_zone) taker_->send_to(*holder_, true);
-    if (way == Way::through_gateway) {
-      taker_->send_to(*gateway_, false);
-      gateway_->send_to(*holder_, true);
+  Task<void> form(RoutingPath const routing_path, std::uint32_t const slots) {
+    co_await backend_node_->register_backend(backend_->address(), slots);
+    if (routing_path == RoutingPath::same_zone) ingress_->send_to(*backend_node_, true);
+    if (routing_path == RoutingPath::through_gateway) {
+      ingress_->send_to(*gateway_, false);
+      gateway_->send_to(*backend_node_, true);
     }
   }
 
-  TestNode& taker() { return *taker_; }
-  TestNode& holder() { return *holder_; }
+  TestNode& ingress() { return *ingress_; }
+  TestNode& backend_node() { return *backend_node_; }
   TestNode& gateway() { return *gateway_; }
   TestBackend& backend() { return *backend_; }
 
  private:
-  static std::string zone_of(Way const way) { return way == Way::same_zone ? "zone-1" : "zone-2"; }
+  static std::string zone_of(RoutingPath const routing_path) {
+    return routing_path == RoutingPath::same_zone ? "zone-1" : "zone-2";
+  }
 
-  std::shared_ptr<TestNode> taker_, holder_, gateway_;
+  std::shared_ptr<TestNode> ingress_, backend_node_, gateway_;
   std::shared_ptr<TestBackend> backend_;
 };
 
-/// Plays a script on a trial of one way, formed, whose backend has so many slots.
-inline void play_on(Way const way, std::uint32_t const slots, TestNodeOptions const& options,
-                    std::function<Task<void>(LeavingTrial&)> const& script) {
+/// Runs a script on the nodes of one path; `slots` is the concurrency of the backend.
+inline void run_script_on(RoutingPath const routing_path, std::uint32_t const slots, TestNodeOptions const& options,
+                          std::function<Task<void>(RoutingPathTrial&)> const& script) {
   run_on_pool_thread([&]() -> Task<void> {
-    LeavingTrial trial(way, options);
-    co_await trial.form(way, slots);
+    RoutingPathTrial trial(routing_path, options);
+    co_await trial.form(routing_path, slots);
     co_await script(trial);
   });
 }
--- a/tests/programs/control_trial.hpp
+++ b/tests/programs/control_trial.hpp
@@ -1,7 +1,7 @@
-// The control plane by itself on virtual time: stores and registries on core machines,
-// and operators who send configurations to any registry and read them back, with
-// answers that get lost on the way. A ledger keeps what the operators were told and
-// checks each answer against everything that was confirmed before.
+// The control plane alone on virtual time: stores and registries on core machines,
+// and operators who write configurations to any registry and read them back, with
+// some answers lost. A ledger records the answers that the operators got and checks
+// each against everything that was confirmed before.
 #pragma once
 
 #include "programs/configuration_interface.hpp"
@@ -12,30 +12,30 @@
 
 namespace banktide {
 
-/// An operator's change.
-struct Order {
+/// A configuration change by an operator.
+struct ConfigurationChange {
   Revision version = 0;
   std::string content;
 };
 
-/// What operators were told, and where one answer contradicts another.
+/// The answers that operators got, and the contradictions between them.
 class OperatorLedger {
  public:
-  void acknowledged(Order const& order) {
-    note_content(order.version, order.content);
-    newest_ = std::max(newest_, order.version);
+  void acknowledged(ConfigurationChange const& change) {
+    record_content(change.version, change.content);
+    newest_ = std::max(newest_, change.version);
     ++acknowledgements;
   }
-  void refused(Order const& order) {
-    auto const known = contents_.find(order.version);
-    bool const was_confirmed = known != contents_.end() && known->second == order.content;
-    if (was_confirmed) contradict(order.version, "was confirmed and is refused");
+  void refused(ConfigurationChange const& change) {
+    auto const known = contents_.find(change.version);
+    bool const was_confirmed = known != contents_.end() && known->second == change.content;
+    if (was_confirmed) report_contradiction(change.version, "was confirmed and is refused");
     ++refusals;
   }
-  /// `floor`: the newest version acknowledged when the reading was asked for.
-  void read(Order const& seen, Revision const floor) {
-    if (seen.version < floor) contradict(seen.version, "is shown after a newer one was confirmed");
-    note_content(seen.version, seen.content);
+  /// `floor`: the newest version that was acknowledged when the read was sent.
+  void read(ConfigurationChange const& seen, Revision const floor) {
+    if (seen.version < floor) report_contradiction(seen.version, "is shown after a newer one was confirmed");
+    record_content(seen.version, seen.content);
     ++readings;
   }
   Revision newest() const { return newest_; }
@@ -44,11 +44,11 @@
   std::vector<std::string> contradictions;
 
  private:
-  void note_content(Revision const version, std::string const& content) {
+  void record_content(Revision const version, std::string const& content) {
     auto const [known, added] = contents_.emplace(version, content);
-    if (known->second != content) contradict(version, "was confirmed or shown with two contents");
+    if (known->second != content) report_contradiction(version, "was confirmed or shown with two contents");
   }
-  void contradict(Revision const version, std::string const& what) {
+  void report_contradiction(Revision const version, std::string const& what) {
     contradictions.push_back("version " + std::to_string(version) + " " + what);
   }
 
@@ -64,27 +64,28 @@
     for (std::size_t i = 0; i < cores; ++i) start(i, true);
   }
   ~ControlTrial() {
-    over = true;
-    stores.sim.settle();
+    stopped = true;
+    stores.sim.run_ready_handlers();
     for (Core const& core : all_) core.process->kill();
   }
   ControlTrial(ControlTrial const&) = delete;
 
-  /// Power comes to a core machine: its store and its registry start.
+  /// Powers on a core machine: its store and its registry start.
   void start(std::size_t const i, bool const initial) {
-    stores.net.dark.erase(machine(i));
+    stores.net.unpowered.erase(machine(i));
     stores.start(i, initial);
     start_registry(i);
   }
   void start_registry(std::size_t const i) {
     kill_registry(i);
     Core core;
-    core.process = std::make_shared<SimProcess>(stores.sim, stores.net, machine(i), registry_address(i), ++runs_);
+    core.process =
+        std::make_shared<SimProcess>(stores.sim, stores.net, machine(i), registry_address(i), ++incarnations_);
     stores.net.at[core.process->address] = core.process;
     stores.net.machine_of[core.process->address] = machine(i);
     RegistrySettings settings;
     settings.id = "registry-" + std::to_string(i);
-    settings.cell = "zone-" + std::to_string(i);
+    settings.zone = "zone-" + std::to_string(i);
     settings.address = core.process->address;
     for (Address const& seed : stores.seeds) settings.seeds.push_back(seed.substr(0, seed.rfind(':')) + ":9");
     settings.store_port = 1;
@@ -97,11 +98,11 @@
     all_.push_back(core);
     registries_[i] = core;
   }
-  /// All that runs on a core machine ends, and it answers nobody.
+  /// Powers off a core machine: its processes end, and it answers no requests.
   void power_off(std::size_t const i) {
     stores.power_off(i);
     kill_registry(i);
-    stores.net.dark.insert(machine(i));
+    stores.net.unpowered.insert(machine(i));
   }
   void kill_registry(std::size_t const i) {
     if (registries_[i].process) registries_[i].process->kill();
@@ -118,10 +119,10 @@
   bool frozen(std::size_t const i) const { return up(i) && registries_[i].process->frozen; }
   static std::string machine(std::size_t const i) { return "core-" + std::to_string(i); }
 
-  /// One call to one registry; no answer within an operator's patience: status 0.
-  Task<HttpReply> send(std::size_t const registry, Order const order) {
-    auto const write = [order](Core const& core) {
-      return core.interface->write(WriteConfigurationOperation{order.version, order.content});
+  /// One request to one registry; status 0 if there is no answer within the operator's timeout.
+  Task<HttpReply> send(std::size_t const registry, ConfigurationChange const change) {
+    auto const write = [change](Core const& core) {
+      return core.interface->write(WriteConfigurationOperation{change.version, change.content});
     };
     co_return co_await call(registry, write);
   }
@@ -130,7 +131,7 @@
     co_return co_await call(registry, read_newest);
   }
 
-  /// What that registry tells operators of the control plane.
+  /// The control plane's status, as that registry reports it.
   Task<HttpReply> status(std::size_t const registry) {
     auto const ask_status = [](Core const& core) {
       HttpRequest question;
@@ -141,32 +142,32 @@
     co_return co_await call(registry, ask_status);
   }
 
-  /// Sends an order until it is taken or refused, to any registry; answers get lost.
-  Task<void> place(Order const order, bool const answers_get_lost) {
-    for (int attempt = 0; attempt < 40 && !over; ++attempt) {
-      HttpReply const reply = co_await send(any_registry(), order);
+  /// Sends a change to random registries until it is accepted or refused; answers may get lost.
+  Task<void> submit(ConfigurationChange const change, bool const answers_get_lost) {
+    for (int attempt = 0; attempt < 40 && !stopped; ++attempt) {
+      HttpReply const reply = co_await send(any_registry(), change);
       bool const lost = answers_get_lost && stores.sim.chance() % 3 == 0;
       if (reply.status == 200 && !lost) {
-        ledger.acknowledged(order);
+        ledger.acknowledged(change);
         co_return;
       }
       if (reply.status == 409 && !lost) {
-        ledger.refused(order);
+        ledger.refused(change);
         co_return;
       }
       co_await sleep_for(client(), std::chrono::milliseconds(20 + stores.sim.chance() % 200));
     }
   }
-  Task<void> look(std::size_t const registry) {
+  Task<void> check_read(std::size_t const registry) {
     Revision const floor = ledger.newest();
     HttpReply const reply = co_await read(registry);
     if (reply.status != 200) co_return;
     std::size_t const colon = reply.body.find(':');
-    ledger.read(Order{std::stoull(reply.body.substr(0, colon)), reply.body}, floor);
+    ledger.read(ConfigurationChange{std::stoull(reply.body.substr(0, colon)), reply.body}, floor);
   }
 
   SimProcess& client() { return *stores.clients[0]; }
-  /// Of those that ever started, also one that is gone: operators' lists lag.
+  /// Any registry that ever started, also one that is gone: operators' lists are out of date at times.
   std::size_t any_registry() {
     std::size_t started = 0;
     while (started < registries_.size() && registries_[started].process) ++started;
@@ -175,7 +176,7 @@
 
   StoreTrial stores;
   OperatorLedger ledger;
-  bool over = false;
+  bool stopped = false;
   Duration longest_answer{};
 
  private:
@@ -186,7 +187,7 @@
     std::shared_ptr<ControlStatus<SimProcess>> status;
     std::shared_ptr<Dispatcher> dispatcher;
   };
-  static constexpr Duration patience = 1s;
+  static constexpr Duration operator_timeout = 1s;
 
   static Address registry_address(std::size_t const i) { return "store-" + std::to_string(i) + ":9"; }
 
@@ -198,7 +199,7 @@
     Instant const asked = client().now();
     if (core.process && core.process->alive && !core.process->frozen)
       spawn(*core.process, answer_one<F>(core, operation, answer));
-    std::optional<HttpReply> const reply = co_await answer->wait(asked + patience);
+    std::optional<HttpReply> const reply = co_await answer->wait(asked + operator_timeout);
     if (reply) longest_answer = std::max<Duration>(longest_answer, client().now() - asked);
     HttpReply none;
     none.status = 0;
@@ -207,7 +208,7 @@
   template <class F>
   static Task<void> answer_one(Core const core, F operation, std::shared_ptr<OneShot<SimProcess, HttpReply>> answer) {
     HttpReply reply = co_await operation(core);
-    // Who stands still sends nothing, and what a dead process meant to say is lost.
+    // A frozen or dead process sends no answer.
     if (core.process->alive && !core.process->frozen) answer->give(std::move(reply));
   }
 
@@ -221,7 +222,7 @@
   InterfaceAdapter adapter_;
   std::vector<Core> registries_;
   std::vector<Core> all_;
-  std::uint64_t runs_ = 1000;
+  std::uint64_t incarnations_ = 1000;
 };
 
 }  // namespace banktide
--- a/tests/programs/settings_test.cpp
+++ b/tests/programs/settings_test.cpp
@@ -1,4 +1,4 @@
-// Settings: flags over the file, every error at once, and what has changed.
+// Settings: flags take precedence over the file, all errors are reported, changes are detected.
 #include "programs/settings.hpp"
 
 #include <filesystem>
@@ -7,7 +7,7 @@
 namespace banktide {
 namespace {
 
-TEST(Settings, every_error_is_told_at_once_flags_win_and_changes_are_named) {
+TEST(Settings, all_errors_are_reported_flags_take_precedence_and_changes_are_named) {
   std::filesystem::path const file =
       std::filesystem::temp_directory_path() / ("banktide-settings-" + std::to_string(::getpid()) + ".json");
   auto const load = [&](Settings& s, std::string const& json, std::vector<char const*> flags) {
@@ -16,8 +16,8 @@
     s.text("address", "", "");
     s.number("limit", 5, 1, 10, "");
     s.list("seed", "");
-    s.need_name("id");
-    s.need_address("address");
+    s.require_name("id");
+    s.require_address("address");
     std::string const path = file.string();
     std::vector<char const*> argv{"x", "--settings", path.c_str()};
     argv.insert(argv.end(), flags.begin(), flags.end());
--- a/tests/simulation/sim_fleet_test.cpp
+++ b/tests/simulation/sim_fleet_test.cpp
@@ -1,5 +1,5 @@
-// Whole fleets on virtual time: faults that a rule outlives, and each rule's check
-// on a build that is broken on purpose.
+// Whole fleets on virtual time: the invariants hold under faults, and the check of each
+// invariant detects a build that is broken on purpose.
 #include "simulation/sim_fleet.hpp"
 
 #include <gtest/gtest.h>
@@ -13,8 +13,8 @@
   return out;
 }
 
-inline std::string broken_by(std::string const& deployment, std::uint64_t const seed, std::set<std::string> only,
-                             Duration const faults_for = 20s, std::string const& last = "") {
+inline std::string violations_under(std::string const& deployment, std::uint64_t const seed, std::set<std::string> only,
+                                    Duration const faults_for = 20s, std::string const& last = "") {
   Scenario s;
   s.seed = seed;
   s.deployment = deployment;
@@ -22,11 +22,11 @@
   s.faults_for = faults_for;
   s.last = last;
   SimFleet fleet(s);
-  std::string const all = joined(fleet.run().broken());
+  std::string const all = joined(fleet.run().violations());
   return all.empty() ? "" : deployment + " seed " + std::to_string(seed) + ": " + all;
 }
 
-TEST(SimFleet, with_no_mishap_every_call_is_answered) {
+TEST(SimFleet, without_faults_every_call_is_answered) {
   for (std::string const name : {"kibble", "nilewise"}) {
     Scenario s;
     s.deployment = name;
@@ -34,11 +34,11 @@
     s.faults_for = 5s;
     SimFleet fleet(s);
     History const h = fleet.run();
-    EXPECT_EQ(joined(h.broken()), "") << name;
+    EXPECT_EQ(joined(h.violations()), "") << name;
     EXPECT_GT(h.calls.size(), 1000u);
     for (auto const& [id, c] : h.calls)
       EXPECT_TRUE(c.outcome == "answered" || c.outcome == "hung-up" || c.service == "promo")
-          << id << " " << c.outcome << " " << c.why;
+          << id << " " << c.outcome << " " << c.reason;
   }
 }
 
@@ -52,26 +52,26 @@
     History const h = fleet.run();
     std::string all;
     for (auto const& [id, c] : h.calls) all += id + c.outcome + std::to_string(c.answered.time_since_epoch().count());
-    for (RunSeen const& r : h.runs) all += r.id + r.instance + std::to_string(r.begin.time_since_epoch().count());
+    for (RunRecord const& r : h.runs) all += r.id + r.instance + std::to_string(r.begin.time_since_epoch().count());
     digest = digest_of(all);
   }
   EXPECT_EQ(digests[0], digests[1]);
 }
 
-TEST(SimFleet, a_frozen_registry_holds_no_revision_back_from_its_cell) {
-  for (std::uint64_t const seed : {100, 101}) EXPECT_EQ(broken_by("kibble", seed, {"freeze_registry"}), "");
+TEST(SimFleet, a_frozen_registry_withholds_no_revision_from_its_zone) {
+  for (std::uint64_t const seed : {100, 101}) EXPECT_EQ(violations_under("kibble", seed, {"freeze_registry"}), "");
 }
 
-TEST(SimFleet, a_registry_without_a_majority_holds_no_revision_back_from_its_cell) {
-  for (std::uint64_t const seed : {100, 101}) EXPECT_EQ(broken_by("kibble", seed, {"cut_core_one"}), "");
+TEST(SimFleet, a_registry_without_a_majority_withholds_no_revision_from_its_zone) {
+  for (std::uint64_t const seed : {100, 101}) EXPECT_EQ(violations_under("kibble", seed, {"cut_core_one"}), "");
 }
 
 TEST(SimFleet, nothing_reaches_another_service_that_took_over_a_dead_backends_address) {
   for (std::uint64_t const seed : {300, 301})
-    EXPECT_EQ(broken_by("kibble", seed, {"reuse_port_naive", "reuse_port_intruder"}), "");
+    EXPECT_EQ(violations_under("kibble", seed, {"reuse_port_naive", "reuse_port_intruder"}), "");
 }
 
-// Seeds that broke: the port changed hands while the node was frozen.
+// Seeds that failed: another service took over the port while the node was frozen.
 TEST(SimFleet, nothing_reaches_an_address_that_was_taken_over_while_its_node_was_frozen) {
   for (std::uint64_t const seed : {17, 42, 53}) {
     Scenario s;
@@ -79,39 +79,39 @@
     s.only = {"freeze_node", "reuse_port_intruder", "reuse_port_naive"};
     s.fault_every = 1200ms;
     SimFleet fleet(s);
-    EXPECT_EQ(joined(fleet.run().broken()), "") << seed;
+    EXPECT_EQ(joined(fleet.run().violations()), "") << seed;
   }
 }
 
-// Seeds that broke: the first call of a sender to a node that had just started
-// waited out a cut, and ran past its deadline.
+// Seeds that failed: a sender's first call to a node that had just started was held up
+// by a cut link and ran past its deadline.
 TEST(SimFleet, a_senders_first_call_to_a_new_node_runs_in_time_or_not_at_all) {
   for (std::uint64_t const seed : {7, 31})
-    EXPECT_EQ(broken_by("kibble", seed, {"kill_herd", "drain_then_cut"}, 30s), "");
+    EXPECT_EQ(violations_under("kibble", seed, {"kill_herd", "drain_then_cut"}, 30s), "");
 }
 
-TEST(SimFleet, every_machine_is_rolled_and_no_answer_lost) {
-  EXPECT_EQ(broken_by("kibble", 21, {"roll_all"}), "");
-  EXPECT_EQ(broken_by("nilewise", 22, {"roll_all"}), "");
+TEST(SimFleet, rolling_restarts_of_all_machines_lose_no_answer) {
+  EXPECT_EQ(violations_under("kibble", 21, {"roll_all"}), "");
+  EXPECT_EQ(violations_under("nilewise", 22, {"roll_all"}), "");
 }
 
-TEST(SimFleet, service_is_back_15_s_after_each_fault) {
+TEST(SimFleet, service_recovers_within_15_s_after_each_fault) {
   for (std::uint64_t const seed : {31, 32}) {
     Scenario s;
     s.seed = seed;
     s.faults_for = 150s;
     s.fault_every = 30s;
     SimFleet fleet(s);
-    EXPECT_EQ(joined(fleet.run().broken()), "") << seed;
+    EXPECT_EQ(joined(fleet.run().violations()), "") << seed;
   }
 }
 
-TEST(SimFleet, the_last_fault_needs_nobody_to_repair_it) {
+TEST(SimFleet, the_mesh_recovers_from_a_permanent_fault_without_repair) {
   for (std::string const last : {"core_gone", "cell_gone", "disk_lost", "node_gone"})
-    EXPECT_EQ(broken_by("kibble", 41, {"kill_node"}, 5s, last), "") << last;
+    EXPECT_EQ(violations_under("kibble", 41, {"kill_node"}, 5s, last), "") << last;
 }
 
-TEST(SimFleet, one_key_with_half_the_traffic_leaves_the_others_served) {
+TEST(SimFleet, a_hot_key_with_half_the_traffic_does_not_affect_other_keys) {
   Scenario s;
   s.rate_divisor = 1;
   s.fault_every = 0s;
@@ -125,29 +125,29 @@
   Index const slices = 32;
   for (auto const& [id, c] : h.calls) {
     if (c.service != "deliveries" || c.outcome == "hung-up" || c.sent > first + 6s) continue;
-    bool const beside = digest_of(c.key) % slices == digest_of("k0") % slices;
-    (beside ? hot : others) += 1;
-    if (c.outcome != "answered") (beside ? hot_dropped : others_dropped) += 1;
+    bool const same_slice = digest_of(c.key) % slices == digest_of("k0") % slices;
+    (same_slice ? hot : others) += 1;
+    if (c.outcome != "answered") (same_slice ? hot_dropped : others_dropped) += 1;
     EXPECT_NE(c.outcome, "lost") << id;
   }
   EXPECT_GT(hot, others / 2);
-  EXPECT_GT(hot_dropped, hot / 10);  // or it wasn't hot
+  EXPECT_GT(hot_dropped, hot / 10);  // otherwise the key wasn't hot
   EXPECT_EQ(others_dropped, 0u);
 }
 
-TEST(SimFleet, no_rule_breaks_under_all_mishaps) {
-  for (std::uint64_t seed = 1; seed <= 3; ++seed) EXPECT_EQ(broken_by("kibble", seed, {}), "");
-  for (std::uint64_t seed = 5; seed <= 7; ++seed) EXPECT_EQ(broken_by("nilewise", seed, {}), "");
+TEST(SimFleet, all_invariants_hold_under_all_faults) {
+  for (std::uint64_t seed = 1; seed <= 3; ++seed) EXPECT_EQ(violations_under("kibble", seed, {}), "");
+  for (std::uint64_t seed = 5; seed <= 7; ++seed) EXPECT_EQ(violations_under("nilewise", seed, {}), "");
 }
 
-// Each check must be able to fail: a build broken on purpose, and the rule that
-// tells.
+// Each check must be able to fail: a build that is broken on purpose, and the violation
+// that must be reported.
 struct Broken {
   char const* mutant;
   char const* rule;
   std::set<std::string> only;
   int fault_every_ms = 2500;
-  bool hot = false;  // one key with half the calls and slow runs
+  bool hot = false;  // one key receives half of the calls, and its requests are slow
 };
 
 inline std::ostream& operator<<(std::ostream& out, Broken const& b) { return out << b.mutant; }
@@ -167,7 +167,7 @@
       SimFleet fleet(s);
       if (GetParam().hot) fleet.make_hot();
       seen.clear();
-      for (std::string const& line : fleet.run().broken()) seen += line + "\n";
+      for (std::string const& line : fleet.run().violations()) seen += line + "\n";
     }
     mutant_name.clear();
   }
--- a/tests/state/compressed_values.hpp
+++ b/tests/state/compressed_values.hpp
@@ -1,4 +1,4 @@
-// Values of the register of configurations, as registries hold them.
+// Values of the register `routing` with compressed texts, as registries hold them.
 #pragma once
 
 #include "protocol/digest.hpp"
@@ -7,15 +7,15 @@
 
 namespace banktide {
 
-inline Held compressed_value(Revision const revision, std::string const& text) {
-  Held held;
-  held.revision = revision;
-  held.bytes = compress(text);
-  held.digest = digest_of(held.bytes);
-  return held;
+inline RegisterValue compressed_value(Revision const revision, std::string const& text) {
+  RegisterValue value;
+  value.revision = revision;
+  value.bytes = compress(text);
+  value.digest = digest_of(value.bytes);
+  return value;
 }
 
-/// The value's text; empty if it has none.
-inline std::string text_of(Held const& held) { return decompress(held.bytes).value_or(""); }
+/// Returns the value's text; empty if its bytes aren't a compressed text.
+inline std::string text_of(RegisterValue const& value) { return decompress(value.bytes).value_or(""); }
 
 }  // namespace banktide
--- a/tests/state/decisions_test.cpp
+++ b/tests/state/decision_log_test.cpp
@@ -1,5 +1,5 @@
-// What a reader of decisions gets, and when it is told of a gap.
-#include "state/decisions.hpp"
+// The events that a reader of decisions gets, and the gaps that are reported.
+#include "state/decision_log.hpp"
 
 #include <gtest/gtest.h>
 #include <random>
@@ -7,10 +7,10 @@
 namespace banktide {
 namespace {
 
-TEST(Decisions, a_reader_gets_every_event_once_or_is_told_of_the_gap) {
-  Decisions d("n", 7, 100);
-  DecisionsAsk q;
-  q.most = 10;
+TEST(DecisionLog, a_reader_gets_every_event_once_or_a_gap_is_reported) {
+  DecisionLog d("n", 7, 100);
+  DecisionsRequest q;
+  q.max_events = 10;
   std::uint64_t seen = 0, lost = 0, made = 0;
   std::mt19937_64 r(4);
   for (int i = 0; i < 3000; ++i) {
@@ -19,14 +19,14 @@
     if (r() % 50 == 0) made += 0, i += 20;
     DecisionsReply const reply = d.since(q);
     for (Gap const& g : reply.gaps) lost += g.lost, seen += g.lost;
-    for (CallEvent const& e : reply.events) ASSERT_EQ(e.n, ++seen);
+    for (CallEvent const& e : reply.events) ASSERT_EQ(e.number, ++seen);
     q.after = reply.next;
   }
   EXPECT_GT(seen, 5000u);
   while (seen < made) {
     DecisionsReply const reply = d.since(q);
     for (Gap const& g : reply.gaps) seen += g.lost;
-    for (CallEvent const& e : reply.events) ASSERT_EQ(e.n, ++seen);
+    for (CallEvent const& e : reply.events) ASSERT_EQ(e.number, ++seen);
     q.after = reply.next;
   }
   EXPECT_EQ(seen, made);
@@ -35,11 +35,11 @@
   EXPECT_EQ(d.since(q).gaps[0].lost, 50u);
   q.filter.decision = "drop";
   EXPECT_TRUE(d.since(q).events.empty());
-  Decisions again("n", 8, 100);
+  DecisionLog again("n", 8, 100);
   again.append(CallEvent{});
-  DecisionsReply const reborn = again.since(q);
-  ASSERT_EQ(reborn.gaps.size(), 1u);
-  EXPECT_EQ(reborn.gaps[0].lost, 0u);
+  DecisionsReply const after_restart = again.since(q);
+  ASSERT_EQ(after_restart.gaps.size(), 1u);
+  EXPECT_EQ(after_restart.gaps[0].lost, 0u);
 }
 
 }  // namespace
--- a/tests/state/layout_test.cpp
+++ b/tests/state/layout_test.cpp
@@ -1,4 +1,4 @@
-// Layouts and catalogues: what is refused, and where calls are placed.
+// Validation of layouts and catalogues, and the zones that they choose for calls.
 #include "state/layout.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 inline std::string const sample_layout =
     R"({"cells":["a","b"],"services":{"pay":{"key":{"header":"x-key","slices":8},"idempotent":["GET"]},"browse":{}},"ways":[{"prefix":"/pay","service":"pay"},{"prefix":"/","service":"browse"}]})";
 
-TEST(Layout, bad_revisions_are_refused_with_the_pointer_and_good_ones_are_not) {
+TEST(Layout, invalid_layouts_are_refused_with_the_json_pointer_and_valid_ones_are_read) {
   EXPECT_TRUE(Layout::read(sample_layout));
   struct Bad {
     std::string text, step, pointer;
@@ -21,18 +21,19 @@
         Bad{R"({"cells":["a"],"services":{"s":{"timeout_ms":1}},"ways":[]})", "check_schema", "/services/s/timeout_ms"},
         Bad{R"({"cells":["a"],"services":{},"ways":[{"prefix":"/x","service":"y"}]})", "check_references",
             "/ways/0/service"},
-        Bad{std::string(layout_limit + 1, ' '), "check_size", ""}, Bad{std::string(100, '['), "parse_json", ""}}) {
+        Bad{std::string(default_json_limit + 1, ' '), "check_size", ""},
+        Bad{std::string(100, '['), "parse_json", ""}}) {
     Result<Layout> const l = Layout::read(b.text);
     ASSERT_FALSE(l) << b.text;
     EXPECT_EQ(l.error().step, b.step) << b.text;
     EXPECT_EQ(l.error().peer, b.pointer) << l.error().reason;
   }
   Layout const l = *Layout::read(sample_layout);
-  EXPECT_EQ(l.services[l.way_of("/pay/1?x=/")].name, "pay");
-  EXPECT_EQ(l.services[l.way_of("/payment")].name, "browse");
+  EXPECT_EQ(l.services[l.service_of_path("/pay/1?x=/")].name, "pay");
+  EXPECT_EQ(l.services[l.service_of_path("/payment")].name, "browse");
 }
 
-TEST(Catalogue, overlapping_slices_and_unknown_names_are_refused_and_calls_are_placed) {
+TEST(Catalogue, overlapping_slices_and_unknown_names_are_refused_and_zones_are_chosen) {
   Layout const l = *Layout::read(sample_layout);
   for (std::string const bad :
        {R"({"cells":{"c":{}}})", R"({"cells":{"a":{"nope":{}}}})",
@@ -44,16 +45,16 @@
   Catalogue const c =
       *Catalogue::read(R"({"cells":{"a":{"pay":{"slices":[[0,3]]}},"b":{"pay":{"slices":[[4,6]]}}}})", l);
   Index const pay = l.service_names.find("pay"), browse = l.service_names.find("browse");
-  EXPECT_TRUE(choose_cells(l, c, "a", pay, 1, nowhere).stay);
-  EXPECT_EQ(choose_cells(l, c, "a", pay, 5, nowhere).others, std::vector<std::string>{"b"});
-  EXPECT_FALSE(choose_cells(l, c, "a", pay, 5, nowhere).stay);
-  EXPECT_EQ(choose_cells(l, c, "a", pay, 7, nowhere).dropped, "no cell has the slice");
-  EXPECT_TRUE(choose_cells(l, c, "a", browse, 0, nowhere).stay);
-  EXPECT_TRUE(choose_cells(l, *Catalogue::read(R"({"cells":{},"closed":["browse"]})", l), "a", browse, 0, nowhere)
-                  .dropped.size());
+  EXPECT_TRUE(choose_zones(l, c, "a", pay, 1, nowhere).in_own_zone);
+  EXPECT_EQ(choose_zones(l, c, "a", pay, 5, nowhere).other_zones, std::vector<std::string>{"b"});
+  EXPECT_FALSE(choose_zones(l, c, "a", pay, 5, nowhere).in_own_zone);
+  EXPECT_EQ(choose_zones(l, c, "a", pay, 7, nowhere).refusal, "no cell has the slice");
+  EXPECT_TRUE(choose_zones(l, c, "a", browse, 0, nowhere).in_own_zone);
+  EXPECT_TRUE(choose_zones(l, *Catalogue::read(R"({"cells":{},"closed":["browse"]})", l), "a", browse, 0, nowhere)
+                  .refusal.size());
 }
 
-TEST(Catalogue, what_a_newer_routing_revision_dropped_is_passed_over_and_the_rest_holds) {
+TEST(Catalogue, names_removed_by_a_newer_layout_are_ignored_and_the_rest_applies) {
   Layout const l = *Layout::read(sample_layout);
   std::string const old =
       R"({"cells":{"a":{"pay":{"slices":[[0,3]]},"gone":{}},"b":{"pay":{"slices":[[4,20]]}},"lost":{"pay":{"slices":[[0,0]]},"browse":{}}},"closed":["gone"]})";
@@ -61,13 +62,13 @@
   Catalogue const c = *Catalogue::read(old, l, true);
   auto const nowhere = [] { return std::set<std::string>{}; };
   Index const pay = l.service_names.find("pay"), browse = l.service_names.find("browse");
-  EXPECT_TRUE(choose_cells(l, c, "a", pay, 0, nowhere).stay);
-  EXPECT_EQ(choose_cells(l, c, "a", pay, 7, nowhere).others, std::vector<std::string>{"b"});
-  EXPECT_EQ(choose_cells(l, c, "a", browse, 0, nowhere).dropped, "no cell has the service");
+  EXPECT_TRUE(choose_zones(l, c, "a", pay, 0, nowhere).in_own_zone);
+  EXPECT_EQ(choose_zones(l, c, "a", pay, 7, nowhere).other_zones, std::vector<std::string>{"b"});
+  EXPECT_EQ(choose_zones(l, c, "a", browse, 0, nowhere).refusal, "no cell has the service");
 }
 
-// Any bytes are refused with a step, or read into something whole.
-TEST(Layout, spoilt_revisions_are_refused_with_a_step_or_read_into_something_whole) {
+// Random changes of valid documents are refused with a step, or read into consistent objects.
+TEST(Layout, corrupt_documents_are_refused_with_a_step_or_read_into_consistent_objects) {
   std::string const catalogue =
       R"({"cells":{"a":{"pay":{"slices":[[0,3]]}},"b":{"pay":{"slices":[[4,7]]},"browse":{}}},"closed":[]})";
   std::vector<std::string> const pieces{"{",  "}",    "[",   "]",  ",",    ":",      "\"",    "null",
@@ -91,7 +92,7 @@
         continue;
       }
       ASSERT_EQ(l->services.size(), l->service_names.size()) << s;
-      for (Way const& w : l->ways) ASSERT_LT(w.service, l->services.size()) << s;
+      for (PathRoute const& w : l->path_routes) ASSERT_LT(w.service, l->services.size()) << s;
       for (Service const& v : l->services) ASSERT_LE(v.slices, 1024u) << s;
       ASSERT_TRUE(Catalogue::read(catalogue, *l, true)) << s;
     } else {
@@ -104,9 +105,9 @@
       }
       for (Index v = 0; v < whole.services.size(); ++v)
         for (std::uint32_t slice = 0; slice < whole.services[v].slices; ++slice) {
-          int cells = 0;
-          for (Catalogue::Entry const& e : c->entries[v]) cells += e.serves(slice);
-          ASSERT_LE(cells, 1) << s;
+          int zones = 0;
+          for (Catalogue::Entry const& e : c->entries[v]) zones += e.serves(slice);
+          ASSERT_LE(zones, 1) << s;
         }
     }
   }
@@ -114,21 +115,21 @@
   EXPECT_GT(taken, 100u);
 }
 
-TEST(Catalogue, a_slice_it_is_silent_on_has_one_home_that_all_agree_on) {
+TEST(Catalogue, a_slice_it_does_not_mention_has_one_home_that_all_zones_agree_on) {
   Layout const l = *Layout::read(sample_layout);
   Index const pay = l.service_names.find("pay");
   std::set<std::string> const both{"a", "b"};
   std::size_t at_a = 0;
   for (std::uint32_t slice = 0; slice < 8; ++slice) {
-    Choice const a = choose_cells(l, Catalogue{}, "a", pay, slice, [&] { return both; }),
-                 b = choose_cells(l, Catalogue{}, "b", pay, slice, [&] { return both; });
-    EXPECT_NE(a.stay, b.stay);
-    EXPECT_EQ((a.stay ? b : a).others, std::vector<std::string>{a.stay ? "a" : "b"});
-    at_a += a.stay;
+    ZoneChoice const a = choose_zones(l, Catalogue{}, "a", pay, slice, [&] { return both; }),
+                     b = choose_zones(l, Catalogue{}, "b", pay, slice, [&] { return both; });
+    EXPECT_NE(a.in_own_zone, b.in_own_zone);
+    EXPECT_EQ((a.in_own_zone ? b : a).other_zones, std::vector<std::string>{a.in_own_zone ? "a" : "b"});
+    at_a += a.in_own_zone;
   }
   EXPECT_GT(at_a, 0u);
   EXPECT_LT(at_a, 8u);
-  EXPECT_FALSE(choose_cells(l, Catalogue{}, "a", pay, 0, [] { return std::set<std::string>{}; }).dropped.empty());
+  EXPECT_FALSE(choose_zones(l, Catalogue{}, "a", pay, 0, [] { return std::set<std::string>{}; }).refusal.empty());
 }
 
 }  // namespace
--- a/tests/state/service_configuration_test.cpp
+++ b/tests/state/service_configuration_test.cpp
@@ -1,4 +1,4 @@
-// Faults of configurations and the choice of routes, against a plain search.
+// Validation of configurations, and route lookup compared with a linear search.
 #include "state/service_configuration.hpp"
 
 #include <gtest/gtest.h>
@@ -50,15 +50,15 @@
   EXPECT_TRUE(check(weights));
   weights.routes[0].targets = {{0, 1}, {1, -0.5}};
   EXPECT_FALSE(check(weights));
-  ServiceConfiguration aim = with_routes({route("a", "/")});
-  aim.routes[0].timeout = 2s;
-  aim.routes[0].aim = 62s - 1ns;
-  EXPECT_TRUE(check(aim));
-  aim.routes[0].aim = 62s;
-  EXPECT_FALSE(check(aim));
+  ServiceConfiguration late = with_routes({route("a", "/")});
+  late.routes[0].timeout = 2s;
+  late.routes[0].target_latency = 62s - 1ns;
+  EXPECT_TRUE(check(late));
+  late.routes[0].target_latency = 62s;
+  EXPECT_FALSE(check(late));
 }
 
-TEST(ServiceConfiguration, CheckNamesTheRouteAtFault) {
+TEST(ServiceConfiguration, CheckNamesTheInvalidRoute) {
   Result<bool> const bad = check(with_routes({route("a", "/"), route("", "/x/")}));
   ASSERT_FALSE(bad);
   EXPECT_EQ(bad.error().peer, "/x/");
@@ -88,7 +88,7 @@
   EXPECT_EQ(matched(router, std::string(1000, 'a'), "/"), "");
 }
 
-TEST(ServiceConfiguration, MatchingAgreesWithAPlainSearch) {
+TEST(ServiceConfiguration, MatchingAgreesWithALinearSearch) {
   std::mt19937 random(3);
   auto const word = [&] {
     std::string text = "/";
@@ -138,7 +138,7 @@
   EXPECT_EQ(Router::choose(split, UINT64_MAX), 2u);
 }
 
-TEST(ServiceConfiguration, TargetsWithoutAnyWeightAreAlike) {
+TEST(ServiceConfiguration, TargetsWithoutAnyWeightAreEquallyLikely) {
   Route split = route("a", "/");
   split.targets = {{4, 0}, {7, 0}};
   EXPECT_EQ(Router::choose(split, 0), 4u);
--- a/tests/state/sqlite_disk_test.cpp
+++ b/tests/state/sqlite_disk_test.cpp
@@ -1,4 +1,4 @@
-// The voter's disk: formats of records, and a disk that refuses writes.
+// The voter's disk: record formats, and a disk that refuses writes.
 #include "state/sqlite_disk.hpp"
 
 #include <filesystem>
@@ -15,10 +15,10 @@
   }
   ~SqliteDiskFile() override { std::filesystem::remove_all(folder); }
 
-  Result<bool> keep(SqliteDisk& disk, VoterRecord const& record) {
+  Result<bool> save(SqliteDisk& disk, VoterRecord const& record) {
     Result<bool> out = make_error("keep", "", "no end");
     asio::io_context io;
-    asio::co_spawn(io, disk.keep(record), [&](std::exception_ptr, Result<bool> kept) { out = kept; });
+    asio::co_spawn(io, disk.save(record), [&](std::exception_ptr, Result<bool> kept) { out = kept; });
     io.run();
     return out;
   }
@@ -47,20 +47,20 @@
   std::string file;
 };
 
-TEST(SqliteDisk, a_record_is_there_after_reopening_and_a_spoilt_one_is_refused) {
+TEST(SqliteDisk, a_record_survives_reopening_and_a_corrupt_one_is_refused) {
   std::filesystem::path const dir =
       std::filesystem::temp_directory_path() / ("banktide-disk-" + std::to_string(::getpid()));
   std::filesystem::create_directories(dir);
   std::string const file = dir / "voter.db";
   VoterRecord r;
-  r.phase = Phase::voting;
+  r.phase = BootstrapPhase::voting;
   r.slots[1].held.bytes = std::string("a\0b", 3);
   asio::io_context io;
   {
     std::unique_ptr<SqliteDisk> d = std::move(*SqliteDisk::open(file));
-    EXPECT_EQ(d->load()->phase, Phase::blank);
+    EXPECT_EQ(d->load()->phase, BootstrapPhase::blank);
     bool kept = false;
-    asio::co_spawn(io, d->keep(r), [&](std::exception_ptr, Result<bool> ok) { kept = ok.has_value(); });
+    asio::co_spawn(io, d->save(r), [&](std::exception_ptr, Result<bool> ok) { kept = ok.has_value(); });
     io.run();
     EXPECT_TRUE(kept);
   }
@@ -76,16 +76,16 @@
   std::filesystem::remove_all(dir);
 }
 
-TEST_F(SqliteDiskFile, the_set_of_voters_and_all_registers_are_there_after_reopening) {
+TEST_F(SqliteDiskFile, the_voter_set_and_all_registers_survive_reopening) {
   VoterRecord record;
-  record.phase = Phase::voting;
-  record.set = first_set({"a:1", "b:1"}, 1);
+  record.phase = BootstrapPhase::voting;
+  record.set = initial_set({"a:1", "b:1"}, 1);
   record.set.epoch = record.active_epoch = 7;
   record.disk = 99;
   record.slots[static_cast<std::size_t>(Register::keys)].held.bytes = "keys";
   {
     std::unique_ptr<SqliteDisk> disk = std::move(*SqliteDisk::open(file));
-    ASSERT_TRUE(keep(*disk, record));
+    ASSERT_TRUE(save(*disk, record));
   }
   Result<VoterRecord> const back = (*SqliteDisk::open(file))->load();
   ASSERT_TRUE(back);
@@ -95,11 +95,11 @@
   EXPECT_EQ(back->slots, record.slots);
 }
 
-TEST_F(SqliteDiskFile, a_record_of_another_format_is_refused_by_name) {
+TEST_F(SqliteDiskFile, a_record_of_an_unknown_format_is_refused_with_its_number) {
   {
     std::unique_ptr<SqliteDisk> disk = std::move(*SqliteDisk::open(file));
     VoterRecord const record;
-    ASSERT_TRUE(keep(*disk, record));
+    ASSERT_TRUE(save(*disk, record));
   }
   run("PRAGMA user_version=0");
   Result<VoterRecord> const old = (*SqliteDisk::open(file))->load();
@@ -107,12 +107,12 @@
   EXPECT_EQ(old.error().reason, "record of format 0, known is 3");
 }
 
-// Bytes as a store wrote them that knew four registers, put there by hand.
-TEST_F(SqliteDiskFile, a_record_of_four_registers_is_read_and_then_kept_as_one_of_five) {
-  VoterRecordOfFourRegisters before;
-  before.phase = Phase::voting;
-  before.founding = 5;
-  before.set = first_set({"a:1", "b:1"}, 1);
+// Writes a record in format 2, which has four registers, directly into the database.
+TEST_F(SqliteDiskFile, a_record_of_format_2_is_read_and_then_written_in_the_current_format) {
+  VoterRecordFormat2 before;
+  before.phase = BootstrapPhase::voting;
+  before.bootstrap_id = 5;
+  before.set = initial_set({"a:1", "b:1"}, 1);
   before.set.epoch = before.active_epoch = 7;
   before.disk = 99;
   for (std::size_t i = 0; i < before.slots.size(); ++i) {
@@ -126,25 +126,25 @@
   std::unique_ptr<SqliteDisk> disk = std::move(*SqliteDisk::open(file));
   Result<VoterRecord> loaded = disk->load();
   ASSERT_TRUE(loaded) << loaded.error().reason;
-  EXPECT_EQ(loaded->phase, Phase::voting);
-  EXPECT_EQ(loaded->founding, 5u);
+  EXPECT_EQ(loaded->phase, BootstrapPhase::voting);
+  EXPECT_EQ(loaded->bootstrap_id, 5u);
   EXPECT_EQ(loaded->set, before.set);
   EXPECT_EQ(loaded->active_epoch, 7u);
   EXPECT_EQ(loaded->disk, 99u);
   for (std::size_t i = 0; i < before.slots.size(); ++i) EXPECT_EQ(loaded->slots[i], before.slots[i]);
-  EXPECT_EQ(loaded->slots[static_cast<std::size_t>(Register::maintenance)], Slot{});
+  EXPECT_EQ(loaded->slots[static_cast<std::size_t>(Register::maintenance)], RegisterSlot{});
   loaded->slots[static_cast<std::size_t>(Register::maintenance)].held.bytes = "window";
-  ASSERT_TRUE(keep(*disk, *loaded));
+  ASSERT_TRUE(save(*disk, *loaded));
   disk.reset();
   Result<VoterRecord> const again = (*SqliteDisk::open(file))->load();
   ASSERT_TRUE(again) << again.error().reason;
   EXPECT_EQ(again->slots, loaded->slots);
 }
 
-// The new format must not be named before a record of it is there.
-TEST_F(SqliteDiskFile, a_first_write_that_is_refused_leaves_the_record_of_four_registers_readable) {
+// The new format must not be set before a record in it is stored.
+TEST_F(SqliteDiskFile, a_refused_first_write_leaves_the_record_of_format_2_readable) {
   (*SqliteDisk::open(file)).reset();
-  VoterRecordOfFourRegisters before;
+  VoterRecordFormat2 before;
   before.disk = 99;
   put_row(pack(before), 2);
   {
@@ -153,22 +153,22 @@
     ASSERT_TRUE(large);
     large->slots[0].held.bytes = std::string(300000, 'x');
     disk->limit_pages(20);
-    EXPECT_FALSE(keep(*disk, *large));
+    EXPECT_FALSE(save(*disk, *large));
   }
   Result<VoterRecord> const back = (*SqliteDisk::open(file))->load();
   ASSERT_TRUE(back) << back.error().reason;
   EXPECT_EQ(back->disk, 99u);
 }
 
-TEST_F(SqliteDiskFile, a_write_that_is_refused_is_said_and_the_next_may_succeed) {
+TEST_F(SqliteDiskFile, a_refused_write_is_an_error_and_the_next_may_succeed) {
   std::unique_ptr<SqliteDisk> disk = std::move(*SqliteDisk::open(file));
   VoterRecord small, large;
   large.slots[0].held.bytes = std::string(300000, 'x');
-  ASSERT_TRUE(keep(*disk, small));
+  ASSERT_TRUE(save(*disk, small));
   disk->limit_pages(20);
-  EXPECT_FALSE(keep(*disk, large));
+  EXPECT_FALSE(save(*disk, large));
   small.disk = 3;
-  EXPECT_TRUE(keep(*disk, small));
+  EXPECT_TRUE(save(*disk, small));
   EXPECT_EQ(disk->load()->disk, 3u);
 }
 
@@ -176,7 +176,7 @@
   std::unique_ptr<SqliteDisk> disk = std::move(*SqliteDisk::open(file));
   VoterRecord record;
   record.slots[0].held.bytes = std::string(20000, 'x');
-  for (int i = 0; i < 200; ++i) ASSERT_TRUE(keep(*disk, record));
+  for (int i = 0; i < 200; ++i) ASSERT_TRUE(save(*disk, record));
   std::uintmax_t bytes = 0;
   for (auto const& entry : std::filesystem::directory_iterator(folder)) bytes += entry.file_size();
   EXPECT_LT(bytes, 1000000u);
